--- a/packages/coordinator/src/election/election.ts
+++ b/packages/coordinator/src/election/election.ts
@@ -13,9 +13,9 @@
 import * as terms from "./term.ts";
 
 /** Time between two checks of whether to claim, in ms. */
-const LOOK_MS = 50;
+const CHECK_INTERVAL_MS = 50;
 /** A takeover is given up after this time, in ms. */
-const TAKE_LIMIT_MS = 1500;
+const TAKEOVER_TIMEOUT_MS = 1500;
 
 /** Takes part in the election for ever. */
 export class Election {
@@ -23,7 +23,7 @@
   readonly #watch: rowWatches.RowWatch;
   readonly #keeper: termKeepers.TermKeeper;
   #term: terms.Term | null = null;
-  #leaving = false;
+  #isLeaving = false;
 
   constructor(coordinatorPorts: ports.CoordinatorPorts) {
     this.#ports = coordinatorPorts;
@@ -47,21 +47,21 @@
 
   /** Runs `work` whenever this node is elected, until the term is lost. */
   run(work: (term: terms.Term) => Effect.Effect<void>): Effect.Effect<never> {
-    const hold = Effect.gen({ self: this }, function* () {
-      yield* this.#ports.clock.sleep(LOOK_MS);
-      if (this.#leaving || !this.#watch.mayTake()) return;
-      const term = yield* this.#take(this.#watch.token);
+    const campaign = Effect.gen({ self: this }, function* () {
+      yield* this.#ports.clock.sleep(CHECK_INTERVAL_MS);
+      if (this.#isLeaving || !this.#watch.mayTakeOver()) return;
+      const term = yield* this.#takeOver(this.#watch.token);
       if (term === null) return;
-      yield* this.#serve(term, work);
+      yield* this.#runTerm(term, work);
     });
     const watch = this.#watch.run(() => this.#term !== null);
-    return Effect.raceFirst(watch, Effect.forever(hold));
+    return Effect.raceFirst(watch, Effect.forever(campaign));
   }
 
   /** Releases the row, so that another node takes over at once. */
   release(): Effect.Effect<void> {
     return Effect.suspend(() => {
-      this.#leaving = true;
+      this.#isLeaving = true;
       const term = this.#term;
       if (term === null || term.isLost) return Effect.void;
       return this.#keeper.release(term);
@@ -79,20 +79,20 @@
   }
 
   /** Takes over from the holder that was judged, and from no later one. */
-  #take(judgedToken: number): Effect.Effect<terms.Term | null> {
+  #takeOver(observedToken: number): Effect.Effect<terms.Term | null> {
     return Effect.gen({ self: this }, function* () {
       const { store, node, incarnation, log } = this.#ports;
       // The watch may see the write below before it is answered.
-      const { forecast: before } = this.#watch.forecast;
+      const { forecast: inherited } = this.#watch.forecast;
       const key = TableClient.Keys.COORDINATOR_KEY;
       const leaseKey = TableClient.Keys.COORDINATOR_LEASE_KEY;
-      const rows = yield* store.read([key, leaseKey], TAKE_LIMIT_MS);
+      const rows = yield* store.read([key, leaseKey], TAKEOVER_TIMEOUT_MS);
       const row = rows.find((one) => one.key === key);
       const lease = rows.find((one) => one.key === leaseKey);
       const found = row?.value as terms.CoordinatorRow | undefined;
-      const isOther = (found?.token ?? 0) !== judgedToken;
+      const isOther = (found?.token ?? 0) !== observedToken;
       if (isOther || this.#watch.hasRenewed(found, lease?.value ?? null)) {
-        this.#watch.noteBehind();
+        this.#watch.noteFeedBehind();
         return null;
       }
       const token = (found?.token ?? 0) + 1;
@@ -103,43 +103,43 @@
           { key: leaseKey, revision: lease?.revision ?? 0 },
         ],
         writes: [{ key, value }, { key: leaseKey, value: token }],
-      }, TAKE_LIMIT_MS);
+      }, TAKEOVER_TIMEOUT_MS);
       log.info(`Node ${node} coordinates under token ${token}.`);
-      return new terms.Term(token, revision, before);
+      return new terms.Term(token, revision, inherited);
     }).pipe(Effect.catch((err) => {
       this.#ports.log.info(`Not elected: ${err.message}`);
-      this.#watch.forgetSilence();
+      this.#watch.resetSilence();
       return Effect.succeed(null);
     }));
   }
 
-  #serve(
+  #runTerm(
     term: terms.Term,
     work: (term: terms.Term) => Effect.Effect<void>,
   ): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       this.#term = term;
-      const ended = Effect.map(term.awaitLoss(), (how) => {
+      const loss = Effect.map(term.awaitLoss(), (how) => {
         this.#ports.log.info(`Token ${term.token} is lost: ${how}.`);
       });
       const guarded = Effect.catchDefect(
         work(term),
-        (defect) => this.#giveUp(term, defect),
+        (defect) => this.#failTerm(term, defect),
       );
-      const beside = Effect.raceFirst(
+      const upkeep = Effect.raceFirst(
         this.#keeper.keepRenewing(term),
         this.#keeper.moveToFitter(term),
       );
-      const both = Effect.raceFirst(guarded, beside);
-      yield* Effect.raceFirst(both, ended);
+      const workAndUpkeep = Effect.raceFirst(guarded, upkeep);
+      yield* Effect.raceFirst(workAndUpkeep, loss);
       term.lose("the work ended");
       this.#term = null;
-      this.#watch.beginSilence();
+      this.#watch.startSilence();
     });
   }
 
   /** A fault in our own code ends the term; perhaps another node fares better. */
-  #giveUp(term: terms.Term, defect: unknown): Effect.Effect<void> {
+  #failTerm(term: terms.Term, defect: unknown): Effect.Effect<void> {
     return Effect.sync(() => {
       const { log, metrics } = this.#ports;
       log.error(`Coordinating failed: ${restart.describeDefect(defect)}`);
--- a/packages/coordinator/src/election/fitness.ts
+++ b/packages/coordinator/src/election/fitness.ts
@@ -19,15 +19,15 @@
  * Time in which boxes with more processor claim a term before the others, in ms;
  * longer than what candidates differ by at random.
  */
-const FITTER_FIRST_MS = 400;
+const LESS_FIT_DELAY_MS = 400;
 /**
  * A box whose calls take the way through a peer claims a term later by this, in
  * ms: another one is as good and does without the peer.
  */
-const RELAYED_MS = 1500;
+const RELAYED_DELAY_MS = 1500;
 
 /** How much later than the fittest box this one claims a term, in ms. */
 export function claimDelayMs(fitness: Fitness): number {
-  const fitterMs = fitness.hasFitter() ? FITTER_FIRST_MS : 0;
-  return fitness.reachesStore() ? fitterMs : fitterMs + RELAYED_MS;
+  const fitterMs = fitness.hasFitter() ? LESS_FIT_DELAY_MS : 0;
+  return fitness.reachesStore() ? fitterMs : fitterMs + RELAYED_DELAY_MS;
 }
--- a/packages/coordinator/src/election/forecast_sight_test.ts
+++ b/packages/coordinator/src/election/forecast_sight_test.ts
@@ -2,7 +2,7 @@
 import * as Admission from "@cairngate/admission";
 import * as TestUtils from "@cairngate/test-utils";
 import * as vitest from "vitest";
-import * as sights from "./forecast_sight.ts";
+import * as observers from "./forecast_sight.ts";
 import * as leases from "./lease_value.ts";
 
 const FORECAST: Admission.Forecast = {
@@ -46,33 +46,33 @@
 vitest.describe("the age of a forecast", () => {
   vitest.it("counts from the look that told of it", async () => {
     const clock = new TestUtils.FakeClock();
-    const sight = new sights.ForecastSight(clock);
-    sight.note(renewal(1), clock.monotonicMs());
-    const lookedAtMs = clock.monotonicMs();
+    const observer = new observers.ForecastObserver(clock);
+    observer.note(renewal(1), clock.monotonicMs());
+    const requestedAtMs = clock.monotonicMs();
     await clock.advance(400);
-    sight.note(renewal(2, 100), lookedAtMs);
-    vitest.expect(sight.known).toEqual({ forecast: FORECAST, ageMs: 500 });
+    observer.note(renewal(2, 100), requestedAtMs);
+    vitest.expect(observer.latest).toEqual({ forecast: FORECAST, ageMs: 500 });
   });
 
   vitest.it("is not known of a row that stood there before", async () => {
     const clock = new TestUtils.FakeClock();
-    const sight = new sights.ForecastSight(clock);
-    sight.note(renewal(1), clock.monotonicMs());
-    vitest.expect(sight.known.ageMs).toBe(Number.POSITIVE_INFINITY);
-    sight.note(renewal(2), clock.monotonicMs());
-    vitest.expect(sight.known.ageMs).toBe(100);
+    const observer = new observers.ForecastObserver(clock);
+    observer.note(renewal(1), clock.monotonicMs());
+    vitest.expect(observer.latest.ageMs).toBe(Number.POSITIVE_INFINITY);
+    observer.note(renewal(2), clock.monotonicMs());
+    vitest.expect(observer.latest.ageMs).toBe(100);
     // Cut off for so long that the next row may be as old.
     await clock.advance(4000);
-    sight.note(renewal(3), clock.monotonicMs());
-    vitest.expect(sight.known.ageMs).toBe(Number.POSITIVE_INFINITY);
+    observer.note(renewal(3), clock.monotonicMs());
+    vitest.expect(observer.latest.ageMs).toBe(Number.POSITIVE_INFINITY);
   });
 
   vitest.it("ends with a holder that tells of none", () => {
     const clock = new TestUtils.FakeClock();
-    const sight = new sights.ForecastSight(clock);
-    sight.note(renewal(1), clock.monotonicMs());
-    sight.note(renewal(2), clock.monotonicMs());
-    sight.note(7, clock.monotonicMs());
-    vitest.expect(sight.known.forecast).toBe(null);
+    const observer = new observers.ForecastObserver(clock);
+    observer.note(renewal(1), clock.monotonicMs());
+    observer.note(renewal(2), clock.monotonicMs());
+    observer.note(7, clock.monotonicMs());
+    vitest.expect(observer.latest.forecast).toBe(null);
   });
 });
--- a/packages/coordinator/src/election/lease_value.ts
+++ b/packages/coordinator/src/election/lease_value.ts
@@ -6,7 +6,7 @@
 import * as Admission from "@cairngate/admission";
 
 /** What a renewal tells beside being one. */
-export interface ToldForecast {
+export interface AgedForecast {
   readonly forecast: Admission.Forecast;
   /** Age that it had when it was sent, in ms. */
   readonly ageMs: number;
@@ -17,12 +17,12 @@
 /** Value of one renewal. */
 export function writeLease(
   renewedAtMs: number,
-  told: ToldForecast | null,
+  aged: AgedForecast | null,
 ): number | string {
   const number = Math.round(renewedAtMs);
-  if (told === null) return number;
-  const text = Admission.writeForecast(told.forecast);
-  return [number, Math.round(told.ageMs), text].join(SEPARATOR);
+  if (aged === null) return number;
+  const text = Admission.writeForecast(aged.forecast);
+  return [number, Math.round(aged.ageMs), text].join(SEPARATOR);
 }
 
 /** When a renewal was sent, on the clock of its holder; null: that can't be read. */
@@ -34,7 +34,7 @@
 }
 
 /** What a renewal tells; null where that is nothing, or can't be read. */
-export function readLease(value: unknown): ToldForecast | null {
+export function readLease(value: unknown): AgedForecast | null {
   if (typeof value !== "string") return null;
   const [, age, ...rest] = value.split(SEPARATOR);
   const ageMs = Number(age);
--- a/packages/coordinator/src/election/renewal_pace_test.ts
+++ b/packages/coordinator/src/election/renewal_pace_test.ts
@@ -12,23 +12,23 @@
 
 vitest.describe("RenewalPace", () => {
   vitest.it("is patient with a holder that is hardly known", () => {
-    vitest.expect(paceOf(350, 350).silenceMs).toBe(1600);
+    vitest.expect(paceOf(350, 350).silenceLimitMs).toBe(1600);
   });
 
   vitest.it("is quick where renewals come quickly", () => {
-    vitest.expect(paceOf(350, 360, 350).silenceMs).toBe(900);
+    vitest.expect(paceOf(350, 360, 350).silenceLimitMs).toBe(900);
   });
 
   vitest.it("is more patient while renewals are slow, and forgets it", () => {
-    vitest.expect(paceOf(350, 350, 600).silenceMs).toBe(1500);
-    vitest.expect(paceOf(350, 350, 1000).silenceMs).toBe(1600);
+    vitest.expect(paceOf(350, 350, 600).silenceLimitMs).toBe(1500);
+    vitest.expect(paceOf(350, 350, 1000).silenceLimitMs).toBe(1600);
     const later = paceOf(350, 1000, 350, 350, 350, 350, 350, 350, 350);
-    vitest.expect(later.silenceMs).toBe(900);
+    vitest.expect(later.silenceLimitMs).toBe(900);
   });
 
   vitest.it("begins anew with another holder", () => {
     const pace = paceOf(350, 350, 350);
     pace.reset();
-    vitest.expect(pace.silenceMs).toBe(1600);
+    vitest.expect(pace.silenceLimitMs).toBe(1600);
   });
 });
--- a/packages/coordinator/src/election/renewal_pulse.ts
+++ b/packages/coordinator/src/election/renewal_pulse.ts
@@ -10,10 +10,10 @@
 import type * as terms from "./term.ts";
 
 /** A try is not repeated by itself after this time, in ms: the next one is due. */
-const TRY_LIMIT_MS = 400;
+const ATTEMPT_TIMEOUT_MS = 400;
 
 /** Renewals of one term. */
-export class RenewalPulse {
+export class TermRenewal {
   readonly #ports: ports.CoordinatorPorts;
   readonly #term: terms.Term;
   #renewedAtMs: number;
@@ -28,31 +28,31 @@
    * Ends with the outcome of one of its tries. The next one leaves beside those that
    * are open, after the time in which an answer usually comes and then twice that.
    *
-   * @param mostWaitMs longest time between two tries, in ms
+   * @param maxWaitMs longest time between two tries, in ms
    */
-  renew(mostWaitMs: number): Effect.Effect<void> {
+  renew(maxWaitMs: number): Effect.Effect<void> {
     const { store, clock, metrics } = this.#ports;
     return Effect.gen({ self: this }, function* () {
-      const known = Deferred.makeUnsafe<void>();
-      let waitMs = Math.min(store.hedgeMs, mostWaitMs);
+      const settled = Deferred.makeUnsafe<void>();
+      let waitMs = Math.min(store.hedgeMs, maxWaitMs);
       for (;;) {
-        yield* Effect.forkChild(this.#try(known));
-        const timed = yield* clock.within(waitMs, Deferred.await(known));
+        yield* Effect.forkChild(this.#attempt(settled));
+        const timed = yield* clock.within(waitMs, Deferred.await(settled));
         if (timed !== null) return;
         metrics.count("cairngate_renewals_repeated_total");
-        waitMs = Math.min(waitMs * 2, mostWaitMs);
+        waitMs = Math.min(waitMs * 2, maxWaitMs);
       }
     });
   }
 
-  #try(known: Deferred.Deferred<void>): Effect.Effect<void> {
+  #attempt(settled: Deferred.Deferred<void>): Effect.Effect<void> {
     const { store, clock } = this.#ports;
     const key = TableClient.Keys.COORDINATOR_LEASE_KEY;
     const write = Effect.suspend(() =>
       store.write({
         conditions: [this.#term.condition],
         writes: [{ key, value: leaseOf(this.#term, clock.monotonicMs()) }],
-      }, TRY_LIMIT_MS)
+      }, ATTEMPT_TIMEOUT_MS)
     );
     return write.pipe(
       Effect.map(() => this.#noteRenewed()),
@@ -61,7 +61,7 @@
           Effect.sync(() => this.#term.lose("the row has changed")),
         StoreUnavailableError: () => Effect.void,
       }),
-      Effect.andThen(Deferred.succeed(known, undefined)),
+      Effect.andThen(Deferred.succeed(settled, undefined)),
       Effect.asVoid,
     );
   }
--- a/packages/coordinator/src/election/row_watch.ts
+++ b/packages/coordinator/src/election/row_watch.ts
@@ -8,7 +8,7 @@
 import * as Effect from "effect/Effect";
 import type * as ports from "../ports.ts";
 import * as fitnesses from "./fitness.ts";
-import * as sights from "./forecast_sight.ts";
+import * as observers from "./forecast_sight.ts";
 import * as leases from "./lease_value.ts";
 import * as paces from "./renewal_pace.ts";
 import type * as terms from "./term.ts";
@@ -21,11 +21,11 @@
 }
 
 /** Candidates wait up to this much longer, in ms, so that few collide. */
-const SPREAD_MS = 200;
+const MAX_JITTER_MS = 200;
 /** At the first start the boxes learn of each other for this time, in ms. */
-const FIRST_WAIT_MS = 700;
+const FIRST_START_WAIT_MS = 700;
 /** A successor takes a released row within this time, in ms, or another does. */
-const SUCCESSOR_MS = 1000;
+const SUCCESSOR_WAIT_MS = 1000;
 /** Longest wait of one look, in ms: a silent link is noticed soon after. */
 const FEED_WAIT_MS = 400;
 /**
@@ -33,13 +33,13 @@
  * each look tells of a renewal; after one that tells of none they watch closely. If
  * all close watchers are gone, a term is taken over so much later at most.
  */
-const REST_MS = 1500;
+const IDLE_MS = 1500;
 
 /**
  * A renewal whose time is ahead of the newest one seen by more than this, beside the
  * time since, is not its holder's: by it no later one would count, in ms.
  */
-const MOST_AHEAD_MS = 10_000;
+const MAX_AHEAD_MS = 10_000;
 
 /** The rows as this node sees them. */
 export class RowWatch {
@@ -47,9 +47,9 @@
   readonly #onRow: RowWatchOptions["onRow"];
   readonly #follower: TableClient.RowFollower<unknown>;
   readonly #pace = new paces.RenewalPace();
-  readonly #sight: sights.ForecastSight;
+  readonly #forecastObserver: observers.ForecastObserver;
   /** When the look under way began. */
-  #lookedAtMs = 0;
+  #requestedAtMs = 0;
   #row: terms.CoordinatorRow | null = null;
   /** Newest renewal that was seen; differs with each one. */
   #lease: unknown = null;
@@ -57,17 +57,17 @@
   #leaseAtMs = 0;
   #changedAtMs = Number.POSITIVE_INFINITY;
   #silentSinceMs = Number.POSITIVE_INFINITY;
-  #lastHeardMs = Number.NEGATIVE_INFINITY;
-  #heardFirstAtMs: number | null = null;
-  #spreadMs = 0;
+  #lastAnswerAtMs = Number.NEGATIVE_INFINITY;
+  #firstAnswerAtMs: number | null = null;
+  #jitterMs = 0;
   /** Whether the last look told of a renewal. */
-  #hasToldOfRenewal = false;
+  #hasSeenRenewal = false;
 
   constructor({ ports: watched, onRow }: RowWatchOptions) {
     this.#ports = watched;
     this.#onRow = onRow;
     const { clock, random, store, electionFeed: feed } = watched;
-    this.#sight = new sights.ForecastSight(clock);
+    this.#forecastObserver = new observers.ForecastObserver(clock);
     this.#follower = new TableClient.RowFollower<unknown>({
       feed,
       clock,
@@ -75,13 +75,13 @@
       awaitBack: () => store.awaitBack(),
       waitMs: FEED_WAIT_MS,
       onChange: (entries) => this.#note(entries),
-      onHeard: () => this.#heard(),
+      onHeard: () => this.#noteAnswer(),
     });
   }
 
   /** The forecast that the holder tells of, as last seen. */
   get forecast(): Admission.Known {
-    return this.#sight.known;
+    return this.#forecastObserver.latest;
   }
 
   /** Holder of the row as last seen; empty where there is none. */
@@ -98,19 +98,19 @@
    * Watches for ever. Calls of boxes that can not be next would grow with boxes times
    * renewals, so these rest between two looks.
    *
-   * @param holds whether this node holds the row
+   * @param isHeld whether this node holds the row
    */
-  run(holds: () => boolean): Effect.Effect<never> {
+  run(isHeld: () => boolean): Effect.Effect<never> {
     return Effect.forever(Effect.gen({ self: this }, function* () {
-      if (!holds() && this.#mayRest) yield* this.#ports.clock.sleep(REST_MS);
-      this.#hasToldOfRenewal = false;
-      this.#lookedAtMs = this.#ports.clock.monotonicMs();
+      if (!isHeld() && this.#mayIdle) yield* this.#ports.clock.sleep(IDLE_MS);
+      this.#hasSeenRenewal = false;
+      this.#requestedAtMs = this.#ports.clock.monotonicMs();
       yield* this.#follower.step();
     }));
   }
 
   /** Whether the holder has let the rows stand still, or there is none. */
-  mayTake(): boolean {
+  mayTakeOver(): boolean {
     if (!this.#follower.hasSnapshot) return false;
     const { node, incarnation, clock } = this.#ports;
     if (this.#row === null || this.#row.holder === "") return this.#mayClaim();
@@ -118,14 +118,14 @@
       this.#row.incarnation !== incarnation;
     if (isFormerSelf) return true;
     const nowMs = clock.monotonicMs();
-    const { silenceMs } = this.#pace;
-    if (nowMs - this.#lastHeardMs > silenceMs) return false;
+    const { silenceLimitMs } = this.#pace;
+    if (nowMs - this.#lastAnswerAtMs > silenceLimitMs) return false;
     const sinceMs = Math.max(
       Number.isFinite(this.#changedAtMs) ? this.#changedAtMs : 0,
       this.#silentSinceMs,
     );
     const delayMs = fitnesses.claimDelayMs(this.#ports.fitness);
-    return nowMs - sinceMs > silenceMs + this.#spreadMs + delayMs;
+    return nowMs - sinceMs > silenceLimitMs + this.#jitterMs + delayMs;
   }
 
   /**
@@ -137,28 +137,28 @@
       found.holder !== this.#ports.node;
     if (!isHeld || lease === found.token) return false;
     if (!this.#isNewer(lease)) return false;
-    this.#keepLease(lease);
+    this.#recordLease(lease);
     return true;
   }
 
   /** The rows have changed: whoever holds them has its usual time again. */
-  noteBehind(): void {
+  noteFeedBehind(): void {
     this.#changedAtMs = this.#ports.clock.monotonicMs();
     this.#ports.log.warn("The feed of the election falls behind its rows.");
   }
 
   /** Silence counts from the next time at which the store is heard. */
-  forgetSilence(): void {
+  resetSilence(): void {
     this.#silentSinceMs = Number.POSITIVE_INFINITY;
   }
 
   /** Silence counts from now: this node held the row so far. */
-  beginSilence(): void {
+  startSilence(): void {
     this.#silentSinceMs = this.#ports.clock.monotonicMs();
   }
 
-  get #mayRest(): boolean {
-    return this.#hasToldOfRenewal && this.holder !== "" &&
+  get #mayIdle(): boolean {
+    return this.#hasSeenRenewal && this.holder !== "" &&
       this.#follower.isCaughtUp && !this.#ports.fitness.isCloseWatcher();
   }
 
@@ -188,19 +188,19 @@
     const isTakeover = value === this.token;
     if (!isTakeover && !this.#isNewer(value)) return false;
     if (isTakeover) this.#lease = null;
-    else this.#keepLease(value);
-    this.#sight.note(value, this.#lookedAtMs);
-    this.#hasToldOfRenewal = true;
+    else this.#recordLease(value);
+    this.#forecastObserver.note(value, this.#requestedAtMs);
+    this.#hasSeenRenewal = true;
     return true;
   }
 
   /** A renewal is a sign of life; the time that it names counts if it can be true. */
-  #keepLease(lease: unknown): void {
+  #recordLease(lease: unknown): void {
     const nowMs = this.#ports.clock.monotonicMs();
-    const knownMs = leases.renewedAtMs(this.#lease);
+    const previousMs = leases.renewedAtMs(this.#lease);
     const sentMs = leases.renewedAtMs(lease);
-    const isAhead = knownMs !== null && sentMs !== null &&
-      sentMs - knownMs > nowMs - this.#leaseAtMs + MOST_AHEAD_MS;
+    const isAhead = previousMs !== null && sentMs !== null &&
+      sentMs - previousMs > nowMs - this.#leaseAtMs + MAX_AHEAD_MS;
     if (isAhead) return;
     this.#lease = lease;
     this.#leaseAtMs = nowMs;
@@ -211,23 +211,24 @@
    * out late tells nothing of its holder, who may have ended since.
    */
   #isNewer(lease: unknown): boolean {
-    const knownMs = leases.renewedAtMs(this.#lease);
+    const previousMs = leases.renewedAtMs(this.#lease);
     const sentMs = leases.renewedAtMs(lease);
-    if (knownMs === null || sentMs === null) return lease !== this.#lease;
-    return sentMs > knownMs;
+    if (previousMs === null || sentMs === null) return lease !== this.#lease;
+    return sentMs > previousMs;
   }
 
   /** Silence counts only while the store is heard without a break. */
-  #heard(): void {
+  #noteAnswer(): void {
     const nowMs = this.#ports.clock.monotonicMs();
-    const brokeOff = nowMs - this.#lastHeardMs > this.#pace.silenceMs;
-    this.#lastHeardMs = nowMs;
-    if (this.#heardFirstAtMs === null) this.#heardFirstAtMs = nowMs;
+    const wasInterrupted =
+      nowMs - this.#lastAnswerAtMs > this.#pace.silenceLimitMs;
+    this.#lastAnswerAtMs = nowMs;
+    if (this.#firstAnswerAtMs === null) this.#firstAnswerAtMs = nowMs;
     // After an outage the holder needs a while to renew again.
-    if (brokeOff) this.#pace.reset();
-    if (brokeOff || this.#silentSinceMs === Number.POSITIVE_INFINITY) {
+    if (wasInterrupted) this.#pace.reset();
+    if (wasInterrupted || this.#silentSinceMs === Number.POSITIVE_INFINITY) {
       this.#silentSinceMs = nowMs;
-      this.#spreadMs = this.#ports.random.next() * SPREAD_MS;
+      this.#jitterMs = this.#ports.random.next() * MAX_JITTER_MS;
     }
   }
 
@@ -236,11 +237,13 @@
     const { node, clock, fitness } = this.#ports;
     const successor = this.#row?.successor;
     if (successor === node) return true;
-    const firstMs = this.#row === null ? FIRST_WAIT_MS : 0;
-    const waitMs = successor === undefined ? firstMs : SUCCESSOR_MS;
-    const heardMs = this.#heardFirstAtMs ?? Number.POSITIVE_INFINITY;
+    const firstMs = this.#row === null ? FIRST_START_WAIT_MS : 0;
+    const waitMs = successor === undefined ? firstMs : SUCCESSOR_WAIT_MS;
+    const firstAnswerMs = this.#firstAnswerAtMs ?? Number.POSITIVE_INFINITY;
     const isKnown = Number.isFinite(this.#changedAtMs);
-    const sinceMs = isKnown ? Math.max(this.#changedAtMs, heardMs) : heardMs;
+    const sinceMs = isKnown
+      ? Math.max(this.#changedAtMs, firstAnswerMs)
+      : firstAnswerMs;
     const freeForMs = clock.monotonicMs() - sinceMs;
     return freeForMs >= waitMs + fitnesses.claimDelayMs(fitness);
   }
--- a/packages/coordinator/src/election/term_keeper.ts
+++ b/packages/coordinator/src/election/term_keeper.ts
@@ -5,11 +5,11 @@
 import type * as terms from "./term.ts";
 
 /** Time between two renewals, in ms: a loss is seen after three of them. */
-const RENEW_MS = 350;
+const RENEW_INTERVAL_MS = 350;
 /** Time between two looks for a fitter box, in ms. */
-const FITTER_MS = 1000;
+const FITTER_CHECK_MS = 1000;
 /** A release is given up after this time, in ms. */
-const RELEASE_LIMIT_MS = 1500;
+const RELEASE_TIMEOUT_MS = 1500;
 
 /** Keeps terms of this node. */
 export class TermKeeper {
@@ -21,8 +21,11 @@
 
   /** Renews the row for ever; the term is lost where the row has changed. */
   keepRenewing(term: terms.Term): Effect.Effect<never> {
-    const pulse = new renewals.RenewalPulse(this.#ports, term);
-    return this.#ports.clock.every(RENEW_MS, pulse.renew(RENEW_MS));
+    const renewal = new renewals.TermRenewal(this.#ports, term);
+    return this.#ports.clock.every(
+      RENEW_INTERVAL_MS,
+      renewal.renew(RENEW_INTERVAL_MS),
+    );
   }
 
   /** Hands the term to a box that is better placed for it, once there is one. */
@@ -30,7 +33,7 @@
     const { clock, fitness } = this.#ports;
     return Effect.gen({ self: this }, function* () {
       for (;;) {
-        yield* clock.sleep(FITTER_MS);
+        yield* clock.sleep(FITTER_CHECK_MS);
         if (!fitness.hasFitter()) continue;
         const fitter = yield* fitness.findFitter();
         if (fitter === null || term.isLost) continue;
@@ -64,7 +67,7 @@
     };
     const write = { conditions: [condition], writes: [{ key, value }] };
     return Effect.andThen(
-      Effect.ignore(store.write(write, RELEASE_LIMIT_MS)),
+      Effect.ignore(store.write(write, RELEASE_TIMEOUT_MS)),
       Effect.sync(() => {
         log.info(`Token ${token} is released to ${successor ?? "any box"}.`);
       }),
--- a/packages/coordinator/src/endpoints/address_book.ts
+++ b/packages/coordinator/src/endpoints/address_book.ts
@@ -1,7 +1,7 @@
 /** Which endpoints are known at which address. More than one may claim the same. */
 
 /** Ids by address. */
-export class AddressBook {
+export class AddressIndex {
   readonly #idsAt = new Map<string, Set<string>>();
 
   /** An entry or a session names this address for an endpoint. */
--- a/packages/coordinator/src/endpoints/directory_options.ts
+++ b/packages/coordinator/src/endpoints/directory_options.ts
@@ -2,13 +2,13 @@
 import type * as sessionOptions from "../sessions/session_options.ts";
 
 /** What the directory needs. */
-export interface DirectoryOptions extends SharedOptions {
+export interface DirectoryOptions extends SharedSessionOptions {
   /** Whether endpoints differ so much that their speeds count for more. */
   readonly doEndpointsDiffer: () => boolean;
 }
 
 /** What is the same for all its sessions. */
-export type SharedOptions = Omit<
+export type SharedSessionOptions = Omit<
   sessionOptions.SessionOptions,
   | "ref"
   | "listedBornMs"
--- a/packages/coordinator/src/endpoints/endpoint_directory.ts
+++ b/packages/coordinator/src/endpoints/endpoint_directory.ts
@@ -24,14 +24,14 @@
   /** The same, learned for fleets on which they differ much. */
   readonly unevenSpeeds = new uneven.UnevenSpeeds();
   /** What runs teach of them. */
-  readonly lessons = new lessons.SpeedLessons(this.unevenSpeeds);
+  readonly speedLearner = new lessons.SpeedLearner(this.unevenSpeeds);
   /** When listings came, until when endpoints are cold, when they leave. */
   readonly times: listingTimes.ListingTimes;
   /** Which endpoints have fallen silent or crashed. */
   readonly silences: silences.SilenceLog;
   readonly #sessions: endpointSessions.EndpointSessions;
   readonly #changes: listingChanges.ListingChanges;
-  readonly #states: planStates.PlanStates;
+  readonly #states: planStates.EndpointStates;
 
   constructor(options: directoryOptions.DirectoryOptions) {
     const { listener, ports: { clock, evacuations } } = options;
@@ -40,17 +40,17 @@
       clock,
       onExcused: (victims, fellows) => listener.crashExcused(victims, fellows),
     });
-    const book = new listingBooks.ListingBook(clock);
+    const listings = new listingBooks.AcceptedListings(clock);
     this.#sessions = new endpointSessions.EndpointSessions({
       options,
-      book,
+      listings,
       silences: this.silences,
     });
     const { times, speeds, unevenSpeeds } = this;
     const sessions = this.#sessions;
-    const parts = { book, sessions, times, speeds, unevenSpeeds };
+    const parts = { listings, sessions, times, speeds, unevenSpeeds };
     this.#changes = new listingChanges.ListingChanges({ ...parts, options });
-    this.#states = new planStates.PlanStates({
+    this.#states = new planStates.EndpointStates({
       ...parts,
       clock,
       evacuations,
@@ -74,7 +74,7 @@
 
   /** Another life answers under this id: its own entry takes effect, if it came. */
   lifeBegan(id: string): void {
-    this.#changes.lifeBegan(id);
+    this.#changes.noteNewIncarnation(id);
   }
 
   /** The session with a worker; null where the worker is unknown. */
@@ -111,7 +111,9 @@
 
   /** Speeds of all listed endpoints; 1 where they are not known for sure. */
   sureSpeeds(): readonly number[] {
-    return this.#states.all().map(({ id }) => this.unevenSpeeds.sureOf(id));
+    return this.#states.all().map(({ id }) =>
+      this.unevenSpeeds.confidentOf(id)
+    );
   }
 
   /** Learns from a task that ran by itself and has ended well. */
@@ -122,12 +124,12 @@
     const { worker } = task;
     if (worker === null || wasCold || tookMs <= 0) return;
     const run = { worker, rate: DONE_PERCENT / tookMs };
-    this.lessons.noteEnd({ task, run, isFresh: !compared });
+    this.speedLearner.noteEnd({ task, run, isFresh: !compared });
   }
 
   /** Speed by which the paces of runs are compared; 1 where speeds hardly differ. */
-  speedInPaces(id: string): number {
-    return this.#states.speedInPaces(id);
+  comparisonSpeed(id: string): number {
+    return this.#states.comparisonSpeed(id);
   }
 
   /** Where an endpoint stands and how fast it is; null where it is not listed. */
@@ -137,7 +139,7 @@
 
   /** Accelerators that may be given work: listed, staying, not evacuated. */
   get openAccelerators(): number {
-    return this.#states.openAccelerators;
+    return this.#states.schedulableAccelerators;
   }
 
   /** Runs that endpoints of a data centre hold or may hold. */
@@ -153,8 +155,8 @@
   }
 
   /** Closes sessions with workers that are not listed and hold nothing. */
-  dropGone(): void {
-    this.#sessions.dropGone();
+  closeUnlisted(): void {
+    this.#sessions.closeUnlisted();
   }
 
   /** Ends all fibers of the sessions. */
--- a/packages/coordinator/src/endpoints/endpoint_health_test.ts
+++ b/packages/coordinator/src/endpoints/endpoint_health_test.ts
@@ -30,7 +30,7 @@
     vitest.expect(refused.isAside(200)).toBe(true);
     vitest.expect(refused.isAside(400)).toBe(false);
     const slow = new healths.EndpointHealth();
-    slow.wasSlow(0);
+    slow.noteSlow(0);
     vitest.expect(slow.isAside(400)).toBe(true);
   });
 
@@ -57,19 +57,19 @@
   vitest.it("may get several runs once one has lasted for 0.5 s", () => {
     const health = new healths.EndpointHealth();
     for (let failure = 0; failure < 8; failure++) health.failed(1000);
-    health.isRunning(5000, 100);
+    health.noteRunning(5000, 100);
     vitest.expect(health.isDoubted(5000)).toBe(true);
-    health.isRunning(5000, 4500);
+    health.noteRunning(5000, 4500);
     vitest.expect(health.isDoubted(5000)).toBe(true);
-    health.isRunning(5500, 600);
+    health.noteRunning(5500, 600);
     vitest.expect(health.isDoubted(5500)).toBe(false);
   });
 
   vitest.it("is proven by a run that goes on, not by one that began", () => {
     const health = new healths.EndpointHealth();
-    health.isRunning(1000, 100);
+    health.noteRunning(1000, 100);
     vitest.expect(health.isProven(1001)).toBe(false);
-    health.isRunning(1500, 600);
+    health.noteRunning(1500, 600);
     vitest.expect(health.isProven(1501)).toBe(true);
     health.ranAndFailed(1600, 20);
     vitest.expect(health.isProven(1601)).toBe(false);
--- a/packages/coordinator/src/endpoints/endpoint_sessions.ts
+++ b/packages/coordinator/src/endpoints/endpoint_sessions.ts
@@ -16,7 +16,7 @@
 /** What the sessions work with. */
 export interface EndpointSessionsOptions {
   readonly options: directoryOptions.DirectoryOptions;
-  readonly book: listingBooks.ListingBook;
+  readonly listings: listingBooks.AcceptedListings;
   readonly silences: silences.SilenceLog;
 }
 
@@ -27,7 +27,7 @@
 }
 
 /** What a session has to know of an endpoint. */
-type PlaceOfEndpoint = Pick<
+type SessionTarget = Pick<
   Ports.EndpointListing,
   "id" | "address" | "bornMs" | "dataCentre" | "draining"
 >;
@@ -38,11 +38,11 @@
  */
 const GONE_AFTER_MS = 4000;
 /** Time between two looks at runs that come on, in a small fleet, in ms. */
-const LEAST_PROGRESS_WAIT_MS = 600;
+const MIN_POLL_INTERVAL_MS = 600;
 /** The same in a large fleet: slow runs have to be noticed within seconds. */
-const LONGEST_PROGRESS_WAIT_MS = 1000;
+const MAX_POLL_INTERVAL_MS = 1000;
 /** Looks in a second before they become rarer: 250 workers once a second. */
-const LOOKS_PER_SECOND = 250;
+const POLLS_PER_SECOND = 250;
 
 /** Sessions by endpoint; one for each term. */
 export class EndpointSessions {
@@ -53,14 +53,14 @@
   readonly #looseStarts = new Map<string, looses.LooseStarts>();
   readonly #load: loads.BoxLoad;
   /** Our time by which leases of earlier coordinators have run out. */
-  #foreignLapseMs: number;
-  #begun = false;
+  #earlierLeaseExpiryMs: number;
+  #hasBegun = false;
 
   constructor(parts: EndpointSessionsOptions) {
     this.#parts = parts;
     const { ports, ports: { clock, bounds } } = parts.options;
     this.#load = new loads.BoxLoad(ports);
-    this.#foreignLapseMs = leaseClocks.foreignLapseMs(
+    this.#earlierLeaseExpiryMs = leaseClocks.foreignLapseMs(
       clock.monotonicMs(),
       bounds.longestLeaseMs,
     );
@@ -86,20 +86,20 @@
    * have renewed leases: no endpoint knew of this term.
    */
   begin(): void {
-    const { options: { recovery, ports: { clock, bounds } }, book } =
+    const { options: { recovery, ports: { clock, bounds } }, listings } =
       this.#parts;
-    this.#foreignLapseMs = leaseClocks.foreignLapseMs(
+    this.#earlierLeaseExpiryMs = leaseClocks.foreignLapseMs(
       clock.monotonicMs(),
       bounds.longestLeaseMs,
     );
     for (const session of this.#sessions.values()) {
-      session.coverLeases(this.#foreignLapseMs);
+      session.coverLeases(this.#earlierLeaseExpiryMs);
     }
     // Runs that no record names so far have to keep their leases as well.
     if (!recovery.isComplete) {
-      for (const { id } of book.all) this.open(id);
+      for (const { id } of listings.all) this.open(id);
     }
-    this.#begun = true;
+    this.#hasBegun = true;
     for (const session of this.#sessions.values()) this.#run(session);
   }
 
@@ -111,17 +111,17 @@
     id: string,
     recorded: RecordedPlace | null = null,
   ): sessions.EndpointSession | null {
-    const known = this.#sessions.get(id);
-    if (known !== undefined) return known.isOver ? null : known;
-    const { book } = this.#parts;
-    const listing = book.get(id);
+    const existing = this.#sessions.get(id);
+    if (existing !== undefined) return existing.isOver ? null : existing;
+    const { listings } = this.#parts;
+    const listing = listings.get(id);
     if (listing !== undefined) return this.#open(listing);
     const address = recorded?.address ?? null;
     if (recorded === null || address === null) return null;
-    book.noteRecorded({ id, address });
+    listings.noteRecorded({ id, address });
     const { bornMs } = recorded;
-    const isUnknown = { dataCentre: "", draining: false };
-    return this.#open({ id, address, bornMs, ...isUnknown });
+    const unlistedDefaults = { dataCentre: "", draining: false };
+    return this.#open({ id, address, bornMs, ...unlistedDefaults });
   }
 
   /** What may be at an endpoint is asked for where it stands. */
@@ -135,7 +135,7 @@
   drop({ ref }: sessions.EndpointSession): void {
     const { id } = ref;
     this.#sessions.delete(id);
-    this.#parts.book.noteDropped(ref);
+    this.#parts.listings.noteSessionClosed(ref);
     const fiber = this.#fibers.get(id);
     this.#fibers.delete(id);
     if (fiber !== undefined) Effect.runFork(Fiber.interrupt(fiber));
@@ -145,12 +145,12 @@
    * Closes sessions with endpoints that are not listed and hold nothing. One whose
    * life has ended stays while its entry does, or it would be taken for a new one.
    */
-  dropGone(): void {
-    const { book } = this.#parts;
+  closeUnlisted(): void {
+    const { listings } = this.#parts;
     for (const [id, session] of this.#sessions) {
-      if (book.get(id) !== undefined || !session.isIdle) continue;
+      if (listings.get(id) !== undefined || !session.isIdle) continue;
       if (session.hasUnheard) {
-        if (book.awayMs(id) >= GONE_AFTER_MS) session.suspectGone();
+        if (listings.unlistedForMs(id) >= GONE_AFTER_MS) session.suspectGone();
         if (session.isAwaited) continue;
       }
       if (session.isOver || !session.hasLooseStarts) this.drop(session);
@@ -170,8 +170,8 @@
     });
   }
 
-  #open(listing: PlaceOfEndpoint): sessions.EndpointSession {
-    const { options, book, silences } = this.#parts;
+  #open(listing: SessionTarget): sessions.EndpointSession {
+    const { options, listings, silences } = this.#parts;
     const { id, address, bornMs, dataCentre } = listing;
     const ref = { id, address };
     const session = new sessions.EndpointSession({
@@ -179,24 +179,24 @@
       ref,
       listedBornMs: bornMs,
       loose: this.#looseStartsOf(id),
-      lapsesAtMs: this.#foreignLapseMs,
+      lapsesAtMs: this.#earlierLeaseExpiryMs,
       load: this.#load,
-      progressWaitMs: () => this.#progressWaitMs(),
+      progressWaitMs: () => this.#pollIntervalMs(),
       silences,
       mayHold: (tasks) => this.#mayHold(id, tasks),
       dataCentre,
-      isContested: book.othersAt(ref).length > 0,
-      onHeard: (heard) => this.#noteHeard(heard),
+      isContested: listings.othersAt(ref).length > 0,
+      onHeard: (heard) => this.#endOthersAt(heard),
     });
     session.noteListed(listing);
     this.#sessions.set(id, session);
-    if (this.#begun) this.#run(session);
+    if (this.#hasBegun) this.#run(session);
     return session;
   }
 
   #looseStartsOf(id: string): looses.LooseStarts {
-    const known = this.#looseStarts.get(id);
-    if (known !== undefined) return known;
+    const existing = this.#looseStarts.get(id);
+    if (existing !== undefined) return existing;
     const created = new looses.LooseStarts(this.#parts.options.ports.clock);
     this.#looseStarts.set(id, created);
     return created;
@@ -219,8 +219,8 @@
    * One life has answered at its address, so no other one is there. That ends those
    * that are called there: an entry may name the address for one that stands elsewhere.
    */
-  #noteHeard(ref: Ports.EndpointRef): void {
-    for (const other of this.#parts.book.othersAt(ref)) {
+  #endOthersAt(ref: Ports.EndpointRef): void {
+    for (const other of this.#parts.listings.othersAt(ref)) {
       const session = this.#sessions.get(other);
       if (session === undefined || session.isOver) continue;
       if (session.ref.address !== ref.address) continue;
@@ -230,7 +230,7 @@
 
   /** An endpoint whose listing lapsed with the store keeps its last word. */
   #mayHold(id: string, tasks: readonly Workflow.Task[]): boolean {
-    const listing = this.#parts.book.get(id);
+    const listing = this.#parts.listings.get(id);
     if (listing === undefined) return true;
     return !listing.draining && Scheduler.fitTogether(tasks, listing);
   }
@@ -239,11 +239,11 @@
    * A box that is late leaves longer times between its looks: an end is told at
    * once all the same, because a look waits for it at the endpoint.
    */
-  #progressWaitMs(): number {
+  #pollIntervalMs(): number {
     const count = this.#sessions.size;
-    const fairMs = count / LOOKS_PER_SECOND * 1000;
-    const usualMs = Math.min(LONGEST_PROGRESS_WAIT_MS, fairMs);
-    const bearableMs = count * this.#load.spacingMs;
-    return Math.max(LEAST_PROGRESS_WAIT_MS, usualMs, bearableMs);
+    const fleetIntervalMs = count / POLLS_PER_SECOND * 1000;
+    const cappedIntervalMs = Math.min(MAX_POLL_INTERVAL_MS, fleetIntervalMs);
+    const loadIntervalMs = count * this.#load.spacingMs;
+    return Math.max(MIN_POLL_INTERVAL_MS, cappedIntervalMs, loadIntervalMs);
   }
 }
--- a/packages/coordinator/src/endpoints/endpoint_speeds.ts
+++ b/packages/coordinator/src/endpoints/endpoint_speeds.ts
@@ -12,30 +12,30 @@
 }
 
 /** Comparisons that speak for the usual speed from the start. */
-const PRIOR_COUNT = 3;
+const PRIOR_WEIGHT = 3;
 /** Older comparisons fade, because workers change. */
-const MOST_COUNT = 15;
+const MAX_COUNT = 15;
 /** Runs needed for a comparison. */
-const LEAST_RUNS = 3;
+const MIN_RUNS = 3;
 /** A run that is this much off says more about a fault than about speed. */
-const LEAST_SHARE = 0.5;
-const MOST_SHARE = 2;
+const MIN_RATIO = 0.5;
+const MAX_RATIO = 2;
 
-interface Seen {
+interface SpeedAverage {
   count: number;
   mean: number;
 }
 
 /** Speeds of workers; 1 is the usual one. */
 export class EndpointSpeeds {
-  readonly #seen = new Map<string, Seen>();
+  readonly #averages = new Map<string, SpeedAverage>();
 
   /** Speed of a worker. */
   of(worker: string): number {
-    const seen = this.#seen.get(worker);
-    if (seen === undefined) return 1;
-    const { count, mean } = seen;
-    return (PRIOR_COUNT + count * mean) / (PRIOR_COUNT + count);
+    const average = this.#averages.get(worker);
+    if (average === undefined) return 1;
+    const { count, mean } = average;
+    return (PRIOR_WEIGHT + count * mean) / (PRIOR_WEIGHT + count);
   }
 
   /**
@@ -44,7 +44,7 @@
    * @param fresh those that were not compared before
    */
   compare(all: readonly number[], fresh: readonly RunRate[]): void {
-    if (all.length < LEAST_RUNS) return;
+    if (all.length < MIN_RUNS) return;
     const sorted = [...all].sort((a, b) => a - b);
     const median = sorted[Math.floor(sorted.length / 2)];
     if (median <= 0) return;
@@ -52,15 +52,15 @@
   }
 
   /** Drops what is known of a worker that has gone. */
-  forget(worker: string): void {
-    this.#seen.delete(worker);
+  remove(worker: string): void {
+    this.#averages.delete(worker);
   }
 
-  #note(worker: string, share: number): void {
-    if (share < LEAST_SHARE || share > MOST_SHARE) return;
-    const seen = this.#seen.get(worker) ?? { count: 0, mean: 1 };
-    seen.count = Math.min(seen.count + 1, MOST_COUNT);
-    seen.mean += (share - seen.mean) / seen.count;
-    this.#seen.set(worker, seen);
+  #note(worker: string, ratio: number): void {
+    if (ratio < MIN_RATIO || ratio > MAX_RATIO) return;
+    const average = this.#averages.get(worker) ?? { count: 0, mean: 1 };
+    average.count = Math.min(average.count + 1, MAX_COUNT);
+    average.mean += (ratio - average.mean) / average.count;
+    this.#averages.set(worker, average);
   }
 }
--- a/packages/coordinator/src/endpoints/evacuation_book.ts
+++ b/packages/coordinator/src/endpoints/evacuation_book.ts
@@ -34,8 +34,8 @@
   readonly #options: EvacuationBookOptions;
   /** By the key of the operator's row: a removed row shows no more than that. */
   readonly #byRow = new Map<string, Evacuation>();
-  #heardAtMs = Number.NEGATIVE_INFINITY;
-  #heardAtWallMs = Number.NEGATIVE_INFINITY;
+  #syncedAtMs = Number.NEGATIVE_INFINITY;
+  #syncedAtWallMs = Number.NEGATIVE_INFINITY;
 
   constructor(options: EvacuationBookOptions) {
     this.#options = options;
@@ -44,9 +44,9 @@
   /** Takes in changes of the operator's rows. */
   take(entries: readonly Ports.FeedEntry<Ports.OperatorEntry>[]): void {
     for (const { key, value } of entries) {
-      if (value === null) this.#end(key);
+      if (value === null) this.#endEvacuation(key);
       else if (value.kind === Ports.OperatorEntryKind.Evacuation) {
-        this.#begin(key, value.dataCentre);
+        this.#startEvacuation(key, value.dataCentre);
       }
     }
   }
@@ -54,8 +54,8 @@
   /** All of the operator's rows are known as they are now. */
   noteHeard(): void {
     const { clock } = this.#options;
-    this.#heardAtMs = clock.monotonicMs();
-    this.#heardAtWallMs = clock.wallMs();
+    this.#syncedAtMs = clock.monotonicMs();
+    this.#syncedAtWallMs = clock.wallMs();
   }
 
   /**
@@ -64,11 +64,11 @@
    */
   get mayBeLate(): boolean {
     const { clock, inForceMs } = this.#options;
-    const silentMs = Math.max(
-      clock.monotonicMs() - this.#heardAtMs,
-      clock.wallMs() - this.#heardAtWallMs,
+    const staleForMs = Math.max(
+      clock.monotonicMs() - this.#syncedAtMs,
+      clock.wallMs() - this.#syncedAtWallMs,
     );
-    return silentMs > inForceMs - ORDER_MARGIN_MS;
+    return staleForMs > inForceMs - ORDER_MARGIN_MS;
   }
 
   /** Whether the operator evacuates a data centre, as far as is known. */
@@ -90,7 +90,7 @@
     return [...this.#byRow.values()];
   }
 
-  #begin(key: string, dataCentre: string): void {
+  #startEvacuation(key: string, dataCentre: string): void {
     if (this.#byRow.has(key)) return;
     const sinceMs = this.#options.clock.wallMs();
     this.#byRow.set(key, { dataCentre, sinceMs });
@@ -99,7 +99,7 @@
     );
   }
 
-  #end(key: string): void {
+  #endEvacuation(key: string): void {
     const ended = this.#byRow.get(key);
     if (ended === undefined) return;
     this.#byRow.delete(key);
--- a/packages/coordinator/src/endpoints/leaving_runs.ts
+++ b/packages/coordinator/src/endpoints/leaving_runs.ts
@@ -16,25 +16,27 @@
 }
 
 /** Workers mostly stay longer than they must; work without checkpoints bets. */
-const BET = 1.5;
+const STAY_FACTOR = 1.5;
 /** Below this share the estimate tells more than the pace. */
-const LEAST_PERCENT = 10;
+const MIN_PERCENT = 10;
 
 /** The runs that had better stop now. */
-export function findLeaving(runs: readonly LeavingRun[]): Workflow.Task[] {
-  return runs.filter(shouldLeave).map(({ task }) => task);
+export function findRunsToMove(runs: readonly LeavingRun[]): Workflow.Task[] {
+  return runs.filter(shouldMove).map(({ task }) => task);
 }
 
-function shouldLeave(run: LeavingRun): boolean {
+function shouldMove(run: LeavingRun): boolean {
   const { step } = run.task;
   if (step.lasting) return true;
-  const hasTimeMs = step.checkpoints ? run.leavesInMs : run.leavesInMs * BET;
-  return remainingMs(run) > hasTimeMs;
+  const availableMs = step.checkpoints
+    ? run.leavesInMs
+    : run.leavesInMs * STAY_FACTOR;
+  return remainingMs(run) > availableMs;
 }
 
 function remainingMs(run: LeavingRun): number {
   const { percent, ranMs } = run;
-  if (percent < LEAST_PERCENT || ranMs <= 0) {
+  if (percent < MIN_PERCENT || ranMs <= 0) {
     return Math.max(0, run.task.step.estimateMs - ranMs);
   }
   return (100 - percent) * ranMs / percent;
--- a/packages/coordinator/src/endpoints/leaving_runs_test.ts
+++ b/packages/coordinator/src/endpoints/leaving_runs_test.ts
@@ -2,12 +2,12 @@
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
-import * as departures from "./leaving_runs.ts";
+import * as leavingRuns from "./leaving_runs.ts";
 
 function buildRun(
-  changes: Partial<departures.LeavingRun>,
+  changes: Partial<leavingRuns.LeavingRun>,
   step: Partial<Workflow.StepSpec> = {},
-): departures.LeavingRun {
+): leavingRuns.LeavingRun {
   const workflow = new Workflow.Workflow({
     id: "a000000000000001",
     tenant: "hana",
@@ -24,28 +24,30 @@
 vitest.describe("findLeaving", () => {
   vitest.it("moves a run that needs much longer than the worker has", () => {
     const run = buildRun({});
-    vitest.expect(departures.findLeaving([run])).toEqual([run.task]);
+    vitest.expect(leavingRuns.findRunsToMove([run])).toEqual([run.task]);
   });
 
   vitest.it("leaves a run that ends in time", () => {
     const run = buildRun({ percent: 50 });
-    vitest.expect(departures.findLeaving([run])).toEqual([]);
+    vitest.expect(leavingRuns.findRunsToMove([run])).toEqual([]);
   });
 
   vitest.it("bets on a longer stay only where there is no checkpoint", () => {
     const close = { ranMs: 4000, percent: 50 };
     const plain = buildRun(close);
     const saved = buildRun(close, { checkpoints: true });
-    vitest.expect(departures.findLeaving([plain, saved])).toEqual([saved.task]);
+    vitest.expect(leavingRuns.findRunsToMove([plain, saved])).toEqual([
+      saved.task,
+    ]);
   });
 
   vitest.it("moves a lasting task at once, for it never ends", () => {
     const run = buildRun({ leavesInMs: 60_000 }, { lasting: true });
-    vitest.expect(departures.findLeaving([run])).toEqual([run.task]);
+    vitest.expect(leavingRuns.findRunsToMove([run])).toEqual([run.task]);
   });
 
   vitest.it("goes by the estimate while there is little to go by", () => {
     const run = buildRun({ ranMs: 100, percent: 0 });
-    vitest.expect(departures.findLeaving([run])).toEqual([run.task]);
+    vitest.expect(leavingRuns.findRunsToMove([run])).toEqual([run.task]);
   });
 });
--- a/packages/coordinator/src/endpoints/listing_book.ts
+++ b/packages/coordinator/src/endpoints/listing_book.ts
@@ -3,12 +3,12 @@
 import * as addresses from "./address_book.ts";
 
 /** Listings by endpoint. */
-export class ListingBook {
+export class AcceptedListings {
   readonly #clock: Ports.Clock;
   readonly #listings = new Map<string, Ports.EndpointListing>();
   /** Endpoint of each row; a removed row shows no more than its key. */
   readonly #idOfRow = new Map<string, string>();
-  readonly #addresses = new addresses.AddressBook();
+  readonly #addresses = new addresses.AddressIndex();
   /** Our time at which the listing of an endpoint went, while it is away. */
   readonly #unlistedAtMs = new Map<string, number>();
 
@@ -27,7 +27,7 @@
   }
 
   /** For how long an endpoint with a session has not been listed, in ms. */
-  awayMs(id: string): number {
+  unlistedForMs(id: string): number {
     const nowMs = this.#clock.monotonicMs();
     return nowMs - (this.#unlistedAtMs.get(id) ?? nowMs);
   }
@@ -58,7 +58,7 @@
   }
 
   /** An entry that is believed names another address than the one before. */
-  noteMoved({ id, address }: Ports.EndpointListing): void {
+  noteAddressChange({ id, address }: Ports.EndpointListing): void {
     const former = this.#listings.get(id)?.address ?? address;
     if (former !== address) this.#addresses.remove(id, former);
   }
@@ -87,7 +87,7 @@
   }
 
   /** The session with an endpoint is dropped. */
-  noteDropped({ id, address }: Ports.EndpointRef): void {
+  noteSessionClosed({ id, address }: Ports.EndpointRef): void {
     this.#unlistedAtMs.delete(id);
     if (!this.#listings.has(id)) this.#addresses.remove(id, address);
   }
--- a/packages/coordinator/src/endpoints/listing_changes.ts
+++ b/packages/coordinator/src/endpoints/listing_changes.ts
@@ -3,7 +3,7 @@
 import * as Effect from "effect/Effect";
 import type * as sessions from "../sessions/endpoint_session.ts";
 import type * as directoryOptions from "./directory_options.ts";
-import * as doubteds from "./doubted_listings.ts";
+import * as conflicts from "./doubted_listings.ts";
 import type * as endpointSessions from "./endpoint_sessions.ts";
 import type * as listingBooks from "./listing_book.ts";
 import type * as listingTimes from "./listing_times.ts";
@@ -13,7 +13,7 @@
 /** What the changes have to do with. */
 export interface ListingChangesOptions {
   readonly options: directoryOptions.DirectoryOptions;
-  readonly book: listingBooks.ListingBook;
+  readonly listings: listingBooks.AcceptedListings;
   readonly sessions: endpointSessions.EndpointSessions;
   readonly times: listingTimes.ListingTimes;
   readonly speeds: speeds.EndpointSpeeds;
@@ -23,16 +23,16 @@
 /** Changes of the list. */
 export class ListingChanges {
   readonly #parts: ListingChangesOptions;
-  readonly #doubted: doubteds.DoubtedListings;
+  readonly #conflicts: conflicts.ConflictingListings;
 
   constructor(parts: ListingChangesOptions) {
     this.#parts = parts;
-    const { options, book, sessions } = parts;
-    this.#doubted = new doubteds.DoubtedListings({
+    const { options, listings, sessions } = parts;
+    this.#conflicts = new conflicts.ConflictingListings({
       options,
-      book,
+      listings,
       sessions,
-      onBelieved: (listing) => this.#believe(listing),
+      onAccepted: (listing) => this.#accept(listing),
     });
   }
 
@@ -43,16 +43,16 @@
         this.#unlist(key);
         continue;
       }
-      this.#parts.book.noteRow(key, value.id);
+      this.#parts.listings.noteRow(key, value.id);
       this.#list(value);
     }
   }
 
   /** Another life answers under this id. */
-  lifeBegan(id: string): void {
-    this.#parts.speeds.forget(id);
-    this.#parts.unevenSpeeds.forget(id);
-    this.#doubted.lifeBegan(id);
+  noteNewIncarnation(id: string): void {
+    this.#parts.speeds.remove(id);
+    this.#parts.unevenSpeeds.remove(id);
+    this.#conflicts.noteNewIncarnation(id);
   }
 
   #list(listing: Ports.EndpointListing): void {
@@ -61,31 +61,31 @@
     if (session?.isOver === true && session.isOfOtherLife(listing.bornMs)) {
       sessions.drop(session);
     }
-    if (this.#doubted.isDoubtful(listing)) this.#doubted.add(listing);
-    else this.#believe(listing);
+    if (this.#conflicts.isConflicting(listing)) this.#conflicts.add(listing);
+    else this.#accept(listing);
   }
 
-  #believe(listing: Ports.EndpointListing): void {
-    const { book, sessions, times } = this.#parts;
+  #accept(listing: Ports.EndpointListing): void {
+    const { listings, sessions, times } = this.#parts;
     const { id } = listing;
-    const moved = this.#forgetOtherAddress(listing);
-    book.set(listing);
-    this.#doubted.forget(id);
+    const moved = this.#replaceAddress(listing);
+    listings.set(listing);
+    this.#conflicts.remove(id);
     times.note(listing);
     sessions.get(id)?.noteListed(listing);
     if (moved !== null) sessions.reopen(moved);
-    this.#askOthers(listing);
+    this.#verifyOthers(listing);
   }
 
   /**
    * A life keeps its address: an entry that names another one was wrong, or is.
    * Returns the session at an address where it never answered.
    */
-  #forgetOtherAddress(
+  #replaceAddress(
     listing: Ports.EndpointListing,
   ): sessions.EndpointSession | null {
-    const { book, sessions } = this.#parts;
-    book.noteMoved(listing);
+    const { listings, sessions } = this.#parts;
+    listings.noteAddressChange(listing);
     const session = sessions.get(listing.id);
     if (session === undefined || session.ref.address === listing.address) {
       return null;
@@ -99,24 +99,24 @@
    * One address has one life. Which one it is, only the address can tell: an entry
    * outlasts its endpoint by seconds, and another writer may name any address.
    */
-  #askOthers(listing: Ports.EndpointListing): void {
-    const { book, sessions } = this.#parts;
-    for (const other of book.othersAt(listing)) {
+  #verifyOthers(listing: Ports.EndpointListing): void {
+    const { listings, sessions } = this.#parts;
+    for (const other of listings.othersAt(listing)) {
       const session = sessions.get(other);
       if (session !== undefined) Effect.runFork(session.ask());
     }
   }
 
   #unlist(rowKey: string): void {
-    const { book, sessions, times, speeds, unevenSpeeds } = this.#parts;
-    const id = book.removeRow(rowKey);
+    const { listings, sessions, times, speeds, unevenSpeeds } = this.#parts;
+    const id = listings.removeRow(rowKey);
     if (id === undefined) return;
     const session = sessions.get(id);
-    book.remove(id, session?.ref.address ?? null);
-    this.#doubted.forget(id);
+    listings.remove(id, session?.ref.address ?? null);
+    this.#conflicts.remove(id);
     session?.noteUnlisted();
-    times.forget(id);
-    speeds.forget(id);
-    unevenSpeeds.forget(id);
+    times.remove(id);
+    speeds.remove(id);
+    unevenSpeeds.remove(id);
   }
 }
--- a/packages/coordinator/src/endpoints/listing_times.ts
+++ b/packages/coordinator/src/endpoints/listing_times.ts
@@ -1,7 +1,7 @@
 /** Times that the listings of endpoints tell, by our own steady clock. */
 import type * as Ports from "@cairngate/ports";
 
-interface Told {
+interface ListedTimes {
   /** Birth of the life that told it; null: not told. */
   readonly bornMs: number | null;
   /** When the newest listing came. */
@@ -15,7 +15,7 @@
 /** What the listings of all endpoints tell of times. */
 export class ListingTimes {
   readonly #clock: Ports.Clock;
-  readonly #told = new Map<string, Told>();
+  readonly #times = new Map<string, ListedTimes>();
 
   constructor(clock: Ports.Clock) {
     this.#clock = clock;
@@ -28,33 +28,33 @@
   note(listing: Ports.EndpointListing): void {
     const { id, bornMs, draining, leavesInMs, coldForMs } = listing;
     const listedAtMs = this.#clock.monotonicMs();
-    const former = this.#told.get(id);
-    const known = former?.bornMs === bornMs ? former.leavesAtMs : null;
+    const former = this.#times.get(id);
+    const previousMs = former?.bornMs === bornMs ? former.leavesAtMs : null;
     const isLeaving = draining && leavesInMs !== null;
-    const leavesAtMs = isLeaving ? listedAtMs + leavesInMs : known;
+    const leavesAtMs = isLeaving ? listedAtMs + leavesInMs : previousMs;
     const coldUntilMs = listedAtMs + coldForMs;
-    this.#told.set(id, { bornMs, listedAtMs, leavesAtMs, coldUntilMs });
+    this.#times.set(id, { bornMs, listedAtMs, leavesAtMs, coldUntilMs });
   }
 
   /** An endpoint is listed no more. */
-  forget(id: string): void {
-    this.#told.delete(id);
+  remove(id: string): void {
+    this.#times.delete(id);
   }
 
   /** When the newest listing came; null where there is none. */
   listedAtMs(id: string): number | null {
-    return this.#told.get(id)?.listedAtMs ?? null;
+    return this.#times.get(id)?.listedAtMs ?? null;
   }
 
   /** Least time until an endpoint leaves; null while it stays. */
   leavesInMs(id: string): number | null {
-    const atMs = this.#told.get(id)?.leavesAtMs ?? null;
+    const atMs = this.#times.get(id)?.leavesAtMs ?? null;
     return atMs === null ? null : Math.max(0, atMs - this.#clock.monotonicMs());
   }
 
   /** Whether an endpoint has just come up and runs slowly for a while. */
   isCold(id: string): boolean {
-    const untilMs = this.#told.get(id)?.coldUntilMs;
+    const untilMs = this.#times.get(id)?.coldUntilMs;
     return untilMs !== undefined && this.#clock.monotonicMs() < untilMs;
   }
 }
--- a/packages/coordinator/src/endpoints/plan_states.ts
+++ b/packages/coordinator/src/endpoints/plan_states.ts
@@ -10,10 +10,10 @@
 import type * as speeds from "./endpoint_speeds.ts";
 
 /** What the states are made of. */
-export interface PlanStatesOptions {
+export interface EndpointStatesOptions {
   readonly clock: Ports.Clock;
   readonly evacuations: evacuations.EvacuationBook;
-  readonly book: listingBooks.ListingBook;
+  readonly listings: listingBooks.AcceptedListings;
   readonly sessions: endpointSessions.EndpointSessions;
   readonly times: listingTimes.ListingTimes;
   readonly speeds: speeds.EndpointSpeeds;
@@ -23,27 +23,27 @@
   readonly silences: silences.SilenceLog;
 }
 
-interface Moment {
+interface PlanMoment {
   readonly nowMs: number;
   /** Whether the evacuations are known up to now, so that work may start at all. */
   readonly mayStart: boolean;
 }
 
 /** States of all listed endpoints. */
-export class PlanStates {
-  readonly #options: PlanStatesOptions;
+export class EndpointStates {
+  readonly #options: EndpointStatesOptions;
 
-  constructor(options: PlanStatesOptions) {
+  constructor(options: EndpointStatesOptions) {
     this.#options = options;
   }
 
   /** The endpoints as a plan sees them. */
   all(): Scheduler.WorkerState[] {
-    const { clock, evacuations, book } = this.#options;
+    const { clock, evacuations, listings } = this.#options;
     const nowMs = clock.monotonicMs();
     const mayStart = !evacuations.mayBeLate;
     return Array.from(
-      book.all,
+      listings.all,
       (listing) => this.#stateOf(listing, { nowMs, mayStart }),
     );
   }
@@ -55,26 +55,29 @@
   }
 
   /** Speed by which the paces of runs are compared; 1 where speeds hardly differ. */
-  speedInPaces(id: string): number {
+  comparisonSpeed(id: string): number {
     const { unevenSpeeds, doEndpointsDiffer } = this.#options;
     return doEndpointsDiffer() ? unevenSpeeds.of(id) : 1;
   }
 
   /** Where an endpoint stands and how fast it is; null where it is not listed. */
   siteOf(id: string): { rack: string; speed: number } | null {
-    const listing = this.#options.book.get(id);
+    const listing = this.#options.listings.get(id);
     if (listing === undefined) return null;
     return { rack: listing.rack, speed: this.speedOf(id) };
   }
 
   /** Accelerators that may be given work: listed, staying, not evacuated. */
-  get openAccelerators(): number {
-    return [...this.#options.book.all]
-      .filter((one) => this.#isOpen(one))
+  get schedulableAccelerators(): number {
+    return [...this.#options.listings.all]
+      .filter((one) => this.#isSchedulable(one))
       .reduce((sum, { accelerators }) => sum + accelerators, 0);
   }
 
-  #stateOf(listing: Ports.EndpointListing, at: Moment): Scheduler.WorkerState {
+  #stateOf(
+    listing: Ports.EndpointListing,
+    at: PlanMoment,
+  ): Scheduler.WorkerState {
     const { sessions, times, silences } = this.#options;
     const { id, address } = listing;
     const { nowMs, mayStart } = at;
@@ -86,7 +89,7 @@
       rack: listing.rack,
       labels: new Set(listing.labels),
       total: listing,
-      usable: mayStart && this.#isOpen(listing) &&
+      usable: mayStart && this.#isSchedulable(listing) &&
         session !== null && session.isUsable && !session.isOnProbation(nowMs),
       isDoubted: session?.health.isDoubted(nowMs) ?? false,
       isProven: session?.health.isProven(nowMs) ?? false,
@@ -98,7 +101,7 @@
   }
 
   /** Whether it stays and is not evacuated. */
-  #isOpen({ draining, dataCentre }: Ports.EndpointListing): boolean {
+  #isSchedulable({ draining, dataCentre }: Ports.EndpointListing): boolean {
     return !draining && !this.#options.evacuations.isEvacuated(dataCentre);
   }
 }
--- a/packages/coordinator/src/endpoints/run_watch.ts
+++ b/packages/coordinator/src/endpoints/run_watch.ts
@@ -1,6 +1,6 @@
 /** Watches running tasks: slow ones begin again, leaving workers are emptied. */
 import * as Workflow from "@cairngate/workflow";
-import * as departures from "./leaving_runs.ts";
+import * as leavingRuns from "./leaving_runs.ts";
 import type * as occupants from "../sessions/occupant.ts";
 import type * as ports from "../ports.ts";
 import type * as controls from "../work/run_control.ts";
@@ -9,9 +9,9 @@
 import type * as directories from "./endpoint_directory.ts";
 
 /** A run this old tells the speed of its worker. */
-const LEAST_COMPARED_MS = 1000;
+const MIN_COMPARED_AGE_MS = 1000;
 /** Runs of a step that are needed for a comparison. */
-const LEAST_COMPARED = 3;
+const MIN_COMPARED_RUNS = 3;
 
 /** Looks at all runs from time to time. */
 export class RunWatch {
@@ -35,26 +35,29 @@
     const nowMs = this.#ports.clock.monotonicMs();
     for (const { occupant, pace, worker } of occupants) {
       occupant.wasCold ||= this.#directory.times.isCold(worker);
-      this.#directory.session(worker)?.health.isRunning(nowMs, pace.watchedMs);
+      this.#directory.session(worker)?.health.noteRunning(
+        nowMs,
+        pace.watchedMs,
+      );
     }
     // A cold endpoint is slow for a while, whatever runs there.
     this.#compareSpeeds(occupants.filter(({ occupant }) => !occupant.wasCold));
-    const isWarm = ({ worker }: WatchedOccupant) =>
+    const isWarm = ({ worker }: WatchedRun) =>
       !this.#directory.times.isCold(worker);
     this.#restartStragglers(occupants.filter(isWarm));
-    this.#emptyLeaving(occupants.map((one) => this.#progressOf(one)));
-    this.#directory.dropGone();
+    this.#moveLeavingRuns(occupants.map((one) => this.#progressOf(one)));
+    this.#directory.closeUnlisted();
   }
 
-  #compareSpeeds(watched: readonly WatchedOccupant[]): void {
-    const steps = new Map<readonly Workflow.Task[], WatchedOccupant[]>();
+  #compareSpeeds(watched: readonly WatchedRun[]): void {
+    const steps = new Map<readonly Workflow.Task[], WatchedRun[]>();
     for (const one of watched) {
-      if (one.pace.watchedMs < LEAST_COMPARED_MS) continue;
+      if (one.pace.watchedMs < MIN_COMPARED_AGE_MS) continue;
       const { task } = one.occupant;
       const siblings = task.workflow.siblings(task);
-      const known = steps.get(siblings);
-      if (known === undefined) steps.set(siblings, [one]);
-      else known.push(one);
+      const group = steps.get(siblings);
+      if (group === undefined) steps.set(siblings, [one]);
+      else group.push(one);
     }
     for (const runs of steps.values()) {
       const rates = runs.map(({ pace }) => pace.came / pace.watchedMs);
@@ -64,8 +67,8 @@
       this.#directory.speeds.compare(rates, fresh);
       const { task } = runs[0].occupant;
       const siblings = task.workflow.siblings(task);
-      if (runs.length < Math.min(LEAST_COMPARED, siblings.length)) continue;
-      this.#directory.lessons.noteRunning(
+      if (runs.length < Math.min(MIN_COMPARED_RUNS, siblings.length)) continue;
+      this.#directory.speedLearner.noteRunning(
         runs.map(({ occupant, worker }, i) => ({
           task: occupant.task,
           run: { worker, rate: rates[i] },
@@ -77,7 +80,7 @@
   }
 
   #restartStragglers(
-    occupants: readonly WatchedOccupant[],
+    occupants: readonly WatchedRun[],
   ): void {
     const { clock, log, metrics } = this.#ports;
     const nowMs = clock.monotonicMs();
@@ -88,7 +91,7 @@
       occupant.slowSinceMs = isSlow ? occupant.slowSinceMs ?? nowMs : null;
     }
     for (const id of found.workers) {
-      this.#directory.session(id)?.health.wasSlow(nowMs);
+      this.#directory.session(id)?.health.noteSlow(nowMs);
     }
     for (const task of found.restart) {
       if (task.hasFewStarts) continue;
@@ -99,13 +102,13 @@
     }
   }
 
-  #emptyLeaving(runs: readonly stragglers.RunProgress[]): void {
+  #moveLeavingRuns(runs: readonly stragglers.RunProgress[]): void {
     const { log, metrics } = this.#ports;
     const leaving = runs.flatMap((run) => {
       const leavesInMs = this.#directory.times.leavesInMs(run.worker);
       return leavesInMs === null ? [] : [{ ...run, leavesInMs }];
     });
-    for (const task of departures.findLeaving(leaving)) {
+    for (const task of leavingRuns.findRunsToMove(leaving)) {
       if (task.state !== Workflow.TaskState.Running) continue;
       log.info(`Run ${task.run} of ${task.name} moves; its worker leaves.`);
       metrics.count("cairngate_evacuated_total");
@@ -113,7 +116,7 @@
     }
   }
 
-  #occupantsInProgress(): WatchedOccupant[] {
+  #occupantsInProgress(): WatchedRun[] {
     return [...this.#directory.sessions].flatMap((session) =>
       session.occupants.flatMap((occupant) => {
         const { task, run, pace } = occupant;
@@ -125,16 +128,16 @@
     );
   }
 
-  #progressOf(watched: WatchedOccupant): stragglers.RunProgress {
+  #progressOf(watched: WatchedRun): stragglers.RunProgress {
     const { occupant: { task, slowSinceMs }, pace, worker } = watched;
     const nowMs = this.#ports.clock.monotonicMs();
     return {
       task,
       worker,
       ranMs: pace.watchedMs,
-      speed: this.#directory.speedInPaces(worker),
+      speed: this.#directory.comparisonSpeed(worker),
       percent: pace.percent,
-      came: pace.came,
+      progressPercent: pace.came,
       recentRate: pace.recentRate,
       earlierRate: pace.earlierRate,
       slowForMs: slowSinceMs === null ? 0 : nowMs - slowSinceMs,
@@ -143,7 +146,7 @@
 }
 
 /** A run that has been looked at. */
-interface WatchedOccupant {
+interface WatchedRun {
   readonly occupant: occupants.Occupant;
   readonly pace: paces.RunPace;
   readonly worker: string;
--- a/packages/coordinator/src/endpoints/silence_log.ts
+++ b/packages/coordinator/src/endpoints/silence_log.ts
@@ -9,19 +9,19 @@
  * Endpoints that fall within this time, in ms, fall together. Looks that wait at
  * an endpoint end with its connection; where that is silent, 0.8 s later.
  */
-const TOGETHER_MS = 1000;
+const CORRELATION_WINDOW_MS = 1000;
 /** So many at once are no work of tasks: one task takes one endpoint with it. */
-const MOST_ALONE = 2;
+const MAX_UNRELATED = 2;
 /**
  * So many at once, without those that held tasks in doubt, are a loss of power
  * whatever ran there: tasks that crash their endpoints do so one by one, and it
  * would take three times as many that begin within the same second.
  */
-const LEAST_MANY = 6;
+const MIN_POWER_LOSS = 6;
 /** Notes are kept for this time, in ms: an endpoint is back after some seconds. */
-const KEPT_MS = 20_000;
+const RETENTION_MS = 20_000;
 
-interface Fall {
+interface EndpointFailure {
   /** When it was last heard no more, or was found to have crashed. */
   readonly silentAtMs: number;
   /** When another life was seen; null while it is only silent. */
@@ -29,7 +29,7 @@
   /** Runs that it had or may have had when it crashed. */
   victims: readonly Victim[];
   /** One of its tasks had crashed another endpoint before. */
-  isExplained: boolean;
+  hasSuspectTask: boolean;
   /** How many fell with it, as its victims were told. */
   fellows: Workflow.CrashFellows;
 }
@@ -54,7 +54,7 @@
 /** Falls of the last seconds, by address. */
 export class SilenceLog {
   readonly #options: SilenceLogOptions;
-  readonly #falls = new Map<string, Fall>();
+  readonly #failures = new Map<string, EndpointFailure>();
 
   constructor(options: SilenceLogOptions) {
     this.#options = options;
@@ -67,8 +67,8 @@
 
   /** It answers again, in the same life. */
   noteHeard({ address }: Ports.EndpointRef): void {
-    if (this.#falls.get(address)?.crashedAtMs === null) {
-      this.#falls.delete(address);
+    if (this.#failures.get(address)?.crashedAtMs === null) {
+      this.#failures.delete(address);
     }
   }
 
@@ -80,81 +80,82 @@
     { address }: Ports.EndpointRef,
     victims: readonly Victim[],
   ): Workflow.CrashFellows {
-    const fall = this.#note(address);
-    fall.crashedAtMs = this.#options.clock.monotonicMs();
-    fall.victims = victims;
-    fall.isExplained = victims.some(({ task }) => task.isSuspect);
-    const together = [...this.#falls.values()].filter((other) =>
-      areTogether(fall, other)
+    const failure = this.#note(address);
+    failure.crashedAtMs = this.#options.clock.monotonicMs();
+    failure.victims = victims;
+    failure.hasSuspectTask = victims.some(({ task }) => task.isSuspect);
+    const correlated = [...this.#failures.values()].filter((other) =>
+      areCorrelated(failure, other)
     );
-    const others = together.filter((one) => !one.isExplained).length;
-    const fellows = toFellows(others);
-    for (const one of together) {
-      if (one !== fall) this.#raise(one, fellows);
+    const otherCount = correlated.filter((one) => !one.hasSuspectTask).length;
+    const fellows = classifyFellows(otherCount);
+    for (const one of correlated) {
+      if (one !== failure) this.#raiseFellows(one, fellows);
     }
-    fall.fellows = told(fall, fellows);
-    return fall.fellows;
+    failure.fellows = fellowsFor(failure, fellows);
+    return failure.fellows;
   }
 
   /** Since when an endpoint is not heard; null while it is. */
   silentSinceMs({ address }: Ports.EndpointRef): number | null {
-    return this.#falls.get(address)?.silentAtMs ?? null;
+    return this.#failures.get(address)?.silentAtMs ?? null;
   }
 
   /** Whether an endpoint at this address has crashed lately. */
   hasCrashedLately(address: string): boolean {
-    return (this.#falls.get(address)?.crashedAtMs ?? null) !== null;
+    return (this.#failures.get(address)?.crashedAtMs ?? null) !== null;
   }
 
-  #note(address: string): Fall {
+  #note(address: string): EndpointFailure {
     const nowMs = this.#options.clock.monotonicMs();
-    for (const [key, { silentAtMs }] of this.#falls) {
-      if (nowMs - silentAtMs > KEPT_MS) this.#falls.delete(key);
+    for (const [key, { silentAtMs }] of this.#failures) {
+      if (nowMs - silentAtMs > RETENTION_MS) this.#failures.delete(key);
     }
-    const known = this.#falls.get(address);
+    const found = this.#failures.get(address);
     // One that had crashed and is silent again falls a second time.
-    if (known !== undefined && known.crashedAtMs === null) return known;
-    const fall: Fall = {
+    if (found !== undefined && found.crashedAtMs === null) return found;
+    const failure: EndpointFailure = {
       silentAtMs: nowMs,
       crashedAtMs: null,
       victims: [],
-      isExplained: false,
+      hasSuspectTask: false,
       fellows: Workflow.CrashFellows.Few,
     };
-    this.#falls.set(address, fall);
-    return fall;
+    this.#failures.set(address, failure);
+    return failure;
   }
 
-  #raise(fall: Fall, known: Workflow.CrashFellows): void {
-    const fellows = told(fall, known);
-    if (fall.crashedAtMs === null || fellows <= fall.fellows) return;
-    fall.fellows = fellows;
-    this.#options.onExcused(fall.victims, fellows);
+  #raiseFellows(failure: EndpointFailure, found: Workflow.CrashFellows): void {
+    const fellows = fellowsFor(failure, found);
+    if (failure.crashedAtMs === null || fellows <= failure.fellows) return;
+    failure.fellows = fellows;
+    this.#options.onExcused(failure.victims, fellows);
   }
 }
 
-function toFellows(others: number): Workflow.CrashFellows {
-  if (others >= LEAST_MANY) return Workflow.CrashFellows.Many;
-  return others > MOST_ALONE
+function classifyFellows(otherCount: number): Workflow.CrashFellows {
+  if (otherCount >= MIN_POWER_LOSS) return Workflow.CrashFellows.Many;
+  return otherCount > MAX_UNRELATED
     ? Workflow.CrashFellows.Several
     : Workflow.CrashFellows.Few;
 }
 
 /** A task in doubt explains the fall of its endpoint, unless very many fell. */
-function told(
-  { isExplained }: Fall,
+function fellowsFor(
+  { hasSuspectTask }: EndpointFailure,
   fellows: Workflow.CrashFellows,
 ): Workflow.CrashFellows {
-  return isExplained && fellows < Workflow.CrashFellows.Many
+  return hasSuspectTask && fellows < Workflow.CrashFellows.Many
     ? Workflow.CrashFellows.Few
     : fellows;
 }
 
-function areTogether(one: Fall, other: Fall): boolean {
-  const areBothBack = one.crashedAtMs !== null && other.crashedAtMs !== null;
-  const backApartMs = areBothBack
+function areCorrelated(one: EndpointFailure, other: EndpointFailure): boolean {
+  const haveBothCrashed = one.crashedAtMs !== null &&
+    other.crashedAtMs !== null;
+  const crashGapMs = haveBothCrashed
     ? Math.abs((one.crashedAtMs ?? 0) - (other.crashedAtMs ?? 0))
     : Number.POSITIVE_INFINITY;
-  const silentApartMs = Math.abs(one.silentAtMs - other.silentAtMs);
-  return Math.min(backApartMs, silentApartMs) <= TOGETHER_MS;
+  const silenceGapMs = Math.abs(one.silentAtMs - other.silentAtMs);
+  return Math.min(crashGapMs, silenceGapMs) <= CORRELATION_WINDOW_MS;
 }
--- a/packages/coordinator/src/endpoints/straggler_watch.ts
+++ b/packages/coordinator/src/endpoints/straggler_watch.ts
@@ -16,7 +16,7 @@
   /** Share that is done, 0 to 100. */
   readonly percent: number;
   /** Share that came in the time watched. */
-  readonly came: number;
+  readonly progressPercent: number;
   /** Percent per millisecond of late, and before that; null: not known. */
   readonly recentRate: number | null;
   readonly earlierRate: number | null;
@@ -35,25 +35,25 @@
 }
 
 /** A run this young says nothing yet. */
-const LEAST_RAN_MS = 900;
+const MIN_WATCHED_MS = 900;
 /** A run below this share of its own earlier pace is slow. */
-const SLOW_SHARE_OF_ITSELF = 0.4;
+const SLOW_SHARE_OF_EARLIER = 0.4;
 /** A run below this share of the usual pace of its step is slow. */
 const SLOW_SHARE = 0.28;
 /** Without others to compare with, only this share of the estimate counts. */
 const SLOW_SHARE_ALONE = 0.18;
 /** Time that a restart costs beside the work. */
-const RESTART_MS = 600;
+const RESTART_COST_MS = 600;
 /** A restart has to be this much better, because rates are rough. */
-const GAIN = 1.3;
-const NEARLY_DONE = 97;
+const MIN_RESTART_GAIN = 1.3;
+const NEARLY_DONE_PERCENT = 97;
 /** A task that stays slow elsewhere is slow itself. */
-const MOST_SLOW_RUNS = 2;
-const MOST_SLOW_RUNS_ALONE = 1;
+const MAX_SLOW_RUNS = 2;
+const MAX_SLOW_RUNS_ALONE = 1;
 /** A worker that turns slow mostly stays so for a while, not for good. */
-const LIKELY_SLOW_MS = 4000;
+const EXPECTED_SLOW_MS = 4000;
 /** Stands for no progress at all. */
-const LEAST_RATE = 1e-6;
+const MIN_RATE = 1e-6;
 
 /** Compares the runs of each step. */
 export function findStragglers(runs: readonly RunProgress[]): Stragglers {
@@ -63,13 +63,13 @@
   for (const group of groupBySiblings(runs).values()) {
     const usual = usualRate(group);
     for (const run of group) {
-      const most = group.length === 1 ? MOST_SLOW_RUNS_ALONE : MOST_SLOW_RUNS;
+      const maxRuns = group.length === 1 ? MAX_SLOW_RUNS_ALONE : MAX_SLOW_RUNS;
       if (!isSlow(run, usual, group.length)) continue;
-      if (run.earlierRate === null && run.task.slowRuns >= most) continue;
+      if (run.earlierRate === null && run.task.slowRuns >= maxRuns) continue;
       slow.add(run.task);
       workers.add(run.worker);
-      const mayRestart = run.task.slowRuns < most;
-      if (mayRestart && paysToRestart(run, usual)) restart.push(run.task);
+      const mayRestart = run.task.slowRuns < maxRuns;
+      if (mayRestart && isWorthRestarting(run, usual)) restart.push(run.task);
     }
   }
   return { slow, restart, workers };
@@ -80,7 +80,7 @@
 ): Map<readonly Workflow.Task[], RunProgress[]> {
   const groups = new Map<readonly Workflow.Task[], RunProgress[]>();
   for (const run of runs) {
-    if (run.ranMs < LEAST_RAN_MS || run.task.step.lasting) continue;
+    if (run.ranMs < MIN_WATCHED_MS || run.task.step.lasting) continue;
     const siblings = run.task.workflow.siblings(run.task);
     const group = groups.get(siblings);
     if (group === undefined) groups.set(siblings, [run]);
@@ -90,11 +90,11 @@
 }
 
 function rateOf(run: RunProgress): number {
-  return run.came / run.ranMs;
+  return run.progressPercent / run.ranMs;
 }
 
 /** Pace of late, where it is known. */
-function paceOf(run: RunProgress): number {
+function recentRateOf(run: RunProgress): number {
   return run.recentRate ?? rateOf(run);
 }
 
@@ -117,22 +117,22 @@
   return run.task.step.estimateMs;
 }
 
-function isSlow(run: RunProgress, usual: number, others: number): boolean {
-  if (run.percent >= NEARLY_DONE) return false;
+function isSlow(run: RunProgress, usual: number, groupSize: number): boolean {
+  if (run.percent >= NEARLY_DONE_PERCENT) return false;
   if (run.earlierRate !== null && run.earlierRate > 0) {
-    return paceOf(run) < run.earlierRate * SLOW_SHARE_OF_ITSELF;
+    return recentRateOf(run) < run.earlierRate * SLOW_SHARE_OF_EARLIER;
   }
-  const share = others === 1 ? SLOW_SHARE_ALONE : SLOW_SHARE;
-  return paceOf(run) < usual * run.speed * share;
+  const share = groupSize === 1 ? SLOW_SHARE_ALONE : SLOW_SHARE;
+  return recentRateOf(run) < usual * run.speed * share;
 }
 
-function paysToRestart(run: RunProgress, usual: number): boolean {
-  const wellRate = Math.max(run.earlierRate ?? usual, LEAST_RATE);
-  const wellMs = (100 - run.percent) / wellRate;
-  const slowMs = (100 - run.percent) / Math.max(paceOf(run), LEAST_RATE);
-  const mendsMs = Math.max(LIKELY_SLOW_MS, run.slowForMs) + wellMs;
-  const leftMs = Math.min(slowMs, mendsMs);
-  const done = run.task.step.checkpoints ? run.percent : 0;
-  const againMs = (100 - done) / wellRate + RESTART_MS;
-  return leftMs > againMs * GAIN;
+function isWorthRestarting(run: RunProgress, usual: number): boolean {
+  const healthyRate = Math.max(run.earlierRate ?? usual, MIN_RATE);
+  const healthyMs = (100 - run.percent) / healthyRate;
+  const slowMs = (100 - run.percent) / Math.max(recentRateOf(run), MIN_RATE);
+  const recoveryMs = Math.max(EXPECTED_SLOW_MS, run.slowForMs) + healthyMs;
+  const leftMs = Math.min(slowMs, recoveryMs);
+  const keptPercent = run.task.step.checkpoints ? run.percent : 0;
+  const restartMs = (100 - keptPercent) / healthyRate + RESTART_COST_MS;
+  return leftMs > restartMs * MIN_RESTART_GAIN;
 }
--- a/packages/coordinator/src/endpoints/straggler_watch_test.ts
+++ b/packages/coordinator/src/endpoints/straggler_watch_test.ts
@@ -32,7 +32,7 @@
     speed: options.speeds?.[i] ?? 1,
     ranMs: options.ranMs ?? 2000,
     percent,
-    came: percent,
+    progressPercent: percent,
     recentRate: null,
     earlierRate: null,
     slowForMs: 0,
@@ -95,9 +95,15 @@
   });
 
   vitest.it("judges a run by what came while it was watched", () => {
-    const runs = buildRuns([90]).map((run) => ({ ...run, came: 40 }));
+    const runs = buildRuns([90]).map((run) => ({
+      ...run,
+      progressPercent: 40,
+    }));
     vitest.expect(watch.findStragglers(runs).restart).toEqual([]);
-    const standing = buildRuns([50]).map((run) => ({ ...run, came: 0 }));
+    const standing = buildRuns([50]).map((run) => ({
+      ...run,
+      progressPercent: 0,
+    }));
     vitest.expect(watch.findStragglers(standing).restart.length).toBe(1);
   });
 
--- a/packages/coordinator/src/endpoints/uneven_speeds.ts
+++ b/packages/coordinator/src/endpoints/uneven_speeds.ts
@@ -15,20 +15,20 @@
 }
 
 /** Newest comparisons that are kept: a speed that has turned is forgotten with them. */
-const MOST_SHARES = 9;
+const MAX_RATIOS = 9;
 /** Comparisons from which on a speed counts as known. */
-const KNOWN_SHARES = 2;
+const MIN_RATIOS_KNOWN = 2;
 /** Comparisons from which on it is sure: tasks of a step differ by a third. */
-const SURE_SHARES = 3;
+const MIN_RATIOS_CONFIDENT = 3;
 /** Endpoints of known speed that can stand for the others. */
-const LEAST_KNOWN = 3;
+const MIN_KNOWN_RUNS = 3;
 /** A run that is this much off says more about a fault, or its task, than of speed. */
-const LEAST_SHARE = 0.3;
-const MOST_SHARE = 3;
+const MIN_RATIO = 0.3;
+const MAX_RATIO = 3;
 
 /** Speeds of endpoints; 1 is the usual one. */
 export class UnevenSpeeds {
-  readonly #shares = new Map<string, number[]>();
+  readonly #ratios = new Map<string, number[]>();
   readonly #speeds = new Map<string, number>();
 
   /** Speed of an endpoint; 1 where nothing is known. */
@@ -37,15 +37,15 @@
   }
 
   /** The same, but 1 until enough comparisons tell that it is another. */
-  sureOf(endpoint: string): number {
-    const count = this.#shares.get(endpoint)?.length ?? 0;
-    return count >= SURE_SHARES ? this.of(endpoint) : 1;
+  confidentOf(endpoint: string): number {
+    const count = this.#ratios.get(endpoint)?.length ?? 0;
+    return count >= MIN_RATIOS_CONFIDENT ? this.of(endpoint) : 1;
   }
 
   /** Compares runs of one step with each other and with their estimate. */
   compare({ all, fresh, expectedRate }: StepRates): void {
     const known = all.filter(({ worker }) => this.#isKnown(worker));
-    const compared = known.length >= LEAST_KNOWN ? known : all;
+    const compared = known.length >= MIN_KNOWN_RUNS ? known : all;
     const usual = medianOf([
       ...compared.map(({ worker, rate }) => rate / this.of(worker)),
       expectedRate,
@@ -55,22 +55,22 @@
   }
 
   /** Drops what is known of an endpoint that has gone. */
-  forget(endpoint: string): void {
-    this.#shares.delete(endpoint);
+  remove(endpoint: string): void {
+    this.#ratios.delete(endpoint);
     this.#speeds.delete(endpoint);
   }
 
   #isKnown(endpoint: string): boolean {
-    return (this.#shares.get(endpoint)?.length ?? 0) >= KNOWN_SHARES;
+    return (this.#ratios.get(endpoint)?.length ?? 0) >= MIN_RATIOS_KNOWN;
   }
 
   /** The usual speed counts as one comparison, so that the first says only half. */
-  #note(endpoint: string, share: number): void {
-    if (!(share >= LEAST_SHARE && share <= MOST_SHARE)) return;
-    const shares = [...this.#shares.get(endpoint) ?? [], share]
-      .slice(-MOST_SHARES);
-    this.#shares.set(endpoint, shares);
-    this.#speeds.set(endpoint, medianOf([...shares, 1]));
+  #note(endpoint: string, ratio: number): void {
+    if (!(ratio >= MIN_RATIO && ratio <= MAX_RATIO)) return;
+    const ratios = [...this.#ratios.get(endpoint) ?? [], ratio]
+      .slice(-MAX_RATIOS);
+    this.#ratios.set(endpoint, ratios);
+    this.#speeds.set(endpoint, medianOf([...ratios, 1]));
   }
 }
 
--- a/packages/coordinator/src/endpoints/uneven_speeds_test.ts
+++ b/packages/coordinator/src/endpoints/uneven_speeds_test.ts
@@ -69,11 +69,11 @@
           const learned = new uneven.UnevenSpeeds();
           return buildSteps(steps, seed, speeds).map((step) => {
             learned.compare(step);
-            const sure = Array.from(
+            const confident = Array.from(
               { length: ENDPOINTS },
-              (_, i) => learned.sureOf(`${i}`),
+              (_, i) => learned.confidentOf(`${i}`),
             );
-            return Scheduler.speedSpread(sure);
+            return Scheduler.speedSpread(confident);
           });
         };
         const even = spreadsOf([1], 100);
--- a/packages/coordinator/src/load/forecast_maker.ts
+++ b/packages/coordinator/src/load/forecast_maker.ts
@@ -7,7 +7,7 @@
 import type * as ports from "../ports.ts";
 import * as guarantees from "../work/guarantee_watch.ts";
 import type * as hardLoads from "./hard_load_watch.ts";
-import * as knownServices from "./known_services.ts";
+import * as settledServices from "./known_services.ts";
 import * as surveys from "./load_survey.ts";
 
 /** What forecasts are made from. */
@@ -20,19 +20,19 @@
 }
 
 /** Priorities of a service that a forecast tells of, the first ones. */
-const MOST_PRIORITIES = 4;
+const MAX_PRIORITIES = 4;
 
 /** Makes forecasts for one term. */
 export class ForecastMaker {
   readonly #parts: ForecastParts;
-  readonly #known: knownServices.KnownServices;
-  #before: Admission.Forecast | null;
+  readonly #settledServices: settledServices.SettledServices;
+  #previous: Admission.Forecast | null;
 
   constructor(parts: ForecastParts) {
     this.#parts = parts;
-    this.#before = parts.term.inherited;
-    const inherited = this.#before?.services ?? [];
-    this.#known = new knownServices.KnownServices(
+    this.#previous = parts.term.inherited;
+    const inherited = this.#previous?.services ?? [];
+    this.#settledServices = new settledServices.SettledServices(
       inherited.map(({ service }) => service),
     );
   }
@@ -48,7 +48,7 @@
     }
     const madeAtMs = clock.monotonicMs();
     const forecast = this.#forecast(access);
-    this.#before = forecast;
+    this.#previous = forecast;
     term.forecast = { forecast, madeAtMs };
     metrics.count("cairngate_forecasts_total");
     const tookMs = clock.monotonicMs() - madeAtMs;
@@ -56,26 +56,27 @@
   }
 
   #forecast(access: Ports.AccessConfig): Admission.Forecast {
-    const { ports: given, directory, hardLoad, live } = this.#parts;
-    const nowMs = given.clock.monotonicMs();
+    const { ports: coordinatorPorts, directory, hardLoad, live } = this.#parts;
+    const nowMs = coordinatorPorts.clock.monotonicMs();
     const endpoints = directory.states();
-    this.#known.note(endpoints.map(({ service }) => service), nowMs);
-    const isKnown = (service: string) => this.#known.has(service, nowMs);
+    this.#settledServices.note(endpoints.map(({ service }) => service), nowMs);
+    const isSettled = (service: string) =>
+      this.#settledServices.has(service, nowMs);
     const survey = surveys.surveyLoad({
       endpoints,
       workflows: live(),
       guarantees: guarantees.guaranteesOf(access),
       nowMs,
-      wallMs: given.clock.wallMs(),
+      wallMs: coordinatorPorts.clock.wallMs(),
     });
     return Admission.makeForecast({
       ...survey,
       number: Math.round(nowMs),
-      boxes: given.countBoxes(),
-      remotePenalty: given.bounds.remotePenalty,
+      boxes: coordinatorPorts.countBoxes(),
+      remotePenalty: coordinatorPorts.bounds.remotePenalty,
       isInOrder: !hardLoad.load.teamsCompete,
-      priorities: prioritiesOf(access, isKnown),
-      before: this.#before,
+      priorities: prioritiesOf(access, isSettled),
+      before: this.#previous,
     });
   }
 }
@@ -83,16 +84,16 @@
 /** Priorities of the queues of each service that is known, the first ones first. */
 function prioritiesOf(
   { queues }: Ports.AccessConfig,
-  isKnown: (service: string) => boolean,
+  isSettled: (service: string) => boolean,
 ): ReadonlyMap<string, readonly number[]> {
   const found = new Map<string, Set<number>>();
   for (const { service, priority } of queues) {
-    if (!isKnown(service)) continue;
-    const known = found.get(service) ?? new Set();
-    found.set(service, known.add(priority));
+    if (!isSettled(service)) continue;
+    const priorities = found.get(service) ?? new Set();
+    found.set(service, priorities.add(priority));
   }
   return new Map([...found].map(([service, priorities]) => {
     const sorted = [...priorities].sort((a, b) => a - b);
-    return [service, sorted.slice(0, MOST_PRIORITIES)];
+    return [service, sorted.slice(0, MAX_PRIORITIES)];
   }));
 }
--- a/packages/coordinator/src/load/hard_load_watch.ts
+++ b/packages/coordinator/src/load/hard_load_watch.ts
@@ -30,7 +30,7 @@
     const { hardLoad, metrics } = this.#ports;
     const { competingTeams, unevenEndpoints } = hardLoad;
     metrics.set("cairngate_speed_spread", Scheduler.speedSpread(speeds));
-    const before = this.#load;
+    const previous = this.#load;
     this.#load = {
       teamsCompete: isUsed(
         competingTeams,
@@ -41,17 +41,17 @@
         () =>
           Scheduler.doEndpointsDiffer(
             Scheduler.speedSpread(speeds),
-            before.endpointsDiffer,
+            previous.endpointsDiffer,
           ),
       ),
     };
-    this.#tell(before, speeds);
+    this.#report(previous, speeds);
   }
 
-  #tell(before: Scheduler.HardLoad, speeds: readonly number[]): void {
+  #report(previous: Scheduler.HardLoad, speeds: readonly number[]): void {
     const { log, metrics } = this.#ports;
     const { teamsCompete, endpointsDiffer } = this.#load;
-    if (teamsCompete !== before.teamsCompete) {
+    if (teamsCompete !== previous.teamsCompete) {
       metrics.set("cairngate_teams_compete", Number(teamsCompete));
       log.info(
         teamsCompete
@@ -59,7 +59,7 @@
           : "No team is much larger than the others: shares do not count.",
       );
     }
-    if (endpointsDiffer !== before.endpointsDiffer) {
+    if (endpointsDiffer !== previous.endpointsDiffer) {
       metrics.set("cairngate_endpoints_differ", Number(endpointsDiffer));
       const spread = Scheduler.speedSpread(speeds).toFixed(2);
       const verb = endpointsDiffer ? "differ" : "no longer differ";
--- a/packages/coordinator/src/load/known_services.ts
+++ b/packages/coordinator/src/load/known_services.ts
@@ -4,10 +4,10 @@
  * Endpoints that come up together, as after a start of all, are listed within this
  * time, in ms: some beats of 1.5 s. Before, the largest one may still be missing.
  */
-const COMES_UP_MS = 10_000;
+const SETTLE_MS = 10_000;
 
 /** Since when the endpoints of services are known, in one term. */
-export class KnownServices {
+export class SettledServices {
   readonly #sinceMs = new Map<string, number>();
 
   /** @param inherited services that the coordinator before told of */
@@ -27,6 +27,6 @@
   /** Whether the sizes of a service are known. */
   has(service: string, nowMs: number): boolean {
     const sinceMs = this.#sinceMs.get(service) ?? Number.POSITIVE_INFINITY;
-    return nowMs - sinceMs >= COMES_UP_MS;
+    return nowMs - sinceMs >= SETTLE_MS;
   }
 }
--- a/packages/coordinator/src/load/load_survey.ts
+++ b/packages/coordinator/src/load/load_survey.ts
@@ -3,8 +3,8 @@
 import * as Workflow from "@cairngate/workflow";
 import * as Scheduler from "@cairngate/workflow-scheduler";
 
-/** What is surveyed. */
-export interface Surveyed {
+/** What is input. */
+export interface SurveyInput {
   readonly endpoints: readonly Scheduler.WorkerState[];
   /** Workflows of which something may start. */
   readonly workflows: readonly Workflow.Workflow[];
@@ -21,22 +21,23 @@
 >;
 
 /** Surveys endpoints and workflows. */
-export function surveyLoad(surveyed: Surveyed): Survey {
-  const { endpoints, workflows, guarantees } = surveyed;
+export function surveyLoad(input: SurveyInput): Survey {
+  const { endpoints, workflows, guarantees } = input;
   const ranks = new Scheduler.Ranks(workflows, guarantees);
   const fastest = Math.max(1, ...endpoints.map(({ speed }) => speed));
   const urgentUse = new Map<string, number>();
   const waits: Admission.Wait[] = [];
   for (const workflow of workflows) {
-    waits.push(...waitsOf(workflow, { surveyed, ranks, fastest }));
-    const stays = isUrgent(workflow) && staysInUse(workflow, surveyed, fastest);
-    if (!stays) continue;
+    waits.push(...waitsOf(workflow, { input, ranks, fastest }));
+    const isStillInUse = isUrgent(workflow) &&
+      staysInUse(workflow, input, fastest);
+    if (!isStillInUse) continue;
     const { tenant } = workflow.spec;
     const used = urgentUse.get(tenant) ?? 0;
     urgentUse.set(tenant, used + Scheduler.acceleratorsOf(workflow));
   }
   const runs = endpoints.flatMap((endpoint) =>
-    endpoint.occupants.map((task) => runOf(task, { endpoint, surveyed, ranks }))
+    endpoint.occupants.map((task) => runOf(task, { endpoint, input, ranks }))
   );
   return { endpoints, runs, waits, urgentUse };
 }
@@ -48,7 +49,7 @@
 /** Whether some task of it can't end before a forecast that is made now is stale. */
 function staysInUse(
   workflow: Workflow.Workflow,
-  { nowMs }: Surveyed,
+  { nowMs }: SurveyInput,
   fastest: number,
 ): boolean {
   for (const task of workflow.tasks) {
@@ -65,11 +66,11 @@
   task: Workflow.Task,
   from: {
     readonly endpoint: Scheduler.WorkerState;
-    readonly surveyed: Surveyed;
+    readonly input: SurveyInput;
     readonly ranks: Scheduler.Ranks;
   },
 ): Admission.Run {
-  const { endpoint: { service }, surveyed: { nowMs }, ranks } = from;
+  const { endpoint: { service }, input: { nowMs }, ranks } = from;
   const rank = ranks.of(task.workflow);
   const need = Admission.needOf(task.step);
   return { service, rank, need, leftMs: leftOf(task, nowMs) };
@@ -87,12 +88,12 @@
 function waitsOf(
   workflow: Workflow.Workflow,
   from: {
-    readonly surveyed: Surveyed;
+    readonly input: SurveyInput;
     readonly ranks: Scheduler.Ranks;
     readonly fastest: number;
   },
 ): Admission.Wait[] {
-  const { surveyed: { wallMs }, ranks, fastest } = from;
+  const { input: { wallMs }, ranks, fastest } = from;
   const rank = ranks.of(workflow);
   const { spec } = workflow;
   const waits = new Map<string, Admission.Wait>();
@@ -100,12 +101,12 @@
     if (Scheduler.hopeOf(unit, wallMs) === Scheduler.Hope.None) continue;
     const { step, tasks } = unit;
     const key = tasks[0].stepKey;
-    const before = waits.get(key)?.count ?? 0;
+    const counted = waits.get(key)?.count ?? 0;
     waits.set(key, {
       service: spec.policy.service,
       rank,
       need: Admission.needOf(step),
-      count: before + tasks.length,
+      count: counted + tasks.length,
       gang: step.gang,
       runMs: step.estimateMs * Admission.SURE_SHARE / fastest,
       dueInMs: Workflow.objectiveAtMs(spec, unit.round) - wallMs,
--- a/packages/coordinator/src/load/run_estimates.ts
+++ b/packages/coordinator/src/load/run_estimates.ts
@@ -25,7 +25,7 @@
 /** Estimates of one term. */
 export class RunEstimates {
   readonly #options: RunEstimatesOptions;
-  readonly #book = new Scheduler.EstimateBook();
+  readonly #estimates = new Scheduler.EstimateBook();
 
   constructor(options: RunEstimatesOptions) {
     this.#options = options;
@@ -33,12 +33,12 @@
 
   /** What runs of each queue took against their estimates. */
   get corrections(): Scheduler.Corrections {
-    return this.#book.corrections;
+    return this.#estimates.corrections;
   }
 
   /** The same for people. */
   describe(): readonly Scheduler.EstimateWorth[] {
-    return this.#book.describe();
+    return this.#estimates.describe();
   }
 
   /** A run has ended well; called before its workflow takes that in. */
@@ -54,10 +54,10 @@
       this.#options.siteOf(worker ?? "")
     );
     if (!sites.every((site) => site !== null)) return;
-    if (isAway(step, sites)) return;
+    if (isRemote(step, sites)) return;
     const tookMs = this.#options.clock.monotonicMs() - sentAtMs;
     if (!step.gang) this.#options.onSingle(occupant, tookMs);
-    this.#book.note({
+    this.#estimates.note({
       queue: workflow.spec.policy.queue,
       estimateMs: step.estimateMs,
       tookMs,
@@ -67,7 +67,7 @@
 }
 
 /** Whether a run takes longer because of where it is. */
-function isAway(step: Workflow.StepSpec, sites: readonly RunSite[]): boolean {
+function isRemote(step: Workflow.StepSpec, sites: readonly RunSite[]): boolean {
   const racks = new Set(sites.map(({ rack }) => rack));
   if (step.rack !== null) return racks.size > 1 || !racks.has(step.rack);
   return step.gang && step.sameRack && racks.size > 1;
--- a/packages/coordinator/src/load/share_book.ts
+++ b/packages/coordinator/src/load/share_book.ts
@@ -18,7 +18,7 @@
 >;
 
 /** What is looked at. */
-export interface SharesSeen {
+export interface SharesInput {
   readonly teamsCompete: boolean;
   /** Accelerators that each team has paid for. */
   readonly guarantees: ReadonlyMap<string, number>;
@@ -29,31 +29,31 @@
  * Time between two writes, in ms: a small part of the half-life, so that a takeover
  * forgets little, and far fewer calls than a term makes anyway.
  */
-const KEEP_MS = 2000;
+const WRITE_INTERVAL_MS = 2000;
 /** Time between two tries to read what the former coordinator kept, in ms. */
-const RETRY_MS = 200;
+const READ_RETRY_MS = 200;
 /** A call is given up after this time, in ms; the next one is due then. */
-const CALL_LIMIT_MS = 1500;
+const CALL_TIMEOUT_MS = 1500;
 
 /** The shares of one term. */
 export class ShareBook {
   readonly #ports: ShareBookPorts;
   readonly #term: terms.Term;
-  readonly #log: shareLog.ShareLog;
+  readonly #log: shareLog.ShareReporter;
   #use: Scheduler.TeamAmounts = new Map();
   #shares: Scheduler.TeamShares = new Map();
   #teamsCompete = false;
-  #lookedAtMs: number;
+  #countedAtMs: number;
   /** Whether what the former coordinator wrote has been asked for, and answered. */
   #isRestored = false;
   /** Use that the store has. */
-  #kept: Scheduler.TeamAmounts | null = null;
+  #stored: Scheduler.TeamAmounts | null = null;
 
   constructor(bookPorts: ShareBookPorts, term: terms.Term) {
     this.#ports = bookPorts;
     this.#term = term;
-    this.#log = new shareLog.ShareLog(bookPorts);
-    this.#lookedAtMs = bookPorts.clock.monotonicMs();
+    this.#log = new shareLog.ShareReporter(bookPorts);
+    this.#countedAtMs = bookPorts.clock.monotonicMs();
   }
 
   /** Shares as last judged; empty where teams do not compete. */
@@ -67,17 +67,17 @@
   }
 
   /** Counts what runs now; one pass over it. */
-  look({ teamsCompete, guarantees, endpoints }: SharesSeen): void {
+  look({ teamsCompete, guarantees, endpoints }: SharesInput): void {
     const nowMs = this.#ports.clock.monotonicMs();
-    const elapsedMs = nowMs - this.#lookedAtMs;
-    this.#lookedAtMs = nowMs;
+    const elapsedMs = nowMs - this.#countedAtMs;
+    this.#countedAtMs = nowMs;
     this.#teamsCompete = teamsCompete;
-    if (!teamsCompete) return this.#forget();
+    if (!teamsCompete) return this.#reset();
     const held = Scheduler.sharesHeld(endpoints);
     this.#use = Scheduler.decayUse(this.#use, held, elapsedMs);
     const weights = Scheduler.weightsOf(guarantees);
     this.#shares = Scheduler.judgeShares(weights, this.#use, this.#shares);
-    this.#log.look(this.#shares, nowMs);
+    this.#log.update(this.#shares, nowMs);
   }
 
   /** Counts a run that yields, by its team. */
@@ -92,15 +92,15 @@
     const { clock } = this.#ports;
     return Effect.forever(Effect.gen({ self: this }, function* () {
       if (this.#teamsCompete) {
-        yield* this.#isRestored ? this.#keep() : this.#restore();
+        yield* this.#isRestored ? this.#write() : this.#restore();
       }
-      yield* clock.sleep(this.#isRestored ? KEEP_MS : RETRY_MS);
+      yield* clock.sleep(this.#isRestored ? WRITE_INTERVAL_MS : READ_RETRY_MS);
     }));
   }
 
-  #forget(): void {
+  #reset(): void {
     if (this.#shares.size === 0) return;
-    this.#log.look(new Map(), this.#lookedAtMs);
+    this.#log.update(new Map(), this.#countedAtMs);
     this.#use = new Map();
     this.#shares = new Map();
   }
@@ -109,7 +109,7 @@
   #restore(): Effect.Effect<void> {
     const { clock, log, store } = this.#ports;
     const key = TableClient.Keys.TEAM_SHARES_KEY;
-    return store.read([key], CALL_LIMIT_MS).pipe(
+    return store.read([key], CALL_TIMEOUT_MS).pipe(
       Effect.map(([row]) => {
         this.#isRestored = true;
         const found = row === undefined
@@ -117,7 +117,7 @@
           : shareRows.decodeUse(row.value, clock.wallMs());
         if ("reason" in found) {
           log.info(`Nothing is known of what teams have had: ${found.reason}.`);
-        } else this.#add(found.use, found.ageMs);
+        } else this.#addFormerUse(found.use, found.ageMs);
       }),
       Effect.catch((err) =>
         Effect.sync(() =>
@@ -128,11 +128,11 @@
   }
 
   /** Adds what teams had before the term to what they have had in it. */
-  #add(former: Scheduler.TeamAmounts, ageMs: number): void {
-    const later = Scheduler.decayUse(former, new Map(), ageMs);
-    const sum = new Map(later);
+  #addFormerUse(former: Scheduler.TeamAmounts, ageMs: number): void {
+    const decayed = Scheduler.decayUse(former, new Map(), ageMs);
+    const sum = new Map(decayed);
     for (const [team, share] of this.#use) {
-      sum.set(team, Math.min(1, share + (later.get(team) ?? 0)));
+      sum.set(team, Math.min(1, share + (decayed.get(team) ?? 0)));
     }
     this.#use = sum;
     this.#ports.log.info(
@@ -141,19 +141,19 @@
   }
 
   /** A write that is lost is made up for by the next one. */
-  #keep(): Effect.Effect<void> {
+  #write(): Effect.Effect<void> {
     const { clock, store } = this.#ports;
     const use = this.#use;
-    if (use === this.#kept) return Effect.void;
+    if (use === this.#stored) return Effect.void;
     const value = shareRows.encodeUse(use, clock.wallMs());
     const key = TableClient.Keys.TEAM_SHARES_KEY;
     const write = {
       conditions: [this.#term.condition],
       writes: [{ key, value }],
     };
-    return store.write(write, CALL_LIMIT_MS).pipe(
+    return store.write(write, CALL_TIMEOUT_MS).pipe(
       Effect.map(() => {
-        this.#kept = use;
+        this.#stored = use;
       }),
       Effect.ignore,
     );
--- a/packages/coordinator/src/load/share_log.ts
+++ b/packages/coordinator/src/load/share_log.ts
@@ -3,22 +3,22 @@
 import type * as ports from "../ports.ts";
 
 /** A team is told of once it has been above its share for this time, in ms. */
-const LONG_MS = Scheduler.HALF_LIFE_MS;
+const MIN_ABOVE_MS = Scheduler.HALF_LIFE_MS;
 /** Time between two lines about one team, in ms. */
-const AGAIN_MS = 60_000;
+const REPEAT_MS = 60_000;
 /** Lines of one look; the gauge has the others. */
-const MOST_LINES = 4;
+const MAX_LINES = 4;
 
-interface Noted {
+interface TeamAboveShare {
   readonly sinceMs: number;
   /** When it was told of; infinite for never. */
-  toldAtMs: number;
+  loggedAtMs: number;
 }
 
 /** Lines and gauges about shares. */
-export class ShareLog {
+export class ShareReporter {
   readonly #ports: Pick<ports.CoordinatorPorts, "log" | "metrics">;
-  readonly #above = new Map<string, Noted>();
+  readonly #above = new Map<string, TeamAboveShare>();
   #teams: ReadonlySet<string> = new Set();
 
   constructor(logPorts: Pick<ports.CoordinatorPorts, "log" | "metrics">) {
@@ -26,7 +26,7 @@
   }
 
   /** Takes in the shares as they are judged now. */
-  look(shares: Scheduler.TeamShares, nowMs: number): void {
+  update(shares: Scheduler.TeamShares, nowMs: number): void {
     this.#setGauges(shares);
     let lines = 0;
     for (const [team, share] of shares) {
@@ -34,10 +34,10 @@
         this.#above.delete(team);
         continue;
       }
-      const noted = this.#note(team, nowMs);
-      if (lines >= MOST_LINES || !isDue(noted, nowMs)) continue;
-      noted.toldAtMs = nowMs;
-      this.#tell(team, share, nowMs - noted.sinceMs);
+      const entry = this.#note(team, nowMs);
+      if (lines >= MAX_LINES || !isDue(entry, nowMs)) continue;
+      entry.loggedAtMs = nowMs;
+      this.#logAbove(team, share, nowMs - entry.sinceMs);
       lines++;
     }
   }
@@ -54,14 +54,14 @@
     this.#teams = new Set(shares.keys());
   }
 
-  #note(team: string, nowMs: number): Noted {
-    const known = this.#above.get(team) ??
-      { sinceMs: nowMs, toldAtMs: Number.NEGATIVE_INFINITY };
-    this.#above.set(team, known);
-    return known;
+  #note(team: string, nowMs: number): TeamAboveShare {
+    const entry = this.#above.get(team) ??
+      { sinceMs: nowMs, loggedAtMs: Number.NEGATIVE_INFINITY };
+    this.#above.set(team, entry);
+    return entry;
   }
 
-  #tell(
+  #logAbove(
     team: string,
     { use, weight }: Scheduler.TeamShare,
     forMs: number,
@@ -74,8 +74,11 @@
   }
 }
 
-function isDue({ sinceMs, toldAtMs }: Noted, nowMs: number): boolean {
-  return nowMs - sinceMs >= LONG_MS && nowMs - toldAtMs >= AGAIN_MS;
+function isDue(
+  { sinceMs, loggedAtMs }: TeamAboveShare,
+  nowMs: number,
+): boolean {
+  return nowMs - sinceMs >= MIN_ABOVE_MS && nowMs - loggedAtMs >= REPEAT_MS;
 }
 
 function percent(share: number): string {
--- a/packages/coordinator/src/load/share_log_test.ts
+++ b/packages/coordinator/src/load/share_log_test.ts
@@ -18,14 +18,18 @@
 function build() {
   const log = new TestUtils.KeptLog();
   const metrics = new Metrics.Metrics();
-  return { log, metrics, shares: new shareLogs.ShareLog({ log, metrics }) };
+  return {
+    log,
+    metrics,
+    shares: new shareLogs.ShareReporter({ log, metrics }),
+  };
 }
 
 vitest.describe("the log of shares", () => {
   vitest.it("tells of a team after 10 s, and again each minute", () => {
     const { log, shares } = build();
     const above = sharesOf(ShareLevel.Above);
-    for (let ms = 0; ms <= 75_000; ms += 1000) shares.look(above, ms);
+    for (let ms = 0; ms <= 75_000; ms += 1000) shares.update(above, ms);
     vitest.expect(log.sentences).toEqual([
       "Team large has been above its share for 10000 ms: it has had 60.0% of " +
       "the fleet and is entitled to 40.0%; beyond guarantees others go first.",
@@ -39,7 +43,7 @@
     for (let ms = 0; ms < 60_000; ms += 1000) {
       const isAbove = ms % 9000 !== 0;
       const level = isAbove ? ShareLevel.Above : ShareLevel.Within;
-      shares.look(sharesOf(level), ms);
+      shares.update(sharesOf(level), ms);
     }
     vitest.expect(log.sentences).toEqual([]);
   });
@@ -48,8 +52,8 @@
     const { log, shares } = build();
     const teams = Array.from({ length: 100 }, (_, i) => `team-${i}`);
     const above = sharesOf(ShareLevel.Above, teams);
-    shares.look(above, 0);
-    shares.look(above, 10_000);
+    shares.update(above, 0);
+    shares.update(above, 10_000);
     vitest.expect(log.sentences.length).toBe(4);
   });
 
@@ -57,9 +61,9 @@
     const { metrics, shares } = build();
     const gaugeOf = (team: string) =>
       metrics.get("cairngate_team_share", { team });
-    shares.look(sharesOf(ShareLevel.Above), 0);
+    shares.update(sharesOf(ShareLevel.Above), 0);
     vitest.expect(gaugeOf("large")).toBeCloseTo(1.5);
-    shares.look(new Map(), 1000);
+    shares.update(new Map(), 1000);
     vitest.expect(gaugeOf("large")).toBe(0);
   });
 });
--- a/packages/coordinator/src/load/share_row.ts
+++ b/packages/coordinator/src/load/share_row.ts
@@ -4,12 +4,12 @@
 import * as Schema from "effect/Schema";
 
 /** Most teams in the row, in bytes far below the largest row of the store. */
-const MOST_TEAMS = 500;
+const MAX_TEAMS = 500;
 /**
  * A row that is older counts for nothing, in ms: six half-lives have passed by then,
  * and a time of day that was set would else keep it for ever.
  */
-const OLDEST_MS = 60_000;
+const STALE_MS = 60_000;
 
 const Share = Schema.Number.check(
   Schema.isBetween({ minimum: 0, maximum: 1 }),
@@ -26,7 +26,7 @@
 export type ShareRow = typeof WireShares.Type;
 
 /** What was read, or why nothing is known from it. */
-export type FoundUse =
+export type DecodedUse =
   | { readonly use: Scheduler.TeamAmounts; readonly ageMs: number }
   | { readonly reason: string };
 
@@ -35,20 +35,20 @@
   use: Scheduler.TeamAmounts,
   wallMs: number,
 ): ShareRow {
-  const most = [...use]
+  const largest = [...use]
     .sort(([, a], [, b]) => b - a)
-    .slice(0, MOST_TEAMS)
+    .slice(0, MAX_TEAMS)
     .map(([team, share]) => [team, roundShare(share)]);
-  return { writtenAtMs: wallMs, use: Object.fromEntries(most) };
+  return { writtenAtMs: wallMs, use: Object.fromEntries(largest) };
 }
 
 /** Reads a row's value, whoever wrote it. */
-export function decodeUse(value: unknown, wallMs: number): FoundUse {
+export function decodeUse(value: unknown, wallMs: number): DecodedUse {
   const read = readShares(value);
   if (Result.isFailure(read)) return { reason: "it can't be read" };
   const { writtenAtMs, use } = read.success;
   const ageMs = Math.max(0, wallMs - writtenAtMs);
-  if (ageMs > OLDEST_MS) return { reason: `it is ${Math.round(ageMs)} ms old` };
+  if (ageMs > STALE_MS) return { reason: `it is ${Math.round(ageMs)} ms old` };
   return { use: new Map(Object.entries(use)), ageMs };
 }
 
--- a/packages/coordinator/src/load/stop_book.ts
+++ b/packages/coordinator/src/load/stop_book.ts
@@ -52,7 +52,7 @@
 /** A run that is stopped before this time from its start has just begun, in ms. */
 const EARLY_MS = 1000;
 /** Claims that are followed at once; further ones are not counted. */
-const MOST_CLAIMS = 2000;
+const MAX_CLAIMS = 2000;
 
 /** Follows stops of one term until it is known what came of them. */
 export class StopBook {
@@ -82,7 +82,7 @@
     const { task, claimant: unit } = decision;
     const [first] = unit.tasks;
     const claim = this.#claims.get(first) ?? { unit, stops: [], started: null };
-    if (this.#claims.size >= MOST_CLAIMS && claim.stops.length === 0) return;
+    if (this.#claims.size >= MAX_CLAIMS && claim.stops.length === 0) return;
     this.#claims.set(first, claim);
     claim.stops.push({
       freed: task.worker,
--- a/packages/coordinator/src/restart.ts
+++ b/packages/coordinator/src/restart.ts
@@ -14,7 +14,7 @@
 }
 
 /** Pause before work begins again, in ms: a lasting fault must not spin. */
-const PAUSE_MS = 200;
+const RESTART_DELAY_MS = 200;
 
 /** Begins work again after a defect; a long-running fiber must not die of one. */
 export function restartOnDefect<A, E>(
@@ -26,7 +26,7 @@
     log.error(`${what} failed and begins again: ${describeDefect(defect)}`);
     metrics.count("cairngate_defects_total", { what });
     return Effect.andThen(
-      clock.sleep(PAUSE_MS),
+      clock.sleep(RESTART_DELAY_MS),
       Effect.suspend(() => restartOnDefect(work, parts)),
     );
   });
