--- a/packages/coordinator/mod.ts
+++ b/packages/coordinator/mod.ts
@@ -1,4 +1,6 @@
-/** The coordinator: election, recovery, decisions carried out. */
+/**
+ * The coordinator: election, recovery of state, and execution of scheduling decisions.
+ */
 export { Coordinator } from "./src/work/coordinator.ts";
 export {
   type CoordinatorDump,
--- a/packages/coordinator/src/election/election.ts
+++ b/packages/coordinator/src/election/election.ts
@@ -1,7 +1,7 @@
 /**
- * Election of the coordinator by a row of the store. The row holds the fencing
- * token and changes on takeover only; a second row is renewed by the holder.
- * A node takes over when the holder has let both rows stand still.
+ * Election of the coordinator through rows of the store. The coordinator row holds the
+ * fencing token and changes on takeover only; the holder renews a second row, the
+ * lease. A box takes over when neither row has changed for too long.
  */
 import type * as Admission from "@cairngate/admission";
 import * as TableClient from "@cairngate/table-client";
@@ -12,12 +12,12 @@
 import * as termKeepers from "./term_keeper.ts";
 import * as terms from "./term.ts";
 
-/** Time between two checks of whether to claim, in ms. */
+/** Interval of checks whether to claim the row, in ms. */
 const CHECK_INTERVAL_MS = 50;
-/** A takeover is given up after this time, in ms. */
+/** Timeout of a store call during a takeover, in ms. */
 const TAKEOVER_TIMEOUT_MS = 1500;
 
-/** Takes part in the election for ever. */
+/** Takes part in the election until interrupted. */
 export class Election {
   readonly #ports: ports.CoordinatorPorts;
   readonly #watch: rowWatches.RowWatch;
@@ -40,12 +40,12 @@
     return holder === "" ? null : holder;
   }
 
-  /** What the holder expects, as last seen. */
+  /** Forecast of the holder, as last seen. */
   get forecast(): Admission.Known {
     return this.#watch.forecast;
   }
 
-  /** Runs `work` whenever this node is elected, until the term is lost. */
+  /** Runs `work` whenever this box is elected, until the term is lost. Never ends. */
   run(work: (term: terms.Term) => Effect.Effect<void>): Effect.Effect<never> {
     const campaign = Effect.gen({ self: this }, function* () {
       yield* this.#ports.clock.sleep(CHECK_INTERVAL_MS);
@@ -58,7 +58,9 @@
     return Effect.raceFirst(watch, Effect.forever(campaign));
   }
 
-  /** Releases the row, so that another node takes over at once. */
+  /**
+   * Releases the row, so that another box takes over at once, and stops taking part.
+   */
   release(): Effect.Effect<void> {
     return Effect.suspend(() => {
       this.#isLeaving = true;
@@ -68,7 +70,7 @@
     });
   }
 
-  /** Another node has taken the row. */
+  /** Ends the term if another box has taken the row. */
   #noteRow(row: terms.CoordinatorRow | null): void {
     const token = row?.token ?? 0;
     const term = this.#term;
@@ -78,11 +80,14 @@
     }
   }
 
-  /** Takes over from the holder that was judged, and from no later one. */
+  /**
+   * Takes over from the holder with the observed token, and from no later one. Returns
+   * null where that failed.
+   */
   #takeOver(observedToken: number): Effect.Effect<terms.Term | null> {
     return Effect.gen({ self: this }, function* () {
       const { store, node, incarnation, log } = this.#ports;
-      // The watch may see the write below before it is answered.
+      // Read first: the watch may see the write below before it is answered.
       const { forecast: inherited } = this.#watch.forecast;
       const key = TableClient.Keys.COORDINATOR_KEY;
       const leaseKey = TableClient.Keys.COORDINATOR_LEASE_KEY;
@@ -104,10 +109,10 @@
         ],
         writes: [{ key, value }, { key: leaseKey, value: token }],
       }, TAKEOVER_TIMEOUT_MS);
-      log.info(`Node ${node} coordinates under token ${token}.`);
+      log.info(`Box ${node} coordinates under token ${token}.`);
       return new terms.Term(token, revision, inherited);
     }).pipe(Effect.catch((err) => {
-      this.#ports.log.info(`Not elected: ${err.message}`);
+      this.#ports.log.info(`Taking over failed: ${err.message}`);
       this.#watch.resetSilence();
       return Effect.succeed(null);
     }));
@@ -138,11 +143,11 @@
     });
   }
 
-  /** A fault in our own code ends the term; perhaps another node fares better. */
+  /** Ends the term after a defect in the coordinator; another box may succeed. */
   #failTerm(term: terms.Term, defect: unknown): Effect.Effect<void> {
     return Effect.sync(() => {
       const { log, metrics } = this.#ports;
-      log.error(`Coordinating failed: ${restart.describeDefect(defect)}`);
+      log.error(`The coordinator failed: ${restart.describeDefect(defect)}`);
       metrics.count("cairngate_defects_total", { what: "Coordinating" });
       term.lose("the coordinator failed");
     });
--- a/packages/coordinator/src/election/fitness.ts
+++ b/packages/coordinator/src/election/fitness.ts
@@ -1,32 +1,35 @@
-/** How well a box is placed to coordinate, beside the others that it knows. */
+/** Fitness of a box to coordinate, compared with the other boxes that it knows. */
 import type * as Effect from "effect/Effect";
 
-/** What the election asks of its box. */
+/** Answers the election's questions about this box and the others. */
 export abstract class Fitness {
-  /** Whether calls reach the store without a peer's help. */
+  /** Whether calls reach the store without a relaying peer. */
   abstract reachesStore(): boolean;
-  /** Whether other boxes are known that have clearly more processor. */
+  /** Whether other boxes are known that have clearly more processor cores. */
   abstract hasFitter(): boolean;
   /** Whether this box is among the few that follow each renewal of a term. */
   abstract isCloseWatcher(): boolean;
-  /** Such a box that answers now and reaches the store; null for none. */
+  /**
+   * Finds a box with clearly more cores that answers now and reaches the store; null
+   * for none.
+   */
   abstract findFitter(): Effect.Effect<string | null>;
-  /** The box that should follow when this one leaves; null for none. */
+  /** Finds the box that should take over when this one leaves; null for none. */
   abstract findSuccessor(): Effect.Effect<string | null>;
 }
 
 /**
- * Time in which boxes with more processor claim a term before the others, in ms;
- * longer than what candidates differ by at random.
+ * Delay of claims by boxes that know of a fitter one, in ms; longer than the random
+ * jitter between candidates.
  */
 const LESS_FIT_DELAY_MS = 400;
 /**
- * A box whose calls take the way through a peer claims a term later by this, in
- * ms: another one is as good and does without the peer.
+ * Additional delay of claims by boxes that reach the store only through a peer, in ms:
+ * another box does as well without a relay.
  */
 const RELAYED_DELAY_MS = 1500;
 
-/** How much later than the fittest box this one claims a term, in ms. */
+/** Delay of this box's claims relative to the fittest box, in ms. */
 export function claimDelayMs(fitness: Fitness): number {
   const fitterMs = fitness.hasFitter() ? LESS_FIT_DELAY_MS : 0;
   return fitness.reachesStore() ? fitterMs : fitterMs + RELAYED_DELAY_MS;
--- a/packages/coordinator/src/election/forecast_sight.ts
+++ b/packages/coordinator/src/election/forecast_sight.ts
@@ -1,15 +1,15 @@
-/** The newest forecast that the holder of the election tells of. */
+/** The newest forecast that the holder of the election publishes with its renewals. */
 import * as Admission from "@cairngate/admission";
 import type * as Ports from "@cairngate/ports";
 import * as leases from "./lease_value.ts";
 
-/** Sees renewals as they come. */
+/** Observes renewals and decodes the forecast of the newest one on demand. */
 export class ForecastObserver {
   readonly #clock: Ports.Clock;
   #renewal: unknown = null;
-  /** When the look began that told of it; null: it may be of any age. */
+  /** When the feed request that returned it was sent; null where its age is unknown. */
   #requestedAtMs: number | null = null;
-  /** What it tells; undefined until somebody asks. */
+  /** The decoded value; undefined until it is requested. */
   #decoded: leases.AgedForecast | null | undefined = null;
   #notedAtMs = Number.NEGATIVE_INFINITY;
 
@@ -17,7 +17,10 @@
     this.#clock = clock;
   }
 
-  /** The forecast and its age. Few renewals are asked for: the others stay unread. */
+  /**
+   * The newest forecast and its age. Decoded on access, because few renewals are
+   * accessed.
+   */
   get latest(): Admission.Known {
     if (this.#decoded === undefined) {
       this.#decoded = leases.readLease(this.#renewal);
@@ -29,10 +32,10 @@
   }
 
   /**
-   * Takes in the value of a renewal. One that no other has preceded by less than the
-   * time for which a forecast holds may be of a holder that is long gone: its
-   * forecast counts as too old.
-   * @param requestedAtMs when the look began that told of it
+   * Takes in the value of a renewal. If no other renewal preceded it within the time
+   * for which a forecast is valid, its holder may be long gone, and its forecast counts
+   * as too old.
+   * @param requestedAtMs when the feed request that returned it was sent
    */
   note(renewal: unknown, requestedAtMs: number): void {
     if (renewal === this.#renewal) return;
--- a/packages/coordinator/src/election/forecast_sight_test.ts
+++ b/packages/coordinator/src/election/forecast_sight_test.ts
@@ -1,4 +1,4 @@
-/** How boxes see the forecast of the holder, and its age. */
+/** How boxes decode the holder's forecast and compute its age. */
 import * as Admission from "@cairngate/admission";
 import * as TestUtils from "@cairngate/test-utils";
 import * as vitest from "vitest";
@@ -18,12 +18,12 @@
 }
 
 vitest.describe("the value of a renewal", () => {
-  vitest.it("is a number without a forecast, as it was ever", () => {
+  vitest.it("is a plain number without a forecast", () => {
     vitest.expect(leases.writeLease(12.4, null)).toBe(12);
     vitest.expect(leases.readLease(12)).toBe(null);
   });
 
-  vitest.it("tells when it was sent, with and without a forecast", () => {
+  vitest.it("holds its send time, with and without a forecast", () => {
     vitest.expect(leases.renewedAtMs(renewal(1234.4))).toBe(1234);
     vitest.expect(leases.renewedAtMs(12)).toBe(12);
     for (const odd of [null, undefined, {}, "", "x 1 {}"]) {
@@ -36,7 +36,7 @@
     vitest.expect(renewal(1)).toBe(renewal(1));
   });
 
-  vitest.it("says nothing where somebody else has written", () => {
+  vitest.it("decodes to null where it is malformed", () => {
     for (const odd of [null, undefined, {}, "", "1", "1 x {}", "1 2 {}"]) {
       vitest.expect(leases.readLease(odd)).toBe(null);
     }
@@ -44,7 +44,7 @@
 });
 
 vitest.describe("the age of a forecast", () => {
-  vitest.it("counts from the look that told of it", async () => {
+  vitest.it("counts from the feed request that returned it", async () => {
     const clock = new TestUtils.FakeClock();
     const observer = new observers.ForecastObserver(clock);
     observer.note(renewal(1), clock.monotonicMs());
@@ -54,20 +54,20 @@
     vitest.expect(observer.latest).toEqual({ forecast: FORECAST, ageMs: 500 });
   });
 
-  vitest.it("is not known of a row that stood there before", async () => {
+  vitest.it("is unknown for a row that was there before", async () => {
     const clock = new TestUtils.FakeClock();
     const observer = new observers.ForecastObserver(clock);
     observer.note(renewal(1), clock.monotonicMs());
     vitest.expect(observer.latest.ageMs).toBe(Number.POSITIVE_INFINITY);
     observer.note(renewal(2), clock.monotonicMs());
     vitest.expect(observer.latest.ageMs).toBe(100);
-    // Cut off for so long that the next row may be as old.
+    // Disconnected for so long that the next row may be as old.
     await clock.advance(4000);
     observer.note(renewal(3), clock.monotonicMs());
     vitest.expect(observer.latest.ageMs).toBe(Number.POSITIVE_INFINITY);
   });
 
-  vitest.it("ends with a holder that tells of none", () => {
+  vitest.it("is reset by a holder that publishes no forecast", () => {
     const clock = new TestUtils.FakeClock();
     const observer = new observers.ForecastObserver(clock);
     observer.note(renewal(1), clock.monotonicMs());
--- a/packages/coordinator/src/election/lease_value.ts
+++ b/packages/coordinator/src/election/lease_value.ts
@@ -1,20 +1,20 @@
 /**
- * The value that a holder writes with each renewal: a number, or, where it has a
- * forecast to tell, a text. Both compare by value, which is how each version of the
- * product tells one renewal from the next.
+ * Value of the lease row, which the holder writes with each renewal: a number, or a
+ * text if there is a forecast to publish. Every version of the product tells renewals
+ * apart by comparing these values, so both are primitives.
  */
 import * as Admission from "@cairngate/admission";
 
-/** What a renewal tells beside being one. */
+/** Forecast carried by a renewal. */
 export interface AgedForecast {
   readonly forecast: Admission.Forecast;
-  /** Age that it had when it was sent, in ms. */
+  /** Age when the renewal was sent, in ms. */
   readonly ageMs: number;
 }
 
 const SEPARATOR = " ";
 
-/** Value of one renewal. */
+/** Encodes the value of one renewal. */
 export function writeLease(
   renewedAtMs: number,
   aged: AgedForecast | null,
@@ -25,7 +25,9 @@
   return [number, Math.round(aged.ageMs), text].join(SEPARATOR);
 }
 
-/** When a renewal was sent, on the clock of its holder; null: that can't be read. */
+/**
+ * When a renewal was sent, on its holder's clock, in ms; null where it can't be read.
+ */
 export function renewedAtMs(value: unknown): number | null {
   if (typeof value === "number") return value;
   if (typeof value !== "string") return null;
@@ -33,7 +35,7 @@
   return Number.isNaN(atMs) ? null : atMs;
 }
 
-/** What a renewal tells; null where that is nothing, or can't be read. */
+/** Decodes the forecast of a renewal; null where there is none or it can't be read. */
 export function readLease(value: unknown): AgedForecast | null {
   if (typeof value !== "string") return null;
   const [, age, ...rest] = value.split(SEPARATOR);
--- a/packages/coordinator/src/election/outage_word.ts
+++ b/packages/coordinator/src/election/outage_word.ts
@@ -1,11 +1,11 @@
-/** What other boxes say of the store while this one does not hear it. */
+/** What other boxes report about the store while this one can't reach it. */
 
-/** What a coordinator asks before it gives leases without the store. */
+/** Consulted by a coordinator before it grants leases without the store. */
 export abstract class OutageWord {
   /**
-   * Whether the store is away for all, as far as other boxes have said lately. Then
-   * nobody can be elected, and running work may go on. Else this box may be parted
-   * from the store alone, and another one may coordinate by now.
+   * Whether the store is unavailable to all boxes, by their recent reports. Then no box
+   * can be elected, and running work may continue. Otherwise only this box may be
+   * disconnected from the store, and another one may coordinate by now.
    */
   abstract isShared(): boolean;
 }
--- a/packages/coordinator/src/election/renewal_pace.ts
+++ b/packages/coordinator/src/election/renewal_pace.ts
@@ -1,26 +1,32 @@
 /**
- * How long a holder may be silent before another node takes over: some usual
- * times between its renewals, because a slow store stretches them.
+ * Time without a renewal after which another box takes over: a multiple of the usual
+ * interval between renewals, because a slow store stretches them.
  */
 
-/** Renewals that have to be seen before their pace counts. */
+/** Number of intervals that have to be seen before they count. */
 const MIN_INTERVALS = 3;
-/** Two renewals (350 ms) that are lost in a row are borne, in ms. */
+/**
+ * Lower bound of the limit, in ms: tolerates the loss of two renewals (350 ms) in a
+ * row.
+ */
 const MIN_SILENCE_MS = 900;
-/** Running work must be renewed within a lease of 6 s, in ms. */
+/**
+ * Upper bound of the limit, in ms: leases of running work (6 s) have to be renewed in
+ * time.
+ */
 const MAX_SILENCE_MS = 1600;
-/** Usual intervals that may pass without a renewal. */
+/** Number of usual intervals that may pass without a renewal. */
 const SILENCE_INTERVALS = 2.5;
-/** Weight that an earlier long interval keeps with each renewal. */
+/** Factor by which the longest interval decays with each renewal. */
 const DECAY = 0.8;
 
-/** Pace of one holder's renewals. */
+/** Intervals of one holder's renewals. */
 export class RenewalPace {
   #lastAtMs: number | null = null;
   #intervalCount = 0;
   #longestMs = 0;
 
-  /** The holder has renewed. */
+  /** Notes a renewal. */
   note(nowMs: number): void {
     if (this.#lastAtMs !== null) {
       const intervalMs = nowMs - this.#lastAtMs;
@@ -30,14 +36,17 @@
     this.#lastAtMs = nowMs;
   }
 
-  /** Another node holds the row now. */
+  /**
+   * Forgets the intervals, because another box holds the row or the feed was
+   * interrupted.
+   */
   reset(): void {
     this.#lastAtMs = null;
     this.#intervalCount = 0;
     this.#longestMs = 0;
   }
 
-  /** Silence after which the holder is taken for lost. */
+  /** Time without a renewal after which the holder counts as lost, in ms. */
   get silenceLimitMs(): number {
     if (this.#intervalCount < MIN_INTERVALS) return MAX_SILENCE_MS;
     const usualMs = this.#longestMs * SILENCE_INTERVALS;
--- a/packages/coordinator/src/election/renewal_pulse.ts
+++ b/packages/coordinator/src/election/renewal_pulse.ts
@@ -1,6 +1,6 @@
 /**
- * One renewal of a term. A try without an answer is not waited for: the store may
- * have swallowed it, and the others take a term over sooner than a write is given up.
+ * Renewal of a term. An unanswered write is not waited for: the store may have dropped
+ * it, and other boxes take over before a write times out.
  */
 import * as TableClient from "@cairngate/table-client";
 import * as Deferred from "effect/Deferred";
@@ -9,10 +9,10 @@
 import * as leases from "./lease_value.ts";
 import type * as terms from "./term.ts";
 
-/** A try is not repeated by itself after this time, in ms: the next one is due. */
+/** Timeout of one attempt, in ms: the next renewal is due then. */
 const ATTEMPT_TIMEOUT_MS = 400;
 
-/** Renewals of one term. */
+/** Renews one term. */
 export class TermRenewal {
   readonly #ports: ports.CoordinatorPorts;
   readonly #term: terms.Term;
@@ -25,10 +25,11 @@
   }
 
   /**
-   * Ends with the outcome of one of its tries. The next one leaves beside those that
-   * are open, after the time in which an answer usually comes and then twice that.
+   * Renews once; ends with the outcome of the first attempt that is answered. Further
+   * attempts are sent in parallel, after the usual response time and then at doubled
+   * intervals.
    *
-   * @param maxWaitMs longest time between two tries, in ms
+   * @param maxWaitMs longest time between two attempts, in ms
    */
   renew(maxWaitMs: number): Effect.Effect<void> {
     const { store, clock, metrics } = this.#ports;
@@ -75,7 +76,7 @@
   }
 }
 
-/** Value of a renewal, with the forecast of the term where there is one. */
+/** Value of a renewal, with the term's forecast if there is one. */
 function leaseOf({ forecast: made }: terms.Term, nowMs: number) {
   if (made === null) return leases.writeLease(nowMs, null);
   const { forecast, madeAtMs } = made;
--- a/packages/coordinator/src/election/row_watch.ts
+++ b/packages/coordinator/src/election/row_watch.ts
@@ -1,6 +1,6 @@
 /**
- * What is seen of the rows of the election: who holds them, whether the holder renews
- * them, and whether this node may take them.
+ * Follows the rows of the election: who holds them, whether the holder renews them, and
+ * whether this box may take them.
  */
 import type * as Admission from "@cairngate/admission";
 import type * as Ports from "@cairngate/ports";
@@ -13,45 +13,46 @@
 import * as paces from "./renewal_pace.ts";
 import type * as terms from "./term.ts";
 
-/** What the watch works with. */
+/** Options of the watch. */
 export interface RowWatchOptions {
   readonly ports: ports.CoordinatorPorts;
-  /** Told of each change of the row that holds the token. */
+  /** Called for each change of the row that holds the token. */
   readonly onRow: (row: terms.CoordinatorRow | null) => void;
 }
 
-/** Candidates wait up to this much longer, in ms, so that few collide. */
+/** Maximum random delay of a candidate, in ms, so that few collide. */
 const MAX_JITTER_MS = 200;
-/** At the first start the boxes learn of each other for this time, in ms. */
+/** Wait before the first claim ever, in ms, in which the boxes discover each other. */
 const FIRST_START_WAIT_MS = 700;
-/** A successor takes a released row within this time, in ms, or another does. */
+/** Time for which a released row is reserved for its successor, in ms. */
 const SUCCESSOR_WAIT_MS = 1000;
-/** Longest wait of one look, in ms: a silent link is noticed soon after. */
+/** Longest wait of one feed request, in ms; bounds the time to notice a silent link. */
 const FEED_WAIT_MS = 400;
 /**
- * Boxes that are not among the few close watchers look this seldom, in ms, while
- * each look tells of a renewal; after one that tells of none they watch closely. If
- * all close watchers are gone, a term is taken over so much later at most.
+ * Pause between feed requests of boxes that are not close watchers, in ms, while each
+ * response brings a renewal; after one without, they follow closely. If all close
+ * watchers are gone, a takeover is delayed by at most this pause.
  */
 const IDLE_MS = 1500;
 
 /**
- * A renewal whose time is ahead of the newest one seen by more than this, beside the
- * time since, is not its holder's: by it no later one would count, in ms.
+ * Renewal times may be ahead of the newest one by the time passed since plus this, in
+ * ms. One further ahead was not written by the holder; accepting it would make all
+ * later renewals appear old.
  */
 const MAX_AHEAD_MS = 10_000;
 
-/** The rows as this node sees them. */
+/** Election rows as this box sees them. */
 export class RowWatch {
   readonly #ports: ports.CoordinatorPorts;
   readonly #onRow: RowWatchOptions["onRow"];
   readonly #follower: TableClient.RowFollower<unknown>;
   readonly #pace = new paces.RenewalPace();
   readonly #forecastObserver: observers.ForecastObserver;
-  /** When the look under way began. */
+  /** When the present feed request was sent. */
   #requestedAtMs = 0;
   #row: terms.CoordinatorRow | null = null;
-  /** Newest renewal that was seen; differs with each one. */
+  /** Value of the newest renewal; differs with each one. */
   #lease: unknown = null;
   /** When it was seen. */
   #leaseAtMs = 0;
@@ -60,7 +61,7 @@
   #lastAnswerAtMs = Number.NEGATIVE_INFINITY;
   #firstAnswerAtMs: number | null = null;
   #jitterMs = 0;
-  /** Whether the last look told of a renewal. */
+  /** Whether the last response brought a renewal. */
   #hasSeenRenewal = false;
 
   constructor({ ports: watched, onRow }: RowWatchOptions) {
@@ -79,7 +80,7 @@
     });
   }
 
-  /** The forecast that the holder tells of, as last seen. */
+  /** The newest forecast of the holder. */
   get forecast(): Admission.Known {
     return this.#forecastObserver.latest;
   }
@@ -95,10 +96,10 @@
   }
 
   /**
-   * Watches for ever. Calls of boxes that can not be next would grow with boxes times
-   * renewals, so these rest between two looks.
+   * Follows the rows until interrupted. Boxes that are unlikely to take over pause
+   * between requests; otherwise calls would grow with boxes times renewals.
    *
-   * @param isHeld whether this node holds the row
+   * @param isHeld whether this box holds the row
    */
   run(isHeld: () => boolean): Effect.Effect<never> {
     return Effect.forever(Effect.gen({ self: this }, function* () {
@@ -109,7 +110,7 @@
     }));
   }
 
-  /** Whether the holder has let the rows stand still, or there is none. */
+  /** Whether the rows have not changed for too long, or there is no holder. */
   mayTakeOver(): boolean {
     if (!this.#follower.hasSnapshot) return false;
     const { node, incarnation, clock } = this.#ports;
@@ -129,8 +130,8 @@
   }
 
   /**
-   * Whether the holder has renewed since the feed told of it last: a feed may
-   * fall behind while its looks are still answered.
+   * Whether the holder has renewed since the last renewal in the feed: a feed may fall
+   * behind while its requests are still answered.
    */
   hasRenewed(found: terms.CoordinatorRow | undefined, lease: unknown): boolean {
     const isHeld = found !== undefined && found.holder !== "" &&
@@ -141,18 +142,18 @@
     return true;
   }
 
-  /** The rows have changed: whoever holds them has its usual time again. */
+  /** Restarts the holder's silence limit, because the rows are newer than the feed. */
   noteFeedBehind(): void {
     this.#changedAtMs = this.#ports.clock.monotonicMs();
-    this.#ports.log.warn("The feed of the election falls behind its rows.");
+    this.#ports.log.warn("The feed of the election is behind its rows.");
   }
 
-  /** Silence counts from the next time at which the store is heard. */
+  /** Counts silence from the next time at which the store answers. */
   resetSilence(): void {
     this.#silentSinceMs = Number.POSITIVE_INFINITY;
   }
 
-  /** Silence counts from now: this node held the row so far. */
+  /** Counts silence from now, because this box held the row so far. */
   startSilence(): void {
     this.#silentSinceMs = this.#ports.clock.monotonicMs();
   }
@@ -177,13 +178,17 @@
 
   #noteRow(value: unknown): void {
     this.#row = value as terms.CoordinatorRow | null;
-    // The renewals of each term count by a clock of their own.
+    // Renewal times are comparable only within one term, as each holder uses its own
+    // clock.
     this.#lease = null;
     this.#pace.reset();
     this.#onRow(this.#row);
   }
 
-  /** Returns whether it tells anything. A takeover writes its token there. */
+  /**
+   * Returns whether the value is news: a newer renewal or a takeover, which writes its
+   * token.
+   */
   #noteLease(value: unknown): boolean {
     const isTakeover = value === this.token;
     if (!isTakeover && !this.#isNewer(value)) return false;
@@ -194,7 +199,10 @@
     return true;
   }
 
-  /** A renewal is a sign of life; the time that it names counts if it can be true. */
+  /**
+   * Records a renewal unless its time is implausible; it shows that the holder is alive
+   * either way.
+   */
   #recordLease(lease: unknown): void {
     const nowMs = this.#ports.clock.monotonicMs();
     const previousMs = leases.renewedAtMs(this.#lease);
@@ -207,8 +215,8 @@
   }
 
   /**
-   * Whether a renewal was sent after the newest one that was seen. One that is carried
-   * out late tells nothing of its holder, who may have ended since.
+   * Whether a renewal was sent after the newest one seen. One that the store applied
+   * late proves nothing about its holder, which may have ended since.
    */
   #isNewer(lease: unknown): boolean {
     const previousMs = leases.renewedAtMs(this.#lease);
@@ -217,7 +225,10 @@
     return sentMs > previousMs;
   }
 
-  /** Silence counts only while the store is heard without a break. */
+  /**
+   * Notes an answer of the store. Silence counts only while the store answers without
+   * interruption.
+   */
   #noteAnswer(): void {
     const nowMs = this.#ports.clock.monotonicMs();
     const wasInterrupted =
@@ -232,7 +243,9 @@
     }
   }
 
-  /** Nobody holds the row: the fittest box claims it first. */
+  /**
+   * Whether this box may claim a row without a holder; the fittest box claims it first.
+   */
   #mayClaim(): boolean {
     const { node, clock, fitness } = this.#ports;
     const successor = this.#row?.successor;
--- a/packages/coordinator/src/election/term_keeper.ts
+++ b/packages/coordinator/src/election/term_keeper.ts
@@ -1,17 +1,17 @@
-/** Keeps the row of the election while a term lasts, and hands it on. */
+/** Renews the election's lease while a term lasts, and hands the term over. */
 import * as Effect from "effect/Effect";
 import type * as ports from "../ports.ts";
 import * as renewals from "./renewal_pulse.ts";
 import type * as terms from "./term.ts";
 
-/** Time between two renewals, in ms: a loss is seen after three of them. */
+/** Interval of renewals, in ms: a loss is noticed after three of them. */
 const RENEW_INTERVAL_MS = 350;
-/** Time between two looks for a fitter box, in ms. */
+/** Interval of checks for a fitter box, in ms. */
 const FITTER_CHECK_MS = 1000;
-/** A release is given up after this time, in ms. */
+/** Timeout of a release, in ms. */
 const RELEASE_TIMEOUT_MS = 1500;
 
-/** Keeps terms of this node. */
+/** Keeps the terms of this box. */
 export class TermKeeper {
   readonly #ports: ports.CoordinatorPorts;
 
@@ -19,7 +19,7 @@
     this.#ports = coordinatorPorts;
   }
 
-  /** Renews the row for ever; the term is lost where the row has changed. */
+  /** Renews the lease until interrupted; the term is lost where the row has changed. */
   keepRenewing(term: terms.Term): Effect.Effect<never> {
     const renewal = new renewals.TermRenewal(this.#ports, term);
     return this.#ports.clock.every(
@@ -28,7 +28,7 @@
     );
   }
 
-  /** Hands the term to a box that is better placed for it, once there is one. */
+  /** Hands the term to a fitter box once there is one. */
   moveToFitter(term: terms.Term): Effect.Effect<never> {
     const { clock, fitness } = this.#ports;
     return Effect.gen({ self: this }, function* () {
@@ -43,7 +43,7 @@
     });
   }
 
-  /** Gives the term up, so that another node takes over at once. */
+  /** Ends the term and releases the row, so that another box takes over at once. */
   release(term: terms.Term): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       const successor = yield* this.#ports.fitness.findSuccessor();
--- a/packages/coordinator/src/endpoints/address_book_test.ts
+++ b/packages/coordinator/src/endpoints/address_book_test.ts
@@ -1,8 +1,8 @@
 import * as vitest from "vitest";
 import * as addresses from "./address_book.ts";
 
-vitest.describe("AddressBook", () => {
-  vitest.it("tells who else is known at an address", () => {
+vitest.describe("AddressIndex", () => {
+  vitest.it("returns the other endpoints at an address", () => {
     const index = new addresses.AddressIndex();
     index.add("i-1", "10.0.0.1:80");
     index.add("i-2", "10.0.0.1:80");
@@ -11,7 +11,7 @@
     vitest.expect(index.othersAt("10.0.0.2:80", "i-3")).toEqual([]);
   });
 
-  vitest.it("forgets only the id and the address that are named", () => {
+  vitest.it("removes only the given endpoint from the given address", () => {
     const index = new addresses.AddressIndex();
     index.add("i-1", "10.0.0.1:80");
     index.add("i-1", "10.0.0.2:80");
--- a/packages/coordinator/src/endpoints/directory_options.ts
+++ b/packages/coordinator/src/endpoints/directory_options.ts
@@ -1,13 +1,13 @@
-/** What the directory of endpoints is given, for all its parts. */
+/** Options of the endpoint directory, shared by its parts. */
 import type * as sessionOptions from "../sessions/session_options.ts";
 
-/** What the directory needs. */
+/** Options of the endpoint directory. */
 export interface DirectoryOptions extends SharedSessionOptions {
-  /** Whether endpoints differ so much that their speeds count for more. */
+  /** Whether endpoint speeds differ enough for the uneven-speed model to apply. */
   readonly doEndpointsDiffer: () => boolean;
 }
 
-/** What is the same for all its sessions. */
+/** Session options that are the same for every session of the directory. */
 export type SharedSessionOptions = Omit<
   sessionOptions.SessionOptions,
   | "ref"
--- a/packages/coordinator/src/endpoints/doubted_listings.ts
+++ b/packages/coordinator/src/endpoints/doubted_listings.ts
@@ -1,26 +1,27 @@
 /**
- * Entries of other lives than the ones that answer under their ids: the newer life
- * or a former one, which only the endpoint itself can tell.
+ * Listings whose birth time differs from the incarnation that answers under the same
+ * id. Such a listing belongs to a newer incarnation or to a former one; only an answer
+ * from the endpoint shows which.
  */
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
 import type * as directoryOptions from "./directory_options.ts";
 import type * as endpointSessions from "./endpoint_sessions.ts";
-import type * as listingBooks from "./listing_book.ts";
+import type * as acceptedListings from "./listing_book.ts";
 
-/** What they work with. */
+/** Collaborators of the conflicting listings. */
 export interface ConflictingListingsOptions {
   readonly options: directoryOptions.DirectoryOptions;
-  readonly listings: listingBooks.AcceptedListings;
+  readonly listings: acceptedListings.AcceptedListings;
   readonly sessions: endpointSessions.EndpointSessions;
-  /** Told of an entry that is not in doubt any more. */
+  /** Called with a listing that no longer conflicts. */
   readonly onAccepted: (listing: Ports.EndpointListing) => void;
 }
 
-/** A look at an address that an entry names may take this long, in ms, as any order. */
+/** Timeout of a probe of a listed address, in ms; the same as that of other orders. */
 const PROBE_TIMEOUT_MS = 450;
 
-/** Entries in doubt, by endpoint. */
+/** Conflicting listings by endpoint. */
 export class ConflictingListings {
   readonly #parts: ConflictingListingsOptions;
   readonly #listings = new Map<string, Ports.EndpointListing>();
@@ -29,7 +30,10 @@
     this.#parts = parts;
   }
 
-  /** Whether an entry is of another life than the one that answers and is listed. */
+  /**
+   * Whether a listing names another incarnation than the one that both answers and is
+   * already listed.
+   */
   isConflicting({ id, bornMs }: Ports.EndpointListing): boolean {
     const { sessions, listings } = this.#parts;
     const session = sessions.get(id);
@@ -40,18 +44,21 @@
       listings.get(id)?.bornMs === session.bornMs;
   }
 
-  /** Takes in an entry that is in doubt, and asks who lives. */
+  /** Adds a conflicting listing and asks the endpoint which incarnation is running. */
   add(listing: Ports.EndpointListing): void {
     this.#listings.set(listing.id, listing);
     this.#verify(listing);
   }
 
-  /** Another entry took effect, or none is there any more. */
+  /**
+   * Removes the listing of an endpoint that was unlisted or has another listing
+   * accepted.
+   */
   remove(id: string): void {
     this.#listings.delete(id);
   }
 
-  /** Another life answers under this id: its own entry takes effect, if it came. */
+  /** Accepts the pending listing if it belongs to the incarnation that answers now. */
   noteNewIncarnation(id: string): void {
     const session = this.#parts.sessions.get(id);
     if (this.#listings.get(id)?.bornMs === session?.bornMs) this.#accept(id);
@@ -63,7 +70,9 @@
     if (listing !== undefined) this.#parts.onAccepted(listing);
   }
 
-  /** An entry is a reason to ask, where it says that the endpoint is and was. */
+  /**
+   * Polls the endpoint at its present address and probes the listed one if it differs.
+   */
   #verify(listing: Ports.EndpointListing): void {
     const session = this.#parts.sessions.get(listing.id);
     if (session === undefined) return;
@@ -72,7 +81,9 @@
     if (hasMoved) Effect.runFork(this.#probe(listing));
   }
 
-  /** Moves to where a later life says that it is, if that life answers there. */
+  /**
+   * Moves the session to the listed address if the listed incarnation answers there.
+   */
   #probe(listing: Ports.EndpointListing): Effect.Effect<void> {
     const { ports: { workers, clock }, term } = this.#parts.options;
     const renewal = workers.renew(listing, {
@@ -87,7 +98,7 @@
         if (timed === null || timed.value.bornMs !== listing.bornMs) return;
         this.#moveSession(listing.id);
       }),
-      // Nobody with this birth answers there: the entry stays in doubt.
+      // No endpoint with this birth time answers there: the listing stays in conflict.
       Effect.ignore,
     );
   }
--- a/packages/coordinator/src/endpoints/endpoint_health.ts
+++ b/packages/coordinator/src/endpoints/endpoint_health.ts
@@ -1,64 +1,64 @@
 /**
- * Judges workers by the outcome of their runs. After a failure a worker gets no work,
- * and then only one run at a time. Both periods grow with consecutive failures, and a
- * success ends both.
+ * Health of an endpoint, derived from the outcomes of its runs. After a failure an
+ * endpoint receives no work for a backoff period, and then only one run at a time for a
+ * throttling period. Both periods grow with consecutive failures; a success ends both.
  */
 
 const INITIAL_BACKOFF_MS = 1200;
 const BACKOFF_FACTOR = 1.5;
-/** Less than the 3 s for which work may wait while endpoints have room. */
+/** Less than the 3 s for which work may wait while endpoints have free capacity. */
 const MAX_BACKOFF_MS = 2500;
 const THROTTLE_FACTOR = 3;
 const MAX_THROTTLE_MS = 20_000;
 
-/** Time for which a worker that is merely slow gets no work. */
+/** Backoff of an endpoint that is merely slow, in ms. */
 const SLOW_BACKOFF_MS = 3000;
 
-/** Time after a refusal; what we know of the room there is wrong. */
+/** Backoff after a refused start, in ms: the known free capacity is out of date. */
 const REFUSED_BACKOFF_MS = 300;
 
 /**
- * A run that fails before this age, in ms, speaks against its endpoint: endpoints
- * that fail what they start do so within 0.1 s, tasks that fail by themselves at any
- * moment of their 2 to 9 s.
+ * A run that fails before this age, in ms, counts against its endpoint: a faulty
+ * endpoint fails what it starts within 0.1 s, whereas a faulty task fails at any point
+ * of its 2 to 9 s.
  */
 const EARLY_FAILURE_MS = 500;
-/** Such an endpoint is in doubt for this time, in ms: they stay so for 4 to 7 s. */
+/** Time for which such an endpoint is suspect, in ms: these faults last 4 to 7 s. */
 const SUSPECT_MS = 5000;
 
 /**
- * An endpoint on which a run has come through its first moments, or has ended well,
- * is proven for this time, in ms: as long as most runs of the users last.
+ * Time for which an endpoint counts as proven, in ms, after a run succeeded or passed
+ * the early-failure age; as long as most runs of users last.
  */
 const PROVEN_MS = 4000;
 
-/** One worker's record. */
+/** Health record of one endpoint. */
 export class EndpointHealth {
   #consecutiveFailures = 0;
   #failedAtMs = Number.NEGATIVE_INFINITY;
   #backoffUntilMs = Number.NEGATIVE_INFINITY;
   #suspectUntilMs = Number.NEGATIVE_INFINITY;
-  /** End of the period with at most one run at a time, which follows a failure. */
+  /** End of the period with at most one run at a time, which follows the backoff. */
   #throttledUntilMs = Number.NEGATIVE_INFINITY;
   #provenUntilMs = Number.NEGATIVE_INFINITY;
 
-  /** Whether the worker gets no work now. */
+  /** Whether the endpoint is in backoff and receives no work. */
   isAside(nowMs: number): boolean {
     return nowMs < this.#backoffUntilMs;
   }
 
-  /** Whether it may still fail whatever it starts. */
+  /** Whether the endpoint may still fail whatever it starts. */
   isDoubted(nowMs: number): boolean {
     if (nowMs < this.#suspectUntilMs) return true;
     return !this.isAside(nowMs) && nowMs < this.#throttledUntilMs;
   }
 
-  /** Whether something has lately run well there. */
+  /** Whether a run has recently gone well on this endpoint. */
   isProven(nowMs: number): boolean {
     return nowMs < this.#provenUntilMs && !this.isDoubted(nowMs);
   }
 
-  /** A run there has lasted for so long. */
+  /** Notes a run that has been running for `ranMs`. */
   noteRunning(nowMs: number, ranMs: number): void {
     if (ranMs < EARLY_FAILURE_MS) return;
     this.#provenUntilMs = nowMs + PROVEN_MS;
@@ -66,13 +66,13 @@
     if (hasStartedSince) this.#throttledUntilMs = Number.NEGATIVE_INFINITY;
   }
 
-  /** A run failed that had run for so long. */
+  /** Notes a run that failed after `ranMs`. */
   ranAndFailed(nowMs: number, ranMs: number): void {
     this.failed(nowMs);
     if (ranMs < EARLY_FAILURE_MS) this.#suspectUntilMs = nowMs + SUSPECT_MS;
   }
 
-  /** A run ended well. */
+  /** Notes a run that completed successfully. */
   succeeded(nowMs: number): void {
     this.#provenUntilMs = nowMs + PROVEN_MS;
     this.#consecutiveFailures = 0;
@@ -80,7 +80,7 @@
     this.#throttledUntilMs = Number.NEGATIVE_INFINITY;
   }
 
-  /** An order was refused although there should be room. */
+  /** Notes a start that was refused although there should be free capacity. */
   refused(nowMs: number): void {
     this.#backoffUntilMs = Math.max(
       this.#backoffUntilMs,
@@ -88,7 +88,7 @@
     );
   }
 
-  /** A run came on much more slowly than others. */
+  /** Notes a run that progressed much more slowly than others. */
   noteSlow(nowMs: number): void {
     this.#backoffUntilMs = Math.max(
       this.#backoffUntilMs,
@@ -96,7 +96,7 @@
     );
   }
 
-  /** A run failed, or an order was not answered. */
+  /** Notes a failed run or an unanswered order. */
   failed(nowMs: number): void {
     const scaledMs = (factor: number) =>
       INITIAL_BACKOFF_MS * factor ** this.#consecutiveFailures;
--- a/packages/coordinator/src/endpoints/endpoint_health_test.ts
+++ b/packages/coordinator/src/endpoints/endpoint_health_test.ts
@@ -1,9 +1,9 @@
-/** Workers are put aside for what went wrong there, and come back. */
+/** Endpoints are backed off after failures and receive work again later. */
 import * as vitest from "vitest";
 import * as healths from "./endpoint_health.ts";
 
 vitest.describe("EndpointHealth", () => {
-  vitest.it("stays aside ever longer while runs fail", () => {
+  vitest.it("backs off longer with each consecutive failure", () => {
     const health = new healths.EndpointHealth();
     const lengths = [1, 2, 3].map((i) => {
       const failedAtMs = i * 100_000;
@@ -16,7 +16,7 @@
     vitest.expect(lengths[2]).toBeGreaterThan(lengths[1]);
   });
 
-  vitest.it("comes back at once after a success", () => {
+  vitest.it("ends the backoff at once after a success", () => {
     const health = new healths.EndpointHealth();
     health.failed(0);
     health.failed(0);
@@ -24,7 +24,7 @@
     vitest.expect(health.isAside(1)).toBe(false);
   });
 
-  vitest.it("rests briefly after a refusal, longer when it was slow", () => {
+  vitest.it("backs off briefly after a refusal, longer when slow", () => {
     const refused = new healths.EndpointHealth();
     refused.refused(0);
     vitest.expect(refused.isAside(200)).toBe(true);
@@ -34,7 +34,7 @@
     vitest.expect(slow.isAside(400)).toBe(true);
   });
 
-  vitest.it("is in doubt for a while after a run that failed at once", () => {
+  vitest.it("is suspect for a while after a run that failed early", () => {
     const health = new healths.EndpointHealth();
     health.ranAndFailed(1000, 50);
     vitest.expect(health.isDoubted(4000)).toBe(true);
@@ -44,7 +44,7 @@
     vitest.expect(other.isDoubted(1001)).toBe(false);
   });
 
-  vitest.it("is aside for 2.5 s at most, then gets one run at a time", () => {
+  vitest.it("backs off for 2.5 s at most, then gets one run at a time", () => {
     const health = new healths.EndpointHealth();
     for (let failure = 0; failure < 8; failure++) health.failed(1000);
     vitest.expect(health.isAside(3400)).toBe(true);
@@ -65,7 +65,7 @@
     vitest.expect(health.isDoubted(5500)).toBe(false);
   });
 
-  vitest.it("is proven by a run that goes on, not by one that began", () => {
+  vitest.it("is proven by a run past 0.5 s, not by one just started", () => {
     const health = new healths.EndpointHealth();
     health.noteRunning(1000, 100);
     vitest.expect(health.isProven(1001)).toBe(false);
--- a/packages/coordinator/src/endpoints/endpoint_sessions.ts
+++ b/packages/coordinator/src/endpoints/endpoint_sessions.ts
@@ -1,4 +1,4 @@
-/** A session with each endpoint that is listed or named by the records. */
+/** Sessions with all endpoints that are listed or named by the records. */
 import type * as Ports from "@cairngate/ports";
 import type * as Workflow from "@cairngate/workflow";
 import * as Scheduler from "@cairngate/workflow-scheduler";
@@ -10,41 +10,47 @@
 import * as looses from "../sessions/loose_starts.ts";
 import * as sessions from "../sessions/endpoint_session.ts";
 import type * as directoryOptions from "./directory_options.ts";
-import type * as listingBooks from "./listing_book.ts";
+import type * as acceptedListings from "./listing_book.ts";
 import type * as silences from "./silence_log.ts";
 
-/** What the sessions work with. */
+/** Collaborators of the sessions. */
 export interface EndpointSessionsOptions {
   readonly options: directoryOptions.DirectoryOptions;
-  readonly listings: listingBooks.AcceptedListings;
+  readonly listings: acceptedListings.AcceptedListings;
   readonly silences: silences.SilenceLog;
 }
 
-/** Where the records say that an endpoint was, in which life. */
+/** Address and birth time under which the records name an endpoint. */
 export interface RecordedPlace {
   readonly bornMs: number | null;
   readonly address?: string | null;
 }
 
-/** What a session has to know of an endpoint. */
+/** The fields of a listing that a session needs. */
 type SessionTarget = Pick<
   Ports.EndpointListing,
   "id" | "address" | "bornMs" | "dataCentre" | "draining"
 >;
 
 /**
- * An endpoint that is neither listed nor heard for this time, in ms, may have ended:
- * one that lives is listed again about two seconds after an outage.
+ * Time without listing and answers, in ms, after which an endpoint may have ended: a
+ * running one is listed again about two seconds after an outage.
  */
 const GONE_AFTER_MS = 4000;
-/** Time between two looks at runs that come on, in a small fleet, in ms. */
+/**
+ * Minimum time between two progress polls of an endpoint, in ms; applies to small
+ * fleets.
+ */
 const MIN_POLL_INTERVAL_MS = 600;
-/** The same in a large fleet: slow runs have to be noticed within seconds. */
+/**
+ * Maximum time between two progress polls in a large fleet, in ms: stragglers have to
+ * be noticed within seconds.
+ */
 const MAX_POLL_INTERVAL_MS = 1000;
-/** Looks in a second before they become rarer: 250 workers once a second. */
+/** Polls per second above which the interval grows: 250 endpoints once a second. */
 const POLLS_PER_SECOND = 250;
 
-/** Sessions by endpoint; one for each term. */
+/** Sessions by endpoint, for one term. */
 export class EndpointSessions {
   readonly #parts: EndpointSessionsOptions;
   readonly #sessions = new Map<string, sessions.EndpointSession>();
@@ -52,7 +58,10 @@
   /** Unanswered starts by endpoint; they may be delivered after its session ends. */
   readonly #looseStarts = new Map<string, looses.LooseStarts>();
   readonly #load: loads.BoxLoad;
-  /** Our time by which leases of earlier coordinators have run out. */
+  /**
+   * Monotonic time, in ms, by which the leases given by earlier coordinators have
+   * expired.
+   */
   #earlierLeaseExpiryMs: number;
   #hasBegun = false;
 
@@ -66,7 +75,7 @@
     );
   }
 
-  /** All sessions. */
+  /** All sessions, in the order in which they were opened. */
   get all(): Iterable<sessions.EndpointSession> {
     return this.#sessions.values();
   }
@@ -76,14 +85,14 @@
     return this.#sessions.get(id);
   }
 
-  /** How late this box is with its own work, in ms. */
+  /** Delay of this box's own processing, in ms. */
   get lateMs(): number {
     return this.#load.lateMs;
   }
 
   /**
-   * Lets the sessions talk to their endpoints. Until now, the former coordinator may
-   * have renewed leases: no endpoint knew of this term.
+   * Starts the sessions. The former coordinator may have renewed leases until now,
+   * because no endpoint knew of this term yet.
    */
   begin(): void {
     const { options: { recovery, ports: { clock, bounds } }, listings } =
@@ -95,7 +104,7 @@
     for (const session of this.#sessions.values()) {
       session.coverLeases(this.#earlierLeaseExpiryMs);
     }
-    // Runs that no record names so far have to keep their leases as well.
+    // Runs that are not read from the records yet have to keep their leases as well.
     if (!recovery.isComplete) {
       for (const { id } of listings.all) this.open(id);
     }
@@ -104,8 +113,8 @@
   }
 
   /**
-   * The session with an endpoint that the records name; null where it has ended. One
-   * that is not listed any more is asked where the records say that it was.
+   * The session with an endpoint that the records name; null where its incarnation has
+   * ended. An endpoint that is no longer listed is contacted at its recorded address.
    */
   open(
     id: string,
@@ -124,14 +133,17 @@
     return this.#open({ id, address, bornMs, ...unlistedDefaults });
   }
 
-  /** What may be at an endpoint is asked for where it stands. */
+  /**
+   * Opens a session at the endpoint's present address and moves the former one's runs
+   * to it.
+   */
   reopen(former: sessions.EndpointSession): void {
     const session = this.open(former.ref.id);
     if (session !== null && !former.isOver) session.takeOver(former);
     former.retire();
   }
 
-  /** Closes a session. */
+  /** Closes a session and interrupts its fiber. */
   drop({ ref }: sessions.EndpointSession): void {
     const { id } = ref;
     this.#sessions.delete(id);
@@ -142,8 +154,9 @@
   }
 
   /**
-   * Closes sessions with endpoints that are not listed and hold nothing. One whose
-   * life has ended stays while its entry does, or it would be taken for a new one.
+   * Closes sessions with endpoints that are unlisted and hold no runs. The session of
+   * an ended incarnation stays while its listing does; otherwise the listing would be
+   * taken for a new endpoint.
    */
   closeUnlisted(): void {
     const { listings } = this.#parts;
@@ -162,7 +175,7 @@
     }
   }
 
-  /** Ends all fibers of the sessions, and the orders that they repeat. */
+  /** Interrupts all session fibers and the orders that they retry. */
   close(): Effect.Effect<void> {
     return Effect.suspend(() => {
       for (const session of this.#sessions.values()) session.retire();
@@ -216,8 +229,9 @@
   }
 
   /**
-   * One life has answered at its address, so no other one is there. That ends those
-   * that are called there: an entry may name the address for one that stands elsewhere.
+   * Ends the sessions with other endpoints at an address that has answered: one address
+   * has one incarnation. A listing may name this address for an endpoint whose session
+   * is at another address; that session stays.
    */
   #endOthersAt(ref: Ports.EndpointRef): void {
     for (const other of this.#parts.listings.othersAt(ref)) {
@@ -228,7 +242,10 @@
     }
   }
 
-  /** An endpoint whose listing lapsed with the store keeps its last word. */
+  /**
+   * Whether an endpoint may hold these tasks, by its listing. Without a listing it may:
+   * the listing may have lapsed with the store.
+   */
   #mayHold(id: string, tasks: readonly Workflow.Task[]): boolean {
     const listing = this.#parts.listings.get(id);
     if (listing === undefined) return true;
@@ -236,8 +253,8 @@
   }
 
   /**
-   * A box that is late leaves longer times between its looks: an end is told at
-   * once all the same, because a look waits for it at the endpoint.
+   * Interval of progress polls. An overloaded box polls less often; ends of runs are
+   * still reported at once, because a poll waits at the endpoint for the next end.
    */
   #pollIntervalMs(): number {
     const count = this.#sessions.size;
--- a/packages/coordinator/src/endpoints/endpoint_speeds.ts
+++ b/packages/coordinator/src/endpoints/endpoint_speeds.ts
@@ -1,23 +1,24 @@
 /**
- * How fast workers are beside each other, learned from tasks of the same step
- * that run on several of them. Tasks of a step differ a little in size, so one
- * comparison says little and many say much.
+ * Relative speeds of endpoints, learned from tasks of the same step that run on several
+ * of them. Tasks of a step differ a little in size, so a speed needs many comparisons.
  */
 
-/** The rate of one run, compared once with those of its siblings. */
+/** Progress rate of one run; each run is compared once with its siblings. */
 export interface RunRate {
-  readonly worker: string;
+  readonly endpoint: string;
   /** Percent per millisecond. */
   readonly rate: number;
 }
 
-/** Comparisons that speak for the usual speed from the start. */
+/** Weight of the prior, the usual speed, in comparisons. */
 const PRIOR_WEIGHT = 3;
-/** Older comparisons fade, because workers change. */
+/**
+ * Number of comparisons after which older ones lose weight, because endpoints change.
+ */
 const MAX_COUNT = 15;
-/** Runs needed for a comparison. */
+/** Minimum number of runs for a comparison. */
 const MIN_RUNS = 3;
-/** A run that is this much off says more about a fault than about speed. */
+/** Ratios outside of these bounds indicate a fault rather than a speed. */
 const MIN_RATIO = 0.5;
 const MAX_RATIO = 2;
 
@@ -26,20 +27,20 @@
   mean: number;
 }
 
-/** Speeds of workers; 1 is the usual one. */
+/** Speeds of endpoints; 1 is the usual one. */
 export class EndpointSpeeds {
   readonly #averages = new Map<string, SpeedAverage>();
 
-  /** Speed of a worker. */
-  of(worker: string): number {
-    const average = this.#averages.get(worker);
+  /** Estimated speed of an endpoint. */
+  of(endpoint: string): number {
+    const average = this.#averages.get(endpoint);
     if (average === undefined) return 1;
     const { count, mean } = average;
     return (PRIOR_WEIGHT + count * mean) / (PRIOR_WEIGHT + count);
   }
 
   /**
-   * Compares runs of one step.
+   * Compares runs of one step with their median.
    * @param all rates of all runs of the step
    * @param fresh those that were not compared before
    */
@@ -48,19 +49,19 @@
     const sorted = [...all].sort((a, b) => a - b);
     const median = sorted[Math.floor(sorted.length / 2)];
     if (median <= 0) return;
-    for (const { worker, rate } of fresh) this.#note(worker, rate / median);
+    for (const { endpoint, rate } of fresh) this.#note(endpoint, rate / median);
   }
 
-  /** Drops what is known of a worker that has gone. */
-  remove(worker: string): void {
-    this.#averages.delete(worker);
+  /** Drops the estimate for an endpoint that is gone. */
+  remove(endpoint: string): void {
+    this.#averages.delete(endpoint);
   }
 
-  #note(worker: string, ratio: number): void {
+  #note(endpoint: string, ratio: number): void {
     if (ratio < MIN_RATIO || ratio > MAX_RATIO) return;
-    const average = this.#averages.get(worker) ?? { count: 0, mean: 1 };
+    const average = this.#averages.get(endpoint) ?? { count: 0, mean: 1 };
     average.count = Math.min(average.count + 1, MAX_COUNT);
     average.mean += (ratio - average.mean) / average.count;
-    this.#averages.set(worker, average);
+    this.#averages.set(endpoint, average);
   }
 }
--- a/packages/coordinator/src/endpoints/evacuation_book.ts
+++ b/packages/coordinator/src/endpoints/evacuation_book.ts
@@ -1,38 +1,38 @@
 /**
- * Which data centres the operator evacuates, as this box knows it. Nothing starts
- * there from the time at which this box learns of it; a box that has not heard the
- * operator's rows for too long starts nothing at all, because any data centre may
- * be evacuated by then.
+ * Data centres that the operator evacuates, as known to this box. Nothing starts there
+ * once this box learns of the evacuation. A box that has not received the operator's
+ * rows for too long starts nothing at all, because any data centre may be under
+ * evacuation by then.
  */
 import type * as Logger from "@cairngate/logger";
 import * as Ports from "@cairngate/ports";
 
-/** What the book works with. */
+/** Options of the evacuation book. */
 export interface EvacuationBookOptions {
   readonly clock: Ports.Clock;
   readonly log: Logger.Logger;
-  /** Time from the operator's word until nothing starts there any more, in ms. */
+  /** Time from the operator's command until nothing starts there any more, in ms. */
   readonly inForceMs: number;
 }
 
-/** A data centre that is evacuated. */
+/** A data centre under evacuation. */
 export interface Evacuation {
   readonly dataCentre: string;
-  /** Time of day at which this box learned of it, in ms since 1970. */
+  /** Wall-clock time at which this box learned of it, in ms since 1970. */
   readonly sinceMs: number;
 }
 
 /**
- * Covers the way of an order to its endpoint, in ms: it may be tried for twice
- * 0.45 s with 0.15 s between (run_starter.ts) before nothing more is sent, but each
- * try asks again, so that one try counts; the rest is for the feed's answer.
+ * Margin for the delivery of an order to its endpoint, in ms. An order may be tried
+ * twice for 0.45 s with 0.15 s between (run_starter.ts), but each try checks again, so
+ * one try counts; the rest covers the feed's answer.
  */
 const ORDER_MARGIN_MS = 700;
 
 /** Data centres in which nothing may start. */
 export class EvacuationBook {
   readonly #options: EvacuationBookOptions;
-  /** By the key of the operator's row: a removed row shows no more than that. */
+  /** Evacuations by row key: the change that removes a row carries only its key. */
   readonly #byRow = new Map<string, Evacuation>();
   #syncedAtMs = Number.NEGATIVE_INFINITY;
   #syncedAtWallMs = Number.NEGATIVE_INFINITY;
@@ -41,7 +41,7 @@
     this.#options = options;
   }
 
-  /** Takes in changes of the operator's rows. */
+  /** Applies changes of the operator's rows. */
   take(entries: readonly Ports.FeedEntry<Ports.OperatorEntry>[]): void {
     for (const { key, value } of entries) {
       if (value === null) this.#endEvacuation(key);
@@ -51,7 +51,7 @@
     }
   }
 
-  /** All of the operator's rows are known as they are now. */
+  /** Notes that all of the operator's rows are up to date as of now. */
   noteHeard(): void {
     const { clock } = this.#options;
     this.#syncedAtMs = clock.monotonicMs();
@@ -59,8 +59,9 @@
   }
 
   /**
-   * Whether an evacuation may be in force that this box has not heard of. The steady
-   * clock of a box that was suspended may have stood still; its time of day has not.
+   * Whether an evacuation may be in force that this box has not received. Both clocks
+   * count: the monotonic clock may have stopped while the box was suspended, the wall
+   * clock has not.
    */
   get mayBeLate(): boolean {
     const { clock, inForceMs } = this.#options;
@@ -71,9 +72,9 @@
     return staleForMs > inForceMs - ORDER_MARGIN_MS;
   }
 
-  /** Whether the operator evacuates a data centre, as far as is known. */
+  /** Whether a data centre is under evacuation, as far as this box knows. */
   isEvacuated(dataCentre: string): boolean {
-    // Asked for each endpoint in each plan; mostly there is none.
+    // Called for each endpoint in each plan; usually there is no evacuation.
     for (const one of this.#byRow.values()) {
       if (one.dataCentre === dataCentre) return true;
     }
@@ -85,7 +86,7 @@
     return !this.mayBeLate && !this.isEvacuated(dataCentre);
   }
 
-  /** All evacuations, in the order in which they were learned. */
+  /** All evacuations, in the order in which they were received. */
   list(): readonly Evacuation[] {
     return [...this.#byRow.values()];
   }
@@ -95,7 +96,7 @@
     const sinceMs = this.#options.clock.wallMs();
     this.#byRow.set(key, { dataCentre, sinceMs });
     this.#options.log.info(
-      `Data centre ${dataCentre} is evacuated: nothing starts there any more.`,
+      `Data centre ${dataCentre} is evacuated: no further runs start there.`,
     );
   }
 
@@ -104,7 +105,7 @@
     if (ended === undefined) return;
     this.#byRow.delete(key);
     this.#options.log.info(
-      `Data centre ${ended.dataCentre} is taken back into use.`,
+      `Data centre ${ended.dataCentre} is no longer evacuated: runs may start there.`,
     );
   }
 }
--- a/packages/coordinator/src/endpoints/leaving_runs.ts
+++ b/packages/coordinator/src/endpoints/leaving_runs.ts
@@ -1,26 +1,29 @@
 /**
- * Decides which runs leave a draining worker early. What will hardly end before
- * the worker goes begins again elsewhere now, not when the worker is gone.
+ * Selects the runs to move off draining endpoints early. A run that will probably not
+ * finish before its endpoint leaves restarts elsewhere now instead of after the loss.
  */
 import type * as Workflow from "@cairngate/workflow";
 
-/** A run on a worker that is going to leave. */
+/** A run on an endpoint that is going to leave. */
 export interface LeavingRun {
   readonly task: Workflow.Task;
-  /** Time that the run has had so far. */
+  /** Time for which the run was watched, in ms. */
   readonly ranMs: number;
-  /** Share that is done, 0 to 100. */
+  /** Progress, 0 to 100. */
   readonly percent: number;
-  /** Least time until the worker leaves. */
+  /** Earliest time until the endpoint leaves, in ms. */
   readonly leavesInMs: number;
 }
 
-/** Workers mostly stay longer than they must; work without checkpoints bets. */
+/**
+ * Endpoints usually stay longer than announced. Runs without checkpoints would lose all
+ * progress by moving, so they count on this factor.
+ */
 const STAY_FACTOR = 1.5;
-/** Below this share the estimate tells more than the pace. */
+/** Below this progress the estimate predicts the end better than the rate. */
 const MIN_PERCENT = 10;
 
-/** The runs that had better stop now. */
+/** Returns the tasks of the runs to stop and restart elsewhere. */
 export function findRunsToMove(runs: readonly LeavingRun[]): Workflow.Task[] {
   return runs.filter(shouldMove).map(({ task }) => task);
 }
--- a/packages/coordinator/src/endpoints/leaving_runs_test.ts
+++ b/packages/coordinator/src/endpoints/leaving_runs_test.ts
@@ -1,4 +1,4 @@
-/** Runs leave a draining worker only where they would not end there. */
+/** Only runs that would not finish on a draining endpoint are moved off it. */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
@@ -21,18 +21,21 @@
   return { task, ranMs: 2000, percent: 25, leavesInMs: 3000, ...changes };
 }
 
-vitest.describe("findLeaving", () => {
-  vitest.it("moves a run that needs much longer than the worker has", () => {
-    const run = buildRun({});
-    vitest.expect(leavingRuns.findRunsToMove([run])).toEqual([run.task]);
-  });
+vitest.describe("findRunsToMove", () => {
+  vitest.it(
+    "moves a run that needs much longer than the endpoint stays",
+    () => {
+      const run = buildRun({});
+      vitest.expect(leavingRuns.findRunsToMove([run])).toEqual([run.task]);
+    },
+  );
 
-  vitest.it("leaves a run that ends in time", () => {
+  vitest.it("keeps a run that ends in time", () => {
     const run = buildRun({ percent: 50 });
     vitest.expect(leavingRuns.findRunsToMove([run])).toEqual([]);
   });
 
-  vitest.it("bets on a longer stay only where there is no checkpoint", () => {
+  vitest.it("assumes a longer stay only for runs without checkpoints", () => {
     const close = { ranMs: 4000, percent: 50 };
     const plain = buildRun(close);
     const saved = buildRun(close, { checkpoints: true });
@@ -41,12 +44,12 @@
     ]);
   });
 
-  vitest.it("moves a lasting task at once, for it never ends", () => {
+  vitest.it("moves a lasting task at once, because it never ends", () => {
     const run = buildRun({ leavesInMs: 60_000 }, { lasting: true });
     vitest.expect(leavingRuns.findRunsToMove([run])).toEqual([run.task]);
   });
 
-  vitest.it("goes by the estimate while there is little to go by", () => {
+  vitest.it("uses the estimate while there is little progress", () => {
     const run = buildRun({ ranMs: 100, percent: 0 });
     vitest.expect(leavingRuns.findRunsToMove([run])).toEqual([run.task]);
   });
--- a/packages/coordinator/src/endpoints/listing_book.ts
+++ b/packages/coordinator/src/endpoints/listing_book.ts
@@ -1,22 +1,22 @@
-/** Entries of the platform's list that are believed, and the addresses they name. */
+/** Accepted listings of endpoints, and the addresses that they name. */
 import type * as Ports from "@cairngate/ports";
 import * as addresses from "./address_book.ts";
 
-/** Listings by endpoint. */
+/** Accepted listings by endpoint. */
 export class AcceptedListings {
   readonly #clock: Ports.Clock;
   readonly #listings = new Map<string, Ports.EndpointListing>();
-  /** Endpoint of each row; a removed row shows no more than its key. */
+  /** Endpoint id by row key: the change that removes a row carries only its key. */
   readonly #idOfRow = new Map<string, string>();
   readonly #addresses = new addresses.AddressIndex();
-  /** Our time at which the listing of an endpoint went, while it is away. */
+  /** Monotonic time, in ms, at which an endpoint with a session became unlisted. */
   readonly #unlistedAtMs = new Map<string, number>();
 
   constructor(clock: Ports.Clock) {
     this.#clock = clock;
   }
 
-  /** All listings. */
+  /** All accepted listings. */
   get all(): Iterable<Ports.EndpointListing> {
     return this.#listings.values();
   }
@@ -26,30 +26,32 @@
     return this.#listings.get(id);
   }
 
-  /** For how long an endpoint with a session has not been listed, in ms. */
+  /** Time for which an endpoint with a session has been unlisted, in ms. */
   unlistedForMs(id: string): number {
     const nowMs = this.#clock.monotonicMs();
     return nowMs - (this.#unlistedAtMs.get(id) ?? nowMs);
   }
 
-  /** Other endpoints that are known at an address. */
+  /** Other endpoints that claim the same address. */
   othersAt({ id, address }: Ports.EndpointRef): readonly string[] {
     return this.#addresses.othersAt(address, id);
   }
 
-  /** A row is about an endpoint, whether it is believed or not. */
+  /**
+   * Records the endpoint that a row is about, whether or not its listing is accepted.
+   */
   noteRow(key: string, id: string): void {
     this.#idOfRow.set(key, id);
   }
 
-  /** A row is gone; returns its endpoint, undefined where it had none. */
+  /** Removes a row and returns its endpoint; undefined where the row is unknown. */
   removeRow(key: string): string | undefined {
     const id = this.#idOfRow.get(key);
     this.#idOfRow.delete(key);
     return id;
   }
 
-  /** An entry is believed. */
+  /** Adds an accepted listing. */
   set(listing: Ports.EndpointListing): void {
     const { id, address } = listing;
     this.#listings.set(id, listing);
@@ -57,17 +59,17 @@
     this.#unlistedAtMs.delete(id);
   }
 
-  /** An entry that is believed names another address than the one before. */
+  /** Drops the former address if the accepted listing names another one. */
   noteAddressChange({ id, address }: Ports.EndpointListing): void {
     const former = this.#listings.get(id)?.address ?? address;
     if (former !== address) this.#addresses.remove(id, former);
   }
 
   /**
-   * An endpoint is listed no more.
+   * Removes the listing of an endpoint.
    *
-   * @param sessionAddress where the session with it stands; null: there is none. It
-   * keeps its own address in the book until it is dropped
+   * @param sessionAddress address of the session with it, which stays indexed until the
+   * session closes; null where there is no session
    */
   remove(id: string, sessionAddress: string | null): void {
     const listing = this.#listings.get(id);
@@ -80,13 +82,13 @@
     }
   }
 
-  /** An endpoint that is not listed stands where the records say that it was. */
+  /** Records the recorded address of an endpoint that is not listed. */
   noteRecorded({ id, address }: Ports.EndpointRef): void {
     this.#addresses.add(id, address);
     this.#unlistedAtMs.set(id, this.#clock.monotonicMs());
   }
 
-  /** The session with an endpoint is dropped. */
+  /** Drops the session's address, unless the endpoint is still listed. */
   noteSessionClosed({ id, address }: Ports.EndpointRef): void {
     this.#unlistedAtMs.delete(id);
     if (!this.#listings.has(id)) this.#addresses.remove(id, address);
--- a/packages/coordinator/src/endpoints/listing_changes.ts
+++ b/packages/coordinator/src/endpoints/listing_changes.ts
@@ -1,26 +1,29 @@
-/** Takes in the changes of the platform's list; an entry alone proves little. */
+/**
+ * Applies changes of the platform's list. A listing alone is weak evidence: it may be
+ * out of date or written by another party.
+ */
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
 import type * as sessions from "../sessions/endpoint_session.ts";
 import type * as directoryOptions from "./directory_options.ts";
 import * as conflicts from "./doubted_listings.ts";
 import type * as endpointSessions from "./endpoint_sessions.ts";
-import type * as listingBooks from "./listing_book.ts";
+import type * as acceptedListings from "./listing_book.ts";
 import type * as listingTimes from "./listing_times.ts";
 import type * as uneven from "./uneven_speeds.ts";
 import type * as speeds from "./endpoint_speeds.ts";
 
-/** What the changes have to do with. */
+/** Collaborators of the listing changes. */
 export interface ListingChangesOptions {
   readonly options: directoryOptions.DirectoryOptions;
-  readonly listings: listingBooks.AcceptedListings;
+  readonly listings: acceptedListings.AcceptedListings;
   readonly sessions: endpointSessions.EndpointSessions;
   readonly times: listingTimes.ListingTimes;
   readonly speeds: speeds.EndpointSpeeds;
   readonly unevenSpeeds: uneven.UnevenSpeeds;
 }
 
-/** Changes of the list. */
+/** Applies listing changes to the sessions and to what is known of endpoints. */
 export class ListingChanges {
   readonly #parts: ListingChangesOptions;
   readonly #conflicts: conflicts.ConflictingListings;
@@ -36,7 +39,7 @@
     });
   }
 
-  /** Takes in changes. */
+  /** Applies changes of the platform's list. */
   update(entries: readonly Ports.FeedEntry<Ports.EndpointListing>[]): void {
     for (const { key, value } of entries) {
       if (value === null) {
@@ -48,7 +51,10 @@
     }
   }
 
-  /** Another life answers under this id. */
+  /**
+   * Handles another incarnation answering under this id: drops its learned speeds and
+   * accepts its pending listing, if any.
+   */
   noteNewIncarnation(id: string): void {
     this.#parts.speeds.remove(id);
     this.#parts.unevenSpeeds.remove(id);
@@ -78,8 +84,9 @@
   }
 
   /**
-   * A life keeps its address: an entry that names another one was wrong, or is.
-   * Returns the session at an address where it never answered.
+   * Closes a session whose endpoint never answered, or has ended, at an address other
+   * than the listed one. An incarnation never changes its address, so one of the two
+   * addresses is wrong. Returns the closed session.
    */
   #replaceAddress(
     listing: Ports.EndpointListing,
@@ -96,8 +103,9 @@
   }
 
   /**
-   * One address has one life. Which one it is, only the address can tell: an entry
-   * outlasts its endpoint by seconds, and another writer may name any address.
+   * Polls the other endpoints at a listed address. One address has one incarnation, and
+   * only an answer from it shows which: a listing outlasts its endpoint by seconds, and
+   * other writers may list any address.
    */
   #verifyOthers(listing: Ports.EndpointListing): void {
     const { listings, sessions } = this.#parts;
--- a/packages/coordinator/src/endpoints/listing_times.ts
+++ b/packages/coordinator/src/endpoints/listing_times.ts
@@ -1,18 +1,18 @@
-/** Times that the listings of endpoints tell, by our own steady clock. */
+/** Times derived from listings, on this box's monotonic clock. */
 import type * as Ports from "@cairngate/ports";
 
 interface ListedTimes {
-  /** Birth of the life that told it; null: not told. */
+  /** Birth time of the incarnation that the listing names; null where it names none. */
   readonly bornMs: number | null;
-  /** When the newest listing came. */
+  /** When the newest listing arrived. */
   readonly listedAtMs: number;
-  /** Least time by which it may leave; null while it stays. */
+  /** Earliest time at which it may leave; null while it stays. */
   readonly leavesAtMs: number | null;
-  /** Until when it runs slowly from its start. */
+  /** End of the cold start, during which runs are slow. */
   readonly coldUntilMs: number;
 }
 
-/** What the listings of all endpoints tell of times. */
+/** Times from the newest listing of each endpoint. */
 export class ListingTimes {
   readonly #clock: Ports.Clock;
   readonly #times = new Map<string, ListedTimes>();
@@ -22,8 +22,8 @@
   }
 
   /**
-   * A listing has come; one that tells no time to leave keeps what the same life told
-   * before.
+   * Takes in a listing. One without a departure time keeps that of the same
+   * incarnation.
    */
   note(listing: Ports.EndpointListing): void {
     const { id, bornMs, draining, leavesInMs, coldForMs } = listing;
@@ -36,23 +36,23 @@
     this.#times.set(id, { bornMs, listedAtMs, leavesAtMs, coldUntilMs });
   }
 
-  /** An endpoint is listed no more. */
+  /** Drops the times of an endpoint that became unlisted. */
   remove(id: string): void {
     this.#times.delete(id);
   }
 
-  /** When the newest listing came; null where there is none. */
+  /** When the newest listing arrived; null where there is none. */
   listedAtMs(id: string): number | null {
     return this.#times.get(id)?.listedAtMs ?? null;
   }
 
-  /** Least time until an endpoint leaves; null while it stays. */
+  /** Earliest time until an endpoint leaves, in ms; null while it stays. */
   leavesInMs(id: string): number | null {
     const atMs = this.#times.get(id)?.leavesAtMs ?? null;
     return atMs === null ? null : Math.max(0, atMs - this.#clock.monotonicMs());
   }
 
-  /** Whether an endpoint has just come up and runs slowly for a while. */
+  /** Whether an endpoint is in its cold start and runs slowly. */
   isCold(id: string): boolean {
     const untilMs = this.#times.get(id)?.coldUntilMs;
     return untilMs !== undefined && this.#clock.monotonicMs() < untilMs;
--- a/packages/coordinator/src/endpoints/plan_states.ts
+++ b/packages/coordinator/src/endpoints/plan_states.ts
@@ -1,35 +1,35 @@
-/** The endpoints as a plan sees them. */
+/** Endpoint states for the scheduler. */
 import type * as Ports from "@cairngate/ports";
 import type * as Scheduler from "@cairngate/workflow-scheduler";
 import type * as evacuations from "./evacuation_book.ts";
 import type * as endpointSessions from "./endpoint_sessions.ts";
-import type * as listingBooks from "./listing_book.ts";
+import type * as acceptedListings from "./listing_book.ts";
 import type * as listingTimes from "./listing_times.ts";
 import type * as silences from "./silence_log.ts";
 import type * as uneven from "./uneven_speeds.ts";
 import type * as speeds from "./endpoint_speeds.ts";
 
-/** What the states are made of. */
+/** Sources of the endpoint states. */
 export interface EndpointStatesOptions {
   readonly clock: Ports.Clock;
   readonly evacuations: evacuations.EvacuationBook;
-  readonly listings: listingBooks.AcceptedListings;
+  readonly listings: acceptedListings.AcceptedListings;
   readonly sessions: endpointSessions.EndpointSessions;
   readonly times: listingTimes.ListingTimes;
   readonly speeds: speeds.EndpointSpeeds;
   readonly unevenSpeeds: uneven.UnevenSpeeds;
-  /** Whether endpoints differ so much that their speeds count for more. */
+  /** Whether endpoint speeds differ enough for the uneven-speed model to apply. */
   readonly doEndpointsDiffer: () => boolean;
   readonly silences: silences.SilenceLog;
 }
 
 interface PlanMoment {
   readonly nowMs: number;
-  /** Whether the evacuations are known up to now, so that work may start at all. */
+  /** Whether evacuations are up to date, so that work may start at all. */
   readonly mayStart: boolean;
 }
 
-/** States of all listed endpoints. */
+/** Builds the states of all listed endpoints. */
 export class EndpointStates {
   readonly #options: EndpointStatesOptions;
 
@@ -37,7 +37,7 @@
     this.#options = options;
   }
 
-  /** The endpoints as a plan sees them. */
+  /** Current states of all listed endpoints. */
   all(): Scheduler.WorkerState[] {
     const { clock, evacuations, listings } = this.#options;
     const nowMs = clock.monotonicMs();
@@ -48,26 +48,29 @@
     );
   }
 
-  /** Speed of an endpoint beside the others; 1 is the usual one. */
+  /** Relative speed of an endpoint; 1 is the usual one. */
   speedOf(id: string): number {
     const { speeds, unevenSpeeds, doEndpointsDiffer } = this.#options;
     return doEndpointsDiffer() ? unevenSpeeds.of(id) : speeds.of(id);
   }
 
-  /** Speed by which the paces of runs are compared; 1 where speeds hardly differ. */
+  /**
+   * Speed by which the progress rates of runs are normalised; 1 where speeds hardly
+   * differ.
+   */
   comparisonSpeed(id: string): number {
     const { unevenSpeeds, doEndpointsDiffer } = this.#options;
     return doEndpointsDiffer() ? unevenSpeeds.of(id) : 1;
   }
 
-  /** Where an endpoint stands and how fast it is; null where it is not listed. */
+  /** Rack and speed of an endpoint; null where it is not listed. */
   siteOf(id: string): { rack: string; speed: number } | null {
     const listing = this.#options.listings.get(id);
     if (listing === undefined) return null;
     return { rack: listing.rack, speed: this.speedOf(id) };
   }
 
-  /** Accelerators that may be given work: listed, staying, not evacuated. */
+  /** Accelerators of endpoints that are listed, not draining and not evacuated. */
   get schedulableAccelerators(): number {
     return [...this.#options.listings.all]
       .filter((one) => this.#isSchedulable(one))
@@ -100,7 +103,7 @@
     };
   }
 
-  /** Whether it stays and is not evacuated. */
+  /** Whether the endpoint is neither draining nor in an evacuated data centre. */
   #isSchedulable({ draining, dataCentre }: Ports.EndpointListing): boolean {
     return !draining && !this.#options.evacuations.isEvacuated(dataCentre);
   }
--- a/packages/coordinator/src/endpoints/run_watch.ts
+++ b/packages/coordinator/src/endpoints/run_watch.ts
@@ -1,4 +1,4 @@
-/** Watches running tasks: slow ones begin again, leaving workers are emptied. */
+/** Watches runs: restarts stragglers and moves runs off leaving endpoints. */
 import * as Workflow from "@cairngate/workflow";
 import * as leavingRuns from "./leaving_runs.ts";
 import type * as occupants from "../sessions/occupant.ts";
@@ -8,12 +8,12 @@
 import * as stragglers from "./straggler_watch.ts";
 import type * as directories from "./endpoint_directory.ts";
 
-/** A run this old tells the speed of its worker. */
+/** Age from which a run's rate counts for the speed of its endpoint, in ms. */
 const MIN_COMPARED_AGE_MS = 1000;
-/** Runs of a step that are needed for a comparison. */
+/** Minimum number of runs of a step for a comparison. */
 const MIN_COMPARED_RUNS = 3;
 
-/** Looks at all runs from time to time. */
+/** Checks all runs; called periodically. */
 export class RunWatch {
   readonly #ports: ports.CoordinatorPorts;
   readonly #directory: directories.EndpointDirectory;
@@ -29,21 +29,21 @@
     this.#control = control;
   }
 
-  /** One look. */
+  /** Checks all runs once. */
   look(): void {
     const occupants = this.#occupantsInProgress();
     const nowMs = this.#ports.clock.monotonicMs();
-    for (const { occupant, pace, worker } of occupants) {
-      occupant.wasCold ||= this.#directory.times.isCold(worker);
-      this.#directory.session(worker)?.health.noteRunning(
+    for (const { occupant, pace, endpoint } of occupants) {
+      occupant.wasCold ||= this.#directory.times.isCold(endpoint);
+      this.#directory.session(endpoint)?.health.noteRunning(
         nowMs,
         pace.watchedMs,
       );
     }
-    // A cold endpoint is slow for a while, whatever runs there.
+    // Rates measured on a cold endpoint do not represent its speed.
     this.#compareSpeeds(occupants.filter(({ occupant }) => !occupant.wasCold));
-    const isWarm = ({ worker }: WatchedRun) =>
-      !this.#directory.times.isCold(worker);
+    const isWarm = ({ endpoint }: WatchedRun) =>
+      !this.#directory.times.isCold(endpoint);
     this.#restartStragglers(occupants.filter(isWarm));
     this.#moveLeavingRuns(occupants.map((one) => this.#progressOf(one)));
     this.#directory.closeUnlisted();
@@ -61,17 +61,17 @@
     }
     for (const runs of steps.values()) {
       const rates = runs.map(({ pace }) => pace.came / pace.watchedMs);
-      const fresh = runs.flatMap(({ occupant, worker }, i) =>
-        occupant.compared ? [] : [{ worker, rate: rates[i] }]
+      const fresh = runs.flatMap(({ occupant, endpoint }, i) =>
+        occupant.compared ? [] : [{ endpoint, rate: rates[i] }]
       );
       this.#directory.speeds.compare(rates, fresh);
       const { task } = runs[0].occupant;
       const siblings = task.workflow.siblings(task);
       if (runs.length < Math.min(MIN_COMPARED_RUNS, siblings.length)) continue;
       this.#directory.speedLearner.noteRunning(
-        runs.map(({ occupant, worker }, i) => ({
+        runs.map(({ occupant, endpoint }, i) => ({
           task: occupant.task,
-          run: { worker, rate: rates[i] },
+          run: { endpoint, rate: rates[i] },
           isFresh: !occupant.compared,
         })),
       );
@@ -90,12 +90,14 @@
       const isSlow = found.slow.has(occupant.task);
       occupant.slowSinceMs = isSlow ? occupant.slowSinceMs ?? nowMs : null;
     }
-    for (const id of found.workers) {
+    for (const id of found.endpoints) {
       this.#directory.session(id)?.health.noteSlow(nowMs);
     }
     for (const task of found.restart) {
       if (task.hasFewStarts) continue;
-      log.info(`Run ${task.run} of ${task.name} is slow; it starts again.`);
+      log.info(
+        `Run ${task.run} of ${task.name} is a straggler: it is stopped and restarted.`,
+      );
       metrics.count("cairngate_stragglers_total");
       task.slowRuns++;
       this.#control.stop(task);
@@ -105,12 +107,14 @@
   #moveLeavingRuns(runs: readonly stragglers.RunProgress[]): void {
     const { log, metrics } = this.#ports;
     const leaving = runs.flatMap((run) => {
-      const leavesInMs = this.#directory.times.leavesInMs(run.worker);
+      const leavesInMs = this.#directory.times.leavesInMs(run.endpoint);
       return leavesInMs === null ? [] : [{ ...run, leavesInMs }];
     });
     for (const task of leavingRuns.findRunsToMove(leaving)) {
       if (task.state !== Workflow.TaskState.Running) continue;
-      log.info(`Run ${task.run} of ${task.name} moves; its worker leaves.`);
+      log.info(
+        `Run ${task.run} of ${task.name} is moved because its endpoint is leaving.`,
+      );
       metrics.count("cairngate_evacuated_total");
       this.#control.stop(task);
     }
@@ -123,19 +127,19 @@
         const isRunning = task.state === Workflow.TaskState.Running &&
           task.run === run;
         if (!isRunning || pace === null) return [];
-        return [{ occupant, pace, worker: session.ref.id }];
+        return [{ occupant, pace, endpoint: session.ref.id }];
       })
     );
   }
 
   #progressOf(watched: WatchedRun): stragglers.RunProgress {
-    const { occupant: { task, slowSinceMs }, pace, worker } = watched;
+    const { occupant: { task, slowSinceMs }, pace, endpoint } = watched;
     const nowMs = this.#ports.clock.monotonicMs();
     return {
       task,
-      worker,
+      endpoint,
       ranMs: pace.watchedMs,
-      speed: this.#directory.comparisonSpeed(worker),
+      speed: this.#directory.comparisonSpeed(endpoint),
       percent: pace.percent,
       progressPercent: pace.came,
       recentRate: pace.recentRate,
@@ -145,9 +149,9 @@
   }
 }
 
-/** A run that has been looked at. */
+/** A run whose endpoint has reported its progress. */
 interface WatchedRun {
   readonly occupant: occupants.Occupant;
   readonly pace: paces.RunPace;
-  readonly worker: string;
+  readonly endpoint: string;
 }
--- a/packages/coordinator/src/endpoints/silence_log.ts
+++ b/packages/coordinator/src/endpoints/silence_log.ts
@@ -1,36 +1,39 @@
 /**
- * When endpoints fell silent and which of them had crashed: many that fall at one
- * moment have lost their power or their network; no task has done that.
+ * Correlates endpoints that stop answering or crash. Many failures at one moment are a
+ * loss of power or network, which no task can cause.
  */
 import type * as Ports from "@cairngate/ports";
 import * as Workflow from "@cairngate/workflow";
 
 /**
- * Endpoints that fall within this time, in ms, fall together. Looks that wait at
- * an endpoint end with its connection; where that is silent, 0.8 s later.
+ * Failures within this time, in ms, are correlated. A poll waiting at an endpoint ends
+ * with its connection; where the endpoint is silent, it ends 0.8 s later.
  */
 const CORRELATION_WINDOW_MS = 1000;
-/** So many at once are no work of tasks: one task takes one endpoint with it. */
-const MAX_UNRELATED = 2;
 /**
- * So many at once, without those that held tasks in doubt, are a loss of power
- * whatever ran there: tasks that crash their endpoints do so one by one, and it
- * would take three times as many that begin within the same second.
+ * Correlated failures up to this number may be caused by tasks: one task takes down one
+ * endpoint.
+ */
+const MAX_TASK_CRASHES = 2;
+/**
+ * Correlated failures from this number on, not counting endpoints with suspect tasks,
+ * are a power loss whatever ran there. Tasks crash their endpoints one by one; it would
+ * take three times as many to begin within the same second.
  */
 const MIN_POWER_LOSS = 6;
-/** Notes are kept for this time, in ms: an endpoint is back after some seconds. */
+/** Time for which failures are kept, in ms: an endpoint is back after some seconds. */
 const RETENTION_MS = 20_000;
 
 interface EndpointFailure {
-  /** When it was last heard no more, or was found to have crashed. */
+  /** When it stopped answering, or was found to have crashed. */
   readonly silentAtMs: number;
-  /** When another life was seen; null while it is only silent. */
+  /** When another incarnation was seen; null while it is only silent. */
   crashedAtMs: number | null;
-  /** Runs that it had or may have had when it crashed. */
+  /** Runs that it had, or may have had, when it crashed. */
   victims: readonly Victim[];
-  /** One of its tasks had crashed another endpoint before. */
+  /** Whether one of its tasks had crashed another endpoint before. */
   hasSuspectTask: boolean;
-  /** How many fell with it, as its victims were told. */
+  /** Number of correlated failures last reported for its victims. */
   fellows: Workflow.CrashFellows;
 }
 
@@ -41,17 +44,17 @@
   readonly presence: Workflow.Presence;
 }
 
-/** What the log needs. */
+/** Options of the silence log. */
 export interface SilenceLogOptions {
   readonly clock: Ports.Clock;
-  /** Told where more endpoints fell than was known when a crash was counted. */
+  /** Called when more correlated failures are found after a crash was counted. */
   readonly onExcused: (
     victims: readonly Victim[],
     fellows: Workflow.CrashFellows,
   ) => void;
 }
 
-/** Falls of the last seconds, by address. */
+/** Failures of the last seconds, by address. */
 export class SilenceLog {
   readonly #options: SilenceLogOptions;
   readonly #failures = new Map<string, EndpointFailure>();
@@ -60,12 +63,12 @@
     this.#options = options;
   }
 
-  /** An endpoint does not answer any more. */
+  /** Notes that an endpoint stopped answering. */
   noteSilent({ address }: Ports.EndpointRef): void {
     this.#note(address);
   }
 
-  /** It answers again, in the same life. */
+  /** Notes that an endpoint answers again in the same incarnation. */
   noteHeard({ address }: Ports.EndpointRef): void {
     if (this.#failures.get(address)?.crashedAtMs === null) {
       this.#failures.delete(address);
@@ -73,8 +76,8 @@
   }
 
   /**
-   * It has crashed with these runs, or none. Returns how many fell with it; those
-   * that fell before and were told of fewer are told of it.
+   * Notes a crash with the runs it hit, if any. Returns how many endpoints failed with
+   * it, and reports a raised number for earlier correlated crashes.
    */
   noteCrash(
     { address }: Ports.EndpointRef,
@@ -96,12 +99,15 @@
     return failure.fellows;
   }
 
-  /** Since when an endpoint is not heard; null while it is. */
+  /**
+   * Monotonic time since which an endpoint has been silent, in ms; null while it
+   * answers.
+   */
   silentSinceMs({ address }: Ports.EndpointRef): number | null {
     return this.#failures.get(address)?.silentAtMs ?? null;
   }
 
-  /** Whether an endpoint at this address has crashed lately. */
+  /** Whether an endpoint at this address has crashed recently. */
   hasCrashedLately(address: string): boolean {
     return (this.#failures.get(address)?.crashedAtMs ?? null) !== null;
   }
@@ -112,7 +118,7 @@
       if (nowMs - silentAtMs > RETENTION_MS) this.#failures.delete(key);
     }
     const found = this.#failures.get(address);
-    // One that had crashed and is silent again falls a second time.
+    // A crashed endpoint that is silent again has failed a second time.
     if (found !== undefined && found.crashedAtMs === null) return found;
     const failure: EndpointFailure = {
       silentAtMs: nowMs,
@@ -135,12 +141,14 @@
 
 function classifyFellows(otherCount: number): Workflow.CrashFellows {
   if (otherCount >= MIN_POWER_LOSS) return Workflow.CrashFellows.Many;
-  return otherCount > MAX_UNRELATED
+  return otherCount > MAX_TASK_CRASHES
     ? Workflow.CrashFellows.Several
     : Workflow.CrashFellows.Few;
 }
 
-/** A task in doubt explains the fall of its endpoint, unless very many fell. */
+/**
+ * A suspect task explains the failure of its endpoint, unless very many failed with it.
+ */
 function fellowsFor(
   { hasSuspectTask }: EndpointFailure,
   fellows: Workflow.CrashFellows,
--- a/packages/coordinator/src/endpoints/speed_lessons.ts
+++ b/packages/coordinator/src/endpoints/speed_lessons.ts
@@ -1,21 +1,21 @@
 /**
- * What runs teach of the speeds of endpoints: long ones by their pace, short ones only
- * by their end, as nothing tells how they come on before it.
+ * Feeds the rates of runs into the speed model: long runs by their progress, short runs
+ * by their end only, because they report no progress before it.
  */
 import type * as Workflow from "@cairngate/workflow";
 import * as Scheduler from "@cairngate/workflow-scheduler";
 import type * as uneven from "./uneven_speeds.ts";
 import type * as speeds from "./endpoint_speeds.ts";
 
-/** What is known of the runs of one step. */
+/** Rates of the runs of one step. */
 interface StepHistory {
-  /** Newest rate of each task that has come so far or has ended. */
+  /** Newest rate of each task that has made progress or has ended. */
   readonly rates: Map<Workflow.Task, speeds.RunRate>;
-  /** Runs that have ended and were not compared yet. */
+  /** Ended runs that were not compared yet. */
   fresh: speeds.RunRate[];
 }
 
-/** Rate of the run of one task. */
+/** Progress rate of one task's run. */
 export interface TaskRate {
   readonly task: Workflow.Task;
   readonly run: speeds.RunRate;
@@ -24,16 +24,18 @@
 }
 
 /**
- * Share of a step's tasks whose rates have to be known where one has ended: the first
- * ends are those of fast endpoints, which would look like usual ones.
+ * Share of a step's tasks whose rates have to be known before ended runs are compared:
+ * the first ends come from fast endpoints, which would otherwise count as usual ones.
  */
 const MIN_KNOWN_SHARE = 0.75;
 const DONE_PERCENT = 100;
 
-/** Lessons of one term. */
+/** Learns endpoint speeds during one term. */
 export class SpeedLearner {
   readonly #speeds: uneven.UnevenSpeeds;
-  /** What single tasks took against their estimates, also those of gangs. */
+  /**
+   * Durations of single tasks relative to their estimates, including members of gangs.
+   */
   readonly #estimates = new Scheduler.EstimateBook();
   readonly #steps = new WeakMap<readonly Workflow.Task[], StepHistory>();
 
@@ -41,7 +43,7 @@
     this.#speeds = unevenSpeeds;
   }
 
-  /** Runs of one step go on at these rates; at least one. */
+  /** Takes in the current rates of runs of one step; at least one. */
   noteRunning(runs: readonly TaskRate[]): void {
     const [{ task }] = runs;
     const step = this.#historyOf(task);
@@ -51,8 +53,8 @@
   }
 
   /**
-   * A task has ended well that ran by itself; members of a gang end together, which
-   * tells of the slowest one only.
+   * Takes in a single task that completed. Members of a gang end together, which shows
+   * the speed of the slowest one only.
    */
   noteEnd({ task, run, isFresh }: TaskRate): void {
     const step = this.#historyOf(task);
@@ -71,7 +73,7 @@
     return found;
   }
 
-  /** Compares runs with all that is known of their step. */
+  /** Compares runs with all known rates of their step. */
   #compare(task: Workflow.Task, fresh: readonly speeds.RunRate[]): void {
     const { step: { estimateMs }, workflow } = task;
     const { queue } = workflow.spec.policy;
@@ -79,9 +81,9 @@
     const expectedRate = DONE_PERCENT / (estimateMs * correction);
     const all = [...this.#historyOf(task).rates.values()];
     this.#speeds.compare({ all, fresh, expectedRate });
-    for (const { worker, rate } of fresh) {
+    for (const { endpoint, rate } of fresh) {
       const tookMs = DONE_PERCENT / rate;
-      const speed = this.#speeds.of(worker);
+      const speed = this.#speeds.of(endpoint);
       this.#estimates.note({ queue, estimateMs, tookMs, speed });
     }
   }
--- a/packages/coordinator/src/endpoints/straggler_watch.ts
+++ b/packages/coordinator/src/endpoints/straggler_watch.ts
@@ -1,65 +1,67 @@
 /**
- * Finds runs that come on much more slowly than they did before, or than the
- * other tasks of their step, and the workers that hold them. Estimates are rough
- * and count only where there is nothing else to compare with.
+ * Finds stragglers, and the endpoints that hold them: runs much slower than they were
+ * before, or than the other tasks of their step. Estimates are rough and count only
+ * where there is nothing else to compare with.
  */
 import * as Workflow from "@cairngate/workflow";
 
-/** How far a run has come. */
+/** Progress of a run. */
 export interface RunProgress {
   readonly task: Workflow.Task;
-  readonly worker: string;
-  /** Speed of its worker, by which its pace is compared; 1 is the usual one. */
+  readonly endpoint: string;
+  /** Speed of its endpoint, by which its rate is normalised; 1 is the usual one. */
   readonly speed: number;
-  /** Time for which the run was watched. */
+  /** Time for which the run was watched, in ms. */
   readonly ranMs: number;
-  /** Share that is done, 0 to 100. */
+  /** Progress, 0 to 100. */
   readonly percent: number;
-  /** Share that came in the time watched. */
+  /** Progress made in the time watched, 0 to 100. */
   readonly progressPercent: number;
-  /** Percent per millisecond of late, and before that; null: not known. */
+  /** Percent per millisecond recently, and before that; null where unknown. */
   readonly recentRate: number | null;
   readonly earlierRate: number | null;
-  /** Time for which the run has been slow. */
+  /** Time for which the run has been slow, in ms. */
   readonly slowForMs: number;
 }
 
-/** What to do about slow runs. */
+/** Slow runs, and what to do about them. */
 export interface Stragglers {
   /** Runs that are slow now. */
   readonly slow: ReadonlySet<Workflow.Task>;
-  /** Those of them that would end sooner if they began again elsewhere. */
+  /** Slow runs that would end sooner if they restarted elsewhere. */
   readonly restart: readonly Workflow.Task[];
-  /** Workers that hold slow runs. */
-  readonly workers: ReadonlySet<string>;
+  /** Endpoints that hold slow runs. */
+  readonly endpoints: ReadonlySet<string>;
 }
 
-/** A run this young says nothing yet. */
+/** Minimum time watched before a run is judged, in ms. */
 const MIN_WATCHED_MS = 900;
-/** A run below this share of its own earlier pace is slow. */
+/** A run below this share of its own earlier rate is slow. */
 const SLOW_SHARE_OF_EARLIER = 0.4;
-/** A run below this share of the usual pace of its step is slow. */
+/** A run below this share of the usual rate of its step is slow. */
 const SLOW_SHARE = 0.28;
-/** Without others to compare with, only this share of the estimate counts. */
+/**
+ * Share of the estimated rate that counts as slow without other runs to compare with.
+ */
 const SLOW_SHARE_ALONE = 0.18;
-/** Time that a restart costs beside the work. */
+/** Overhead of a restart, in ms. */
 const RESTART_COST_MS = 600;
-/** A restart has to be this much better, because rates are rough. */
+/** Minimum gain of a restart, as a ratio of times, because rates are rough. */
 const MIN_RESTART_GAIN = 1.3;
 const NEARLY_DONE_PERCENT = 97;
-/** A task that stays slow elsewhere is slow itself. */
+/** Slow runs after which the task itself counts as slow. */
 const MAX_SLOW_RUNS = 2;
 const MAX_SLOW_RUNS_ALONE = 1;
-/** A worker that turns slow mostly stays so for a while, not for good. */
+/** Expected duration of a slow phase of an endpoint, in ms. */
 const EXPECTED_SLOW_MS = 4000;
-/** Stands for no progress at all. */
+/** Lower bound of a rate, in percent per ms, where there is no progress. */
 const MIN_RATE = 1e-6;
 
-/** Compares the runs of each step. */
+/** Compares the runs of each step and returns the stragglers. */
 export function findStragglers(runs: readonly RunProgress[]): Stragglers {
   const slow = new Set<Workflow.Task>();
   const restart: Workflow.Task[] = [];
-  const workers = new Set<string>();
+  const endpoints = new Set<string>();
   for (const group of groupBySiblings(runs).values()) {
     const usual = usualRate(group);
     for (const run of group) {
@@ -67,12 +69,12 @@
       if (!isSlow(run, usual, group.length)) continue;
       if (run.earlierRate === null && run.task.slowRuns >= maxRuns) continue;
       slow.add(run.task);
-      workers.add(run.worker);
+      endpoints.add(run.endpoint);
       const mayRestart = run.task.slowRuns < maxRuns;
       if (mayRestart && isWorthRestarting(run, usual)) restart.push(run.task);
     }
   }
-  return { slow, restart, workers };
+  return { slow, restart, endpoints };
 }
 
 function groupBySiblings(
@@ -93,19 +95,19 @@
   return run.progressPercent / run.ranMs;
 }
 
-/** Pace of late, where it is known. */
+/** The recent rate where it is known, or else the mean rate. */
 function recentRateOf(run: RunProgress): number {
   return run.recentRate ?? rateOf(run);
 }
 
-/** Rate that the run would have on a worker of usual speed. */
+/** Rate that the run would have on an endpoint of usual speed. */
 function usualRateOf(run: RunProgress): number {
   return rateOf(run) / run.speed;
 }
 
 /**
- * Percent per millisecond on a worker of usual speed: the upper median, or by the
- * estimate if alone.
+ * Percent per millisecond on an endpoint of usual speed: the upper median of the group,
+ * or the estimate if the run is alone.
  */
 function usualRate(group: readonly RunProgress[]): number {
   if (group.length === 1) return 100 / Math.max(1, estimateOf(group[0]));
--- a/packages/coordinator/src/endpoints/straggler_watch_test.ts
+++ b/packages/coordinator/src/endpoints/straggler_watch_test.ts
@@ -1,4 +1,4 @@
-/** Slow runs are found by comparison, and restarted only where that pays. */
+/** Stragglers are found by comparison and restarted only where that saves time. */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
@@ -28,7 +28,7 @@
   });
   return percents.map((percent, i) => ({
     task: workflow.rounds[0][0][i],
-    worker: `worker-${i}`,
+    endpoint: `worker-${i}`,
     speed: options.speeds?.[i] ?? 1,
     ranMs: options.ranMs ?? 2000,
     percent,
@@ -44,42 +44,42 @@
     const runs = buildRuns([50, 52, 8, 49]);
     const found = watch.findStragglers(runs);
     vitest.expect(found.restart).toEqual([runs[2].task]);
-    vitest.expect([...found.workers]).toEqual(["worker-2"]);
+    vitest.expect([...found.endpoints]).toEqual(["worker-2"]);
   });
 
-  vitest.it("leaves runs alone that are all equally slow", () => {
+  vitest.it("keeps runs that are all equally slow", () => {
     const found = watch.findStragglers(buildRuns([5, 6, 5, 6]));
     vitest.expect(found.restart).toEqual([]);
   });
 
   vitest.it(
-    "takes no run for slow because of its endpoint's usual speed",
+    "does not count a run as slow for its endpoint's usual speed",
     () => {
       const percents = [80, 80, 20, 80];
       const speeds = [1.6, 1.6, 0.6, 1.6];
       const found = watch.findStragglers(buildRuns(percents, { speeds }));
-      vitest.expect([...found.workers]).toEqual([]);
+      vitest.expect([...found.endpoints]).toEqual([]);
       const even = watch.findStragglers(buildRuns(percents));
-      vitest.expect([...even.workers]).toEqual(["worker-2"]);
+      vitest.expect([...even.endpoints]).toEqual(["worker-2"]);
     },
   );
 
   vitest.it(
-    "finds a run that is slow beside its endpoint's usual speed",
+    "finds a run that is slow relative to its endpoint's speed",
     () => {
       const speeds = [0.6, 1.6, 1.6];
       const runs = buildRuns([30, 80, 20], { speeds });
-      vitest.expect([...watch.findStragglers(runs).workers]).toEqual([
+      vitest.expect([...watch.findStragglers(runs).endpoints]).toEqual([
         "worker-2",
       ]);
     },
   );
 
-  vitest.it("says nothing about runs that have just begun", () => {
+  vitest.it("does not judge runs that have just started", () => {
     const found = watch.findStragglers(
       buildRuns([20, 0, 20], { ranMs: 400 }),
     );
-    vitest.expect(found.workers.size).toBe(0);
+    vitest.expect(found.endpoints.size).toBe(0);
   });
 
   vitest.it("keeps a slow run that is nearly done", () => {
@@ -87,14 +87,14 @@
     vitest.expect(found.restart).toEqual([]);
   });
 
-  vitest.it("restarts a lone run once, then takes the task as slow", () => {
+  vitest.it("restarts a lone run once, then treats the task as slow", () => {
     const runs = buildRuns([2]);
     vitest.expect(watch.findStragglers(runs).restart.length).toBe(1);
     runs[0].task.slowRuns = 1;
     vitest.expect(watch.findStragglers(runs).restart.length).toBe(0);
   });
 
-  vitest.it("judges a run by what came while it was watched", () => {
+  vitest.it("judges a run by its progress while it was watched", () => {
     const runs = buildRuns([90]).map((run) => ({
       ...run,
       progressPercent: 40,
@@ -107,21 +107,21 @@
     vitest.expect(watch.findStragglers(standing).restart.length).toBe(1);
   });
 
-  vitest.it("knows a run that has slowed down by its own pace", () => {
+  vitest.it("finds a run that has slowed down relative to itself", () => {
     const [run] = buildRuns([40]).map((one) => ({
       ...one,
       ranMs: 3000,
       earlierRate: 0.02,
     }));
     const well = { ...run, recentRate: 0.015 };
-    vitest.expect(watch.findStragglers([well]).workers.size).toBe(0);
+    vitest.expect(watch.findStragglers([well]).endpoints.size).toBe(0);
     const slow = { ...run, recentRate: 0.004 };
     const found = watch.findStragglers([slow]);
-    vitest.expect([...found.workers]).toEqual(["worker-0"]);
+    vitest.expect([...found.endpoints]).toEqual(["worker-0"]);
     vitest.expect([...found.slow]).toEqual([run.task]);
   });
 
-  vitest.it("gives a slow worker time to mend, but not for ever", () => {
+  vitest.it("waits for a slow endpoint to recover, but not forever", () => {
     const slowed = { ranMs: 5000, recentRate: 0, earlierRate: 0.0125 };
     const [run] = buildRuns([50]).map((one) => ({ ...one, ...slowed }));
     vitest.expect(watch.findStragglers([run]).restart).toEqual([]);
@@ -129,7 +129,7 @@
     vitest.expect(watch.findStragglers([later]).restart).toEqual([run.task]);
   });
 
-  vitest.it("restarts at once what loses nothing by it", () => {
+  vitest.it("restarts a checkpointed run at once, as it loses nothing", () => {
     const step = { checkpoints: true };
     const slowed = { ranMs: 5000, recentRate: 0, earlierRate: 0.0125 };
     const [run] = buildRuns([50], { step }).map((one) => ({
@@ -139,7 +139,7 @@
     vitest.expect(watch.findStragglers([run]).restart).toEqual([run.task]);
   });
 
-  vitest.it("never restarts a task that lasts", () => {
+  vitest.it("never restarts a lasting task", () => {
     const runs = buildRuns([50, 2, 50], { step: { lasting: true } });
     vitest.expect(watch.findStragglers(runs).restart).toEqual([]);
   });
--- a/packages/coordinator/src/endpoints/uneven_speeds_test.ts
+++ b/packages/coordinator/src/endpoints/uneven_speeds_test.ts
@@ -1,4 +1,4 @@
-/** Speeds of endpoints that differ much are learned from a few rough comparisons. */
+/** Widely differing speeds are learned from a few rough comparisons. */
 import * as Scheduler from "@cairngate/workflow-scheduler";
 import * as fc from "fast-check";
 import * as vitest from "vitest";
@@ -8,10 +8,10 @@
 const ENDPOINTS = 60;
 const speedOf = (i: number, speeds = SPEEDS) => speeds[i % speeds.length];
 const TASKS = 12;
-/** Rate on a usual endpoint, percent per millisecond. */
+/** Rate on a usual endpoint, in percent per millisecond. */
 const RATE = 0.02;
 
-/** Draws numbers in 0 to 1, the same for a seed. */
+/** Seeded generator of numbers from 0 to 1. */
 function drawsOf(seed: number): () => number {
   let state = seed;
   return () => {
@@ -20,7 +20,7 @@
   };
 }
 
-/** Steps of uneven tasks on endpoints drawn at random; estimates are rough. */
+/** Steps of uneven tasks on endpoints drawn at random, with rough estimates. */
 function buildSteps(
   count: number,
   seed: number,
@@ -33,7 +33,7 @@
       const i = Math.floor(draw() * ENDPOINTS);
       const tail = draw() < 0.03 ? 7 : 1;
       return {
-        worker: `${i}`,
+        endpoint: `${i}`,
         rate: RATE * speedOf(i, speeds) / around(0.3) / tail,
       };
     });
@@ -41,7 +41,7 @@
   });
 }
 
-/** Share of the endpoints whose speed is known within a fifth. */
+/** Share of the endpoints whose learned speed is within 20% of the true one. */
 function knownShare(of: (endpoint: string) => number): number {
   const all = Array.from({ length: ENDPOINTS }, (_, i) => i);
   const known = all.filter((i) => Math.abs(of(`${i}`) / speedOf(i) - 1) < 0.2);
@@ -53,7 +53,7 @@
     const seeds = Array.from({ length: 20 }, (_, i) => i + 1);
     const shares = seeds.map((seed) => {
       const speeds = new uneven.UnevenSpeeds();
-      // Eight comparisons of each endpoint.
+      // Eight comparisons of each endpoint on average.
       for (const step of buildSteps(40, seed)) speeds.compare(step);
       return knownShare((id) => speeds.of(id));
     });
@@ -62,7 +62,7 @@
   });
 
   vitest.it(
-    "tell an uneven fleet from an even one, whatever is known yet",
+    "distinguish an uneven fleet from an even one at any stage",
     () => {
       for (let seed = 1; seed <= 20; seed++) {
         const spreadsOf = (speeds: number[], steps: number) => {
@@ -86,7 +86,7 @@
     },
   );
 
-  vitest.it("stay what they are while steps run on slow ones alone", () => {
+  vitest.it("do not drift while steps run only on slow endpoints", () => {
     const speeds = new uneven.UnevenSpeeds();
     for (const step of buildSteps(60, 1)) speeds.compare(step);
     const slow = Array.from({ length: 20 }, (_, i) => `${i * 3}`);
@@ -94,20 +94,20 @@
       slow.reduce((sum, id) => sum + speeds.of(id), 0) / slow.length;
     const before = meanSpeed();
     for (let i = 0; i < 20; i++) {
-      const all = slow.map((worker) => ({ worker, rate: RATE * 0.6 }));
+      const all = slow.map((endpoint) => ({ endpoint, rate: RATE * 0.6 }));
       speeds.compare({ all, fresh: all, expectedRate: RATE });
     }
     vitest.expect(Math.abs(meanSpeed() - before)).toBeLessThan(0.05);
   });
 
-  vitest.it("follow an endpoint that turns slow and is well again", () => {
+  vitest.it("follow an endpoint that slows down and recovers", () => {
     const speeds = new uneven.UnevenSpeeds();
-    const others = ["a", "b", "c", "d"].map((worker) => ({
-      worker,
+    const others = ["a", "b", "c", "d"].map((endpoint) => ({
+      endpoint,
       rate: RATE,
     }));
     const feed = (share: number, times: number) => {
-      const one = { worker: "turning", rate: RATE * share };
+      const one = { endpoint: "turning", rate: RATE * share };
       for (let i = 0; i < times; i++) {
         const all = [...others, one];
         speeds.compare({ all, fresh: all, expectedRate: RATE });
@@ -119,9 +119,9 @@
     vitest.expect(feed(1, 6)).toBe(1);
   });
 
-  vitest.it("stay within bounds whatever rates are fed", () => {
+  vitest.it("stay within bounds for arbitrary rates", () => {
     const rate = fc.record({
-      worker: fc.constantFrom("a", "b", "c"),
+      endpoint: fc.constantFrom("a", "b", "c"),
       rate: fc.double(),
     });
     const step = fc.record({
--- a/packages/coordinator/src/load/forecast_maker.ts
+++ b/packages/coordinator/src/load/forecast_maker.ts
@@ -1,4 +1,4 @@
-/** Makes the forecast that boxes admit work by, while there is hard load. */
+/** Makes the forecast by which boxes admit work while there is hard load. */
 import * as Admission from "@cairngate/admission";
 import type * as Ports from "@cairngate/ports";
 import type * as Workflow from "@cairngate/workflow";
@@ -10,7 +10,7 @@
 import * as settledServices from "./known_services.ts";
 import * as surveys from "./load_survey.ts";
 
-/** What forecasts are made from. */
+/** Sources of the forecasts. */
 export interface ForecastParts {
   readonly ports: ports.CoordinatorPorts;
   readonly term: terms.Term;
@@ -19,7 +19,7 @@
   readonly live: () => readonly Workflow.Workflow[];
 }
 
-/** Priorities of a service that a forecast tells of, the first ones. */
+/** Maximum number of priorities per service in a forecast, the most urgent ones. */
 const MAX_PRIORITIES = 4;
 
 /** Makes forecasts for one term. */
@@ -37,7 +37,10 @@
     );
   }
 
-  /** Makes a forecast where one is called for; else none is told any more. */
+  /**
+   * Makes a forecast if teams compete or endpoints differ; otherwise clears the
+   * published one.
+   */
   make(): void {
     const { ports: { config, clock, metrics }, term, hardLoad } = this.#parts;
     const { teamsCompete, endpointsDiffer } = hardLoad.load;
@@ -81,7 +84,7 @@
   }
 }
 
-/** Priorities of the queues of each service that is known, the first ones first. */
+/** Queue priorities of each settled service, most urgent first. */
 function prioritiesOf(
   { queues }: Ports.AccessConfig,
   isSettled: (service: string) => boolean,
--- a/packages/coordinator/src/load/hard_load_watch.ts
+++ b/packages/coordinator/src/load/hard_load_watch.ts
@@ -1,12 +1,12 @@
 /**
- * Tells which kinds of hard load the deployment has, by its settings, by what its
- * teams have paid for and by how its endpoints run.
+ * Detects which kinds of hard load the deployment has, from its settings, the
+ * guarantees of its teams and the speeds of its endpoints.
  */
 import * as Scheduler from "@cairngate/workflow-scheduler";
 import * as Types from "@cairngate/types";
 import type * as ports from "../ports.ts";
 
-/** Judges the load of one term. */
+/** Detects the hard load of one term. */
 export class HardLoadWatch {
   readonly #ports: Pick<ports.CoordinatorPorts, "hardLoad" | "log" | "metrics">;
   #load: Scheduler.HardLoad = Scheduler.NO_HARD_LOAD;
@@ -17,12 +17,12 @@
     this.#ports = watched;
   }
 
-  /** Kinds of hard load as last judged. */
+  /** Kinds of hard load as last detected. */
   get load(): Scheduler.HardLoad {
     return this.#load;
   }
 
-  /** Judges anew; a change is told. */
+  /** Detects the load again; logs a change and sets the gauges. */
   look(
     guarantees: ReadonlyMap<string, number>,
     speeds: readonly number[],
@@ -55,8 +55,8 @@
       metrics.set("cairngate_teams_compete", Number(teamsCompete));
       log.info(
         teamsCompete
-          ? "Teams of very different size compete: shares count from now on."
-          : "No team is much larger than the others: shares do not count.",
+          ? "Teams of very different size compete: fair shares are now enforced."
+          : "No team is much larger than the others: fair shares are not enforced.",
       );
     }
     if (endpointsDiffer !== previous.endpointsDiffer) {
@@ -64,7 +64,7 @@
       const spread = Scheduler.speedSpread(speeds).toFixed(2);
       const verb = endpointsDiffer ? "differ" : "no longer differ";
       log.info(
-        `Endpoints ${verb} in speed: the fast are ${spread} times as fast.`,
+        `Endpoints ${verb} in speed: the fast ones are ${spread} times as fast as the slow ones.`,
       );
     }
   }
--- a/packages/coordinator/src/load/hard_load_watch_test.ts
+++ b/packages/coordinator/src/load/hard_load_watch_test.ts
@@ -1,4 +1,4 @@
-/** When the features for hard load are used. */
+/** Hard-load features follow the settings, or are detected in auto mode. */
 import * as Logger from "@cairngate/logger";
 import * as Metrics from "@cairngate/metrics";
 import * as Types from "@cairngate/types";
@@ -17,15 +17,15 @@
   });
 }
 
-vitest.describe("a watch of the load", () => {
-  vitest.it("finds none where the settings ask for no feature", () => {
+vitest.describe("HardLoadWatch", () => {
+  vitest.it("detects no load where the settings turn the features off", () => {
     const off = watch(Types.FeatureUse.Off, Types.FeatureUse.Off);
     off.look(UNEVEN_TEAMS, UNEVEN_SPEEDS);
     vitest.expect(off.load)
       .toEqual({ teamsCompete: false, endpointsDiffer: false });
   });
 
-  vitest.it("finds by itself what configuration and fleet call for", () => {
+  vitest.it("detects load from guarantees and speeds in auto mode", () => {
     const auto = watch(Types.FeatureUse.Auto, Types.FeatureUse.Auto);
     auto.look(UNEVEN_TEAMS, [1, 1, 1]);
     vitest.expect(auto.load)
@@ -35,7 +35,7 @@
       .toEqual({ teamsCompete: false, endpointsDiffer: true });
   });
 
-  vitest.it("finds what the settings say, whatever is seen", () => {
+  vitest.it("reports load where the settings turn the features on", () => {
     const on = watch(Types.FeatureUse.On, Types.FeatureUse.On);
     on.look(EVEN_TEAMS, [1]);
     vitest.expect(on.load)
--- a/packages/coordinator/src/load/known_services.ts
+++ b/packages/coordinator/src/load/known_services.ts
@@ -1,16 +1,23 @@
-/** Services whose endpoints have been listed for so long that their sizes are known. */
+/**
+ * Services that have been listed long enough for the sizes of their endpoints to be
+ * known.
+ */
 
 /**
- * Endpoints that come up together, as after a start of all, are listed within this
- * time, in ms: some beats of 1.5 s. Before, the largest one may still be missing.
+ * Time in which endpoints that start together, as after a full restart, are all listed,
+ * in ms: several heartbeats of 1.5 s. Before that, the largest endpoint may still be
+ * missing.
  */
 const SETTLE_MS = 10_000;
 
-/** Since when the endpoints of services are known, in one term. */
+/** First listing time of each service, for one term. */
 export class SettledServices {
   readonly #sinceMs = new Map<string, number>();
 
-  /** @param inherited services that the coordinator before told of */
+  /**
+   * @param inherited services in the forecast of the previous coordinator, which count
+   * as settled
+   */
   constructor(inherited: Iterable<string>) {
     for (const service of inherited) {
       this.#sinceMs.set(service, Number.NEGATIVE_INFINITY);
@@ -24,7 +31,7 @@
     }
   }
 
-  /** Whether the sizes of a service are known. */
+  /** Whether the sizes of a service's endpoints are known. */
   has(service: string, nowMs: number): boolean {
     const sinceMs = this.#sinceMs.get(service) ?? Number.POSITIVE_INFINITY;
     return nowMs - sinceMs >= SETTLE_MS;
--- a/packages/coordinator/src/load/known_services_test.ts
+++ b/packages/coordinator/src/load/known_services_test.ts
@@ -1,9 +1,9 @@
-/** A service is judged by its endpoints only once they have come up. */
+/** A service counts only once all of its endpoints had time to be listed. */
 import * as vitest from "vitest";
 import * as services from "./known_services.ts";
 
-vitest.describe("a service", () => {
-  vitest.it("is known some time after its first endpoint was listed", () => {
+vitest.describe("SettledServices", () => {
+  vitest.it("has a service 10 s after its first endpoint was listed", () => {
     const settled = new services.SettledServices([]);
     vitest.expect(settled.has("analysis", 0)).toBe(false);
     settled.note(["analysis"], 1000);
@@ -13,7 +13,7 @@
     vitest.expect(settled.has("other", 11_000)).toBe(false);
   });
 
-  vitest.it("is known where the coordinator before told of it", () => {
+  vitest.it("has the services of the previous coordinator's forecast", () => {
     const settled = new services.SettledServices(["analysis"]);
     settled.note(["analysis"], 1000);
     vitest.expect(settled.has("analysis", 1000)).toBe(true);
--- a/packages/coordinator/src/load/load_survey.ts
+++ b/packages/coordinator/src/load/load_survey.ts
@@ -1,26 +1,26 @@
-/** What runs and what waits, as a forecast of room takes it. */
+/** Collects running and waiting work as input of a forecast. */
 import * as Admission from "@cairngate/admission";
 import * as Workflow from "@cairngate/workflow";
 import * as Scheduler from "@cairngate/workflow-scheduler";
 
-/** What is input. */
+/** Endpoints, workflows and guarantees that the survey covers. */
 export interface SurveyInput {
   readonly endpoints: readonly Scheduler.WorkerState[];
-  /** Workflows of which something may start. */
+  /** Workflows of which something may still start. */
   readonly workflows: readonly Workflow.Workflow[];
-  /** Accelerators that each team has paid for. */
+  /** Accelerators guaranteed to each team. */
   readonly guarantees: ReadonlyMap<string, number>;
   readonly nowMs: number;
   readonly wallMs: number;
 }
 
-/** A load without what the settings and the configuration say. */
+/** The part of a forecast's load that does not come from settings or configuration. */
 export type Survey = Pick<
   Admission.Load,
   "endpoints" | "runs" | "waits" | "urgentUse"
 >;
 
-/** Surveys endpoints and workflows. */
+/** Collects the running and waiting work of endpoints and workflows. */
 export function surveyLoad(input: SurveyInput): Survey {
   const { endpoints, workflows, guarantees } = input;
   const ranks = new Scheduler.Ranks(workflows, guarantees);
@@ -46,7 +46,7 @@
   return spec.policy.priority === 0 && !isOver;
 }
 
-/** Whether some task of it can't end before a forecast that is made now is stale. */
+/** Whether some task of the workflow can't end before a forecast made now is stale. */
 function staysInUse(
   workflow: Workflow.Workflow,
   { nowMs }: SurveyInput,
@@ -76,7 +76,9 @@
   return { service, rank, need, leftMs: leftOf(task, nowMs) };
 }
 
-/** Earliest time by which a run may end, in ms: its pace tells, or else its estimate. */
+/**
+ * Earliest time until a run may end, in ms, by its progress or else by its estimate.
+ */
 function leftOf(task: Workflow.Task, nowMs: number): number {
   if (task.state === Workflow.TaskState.Stopping) return 0;
   if (task.step.lasting) return Number.POSITIVE_INFINITY;
--- a/packages/coordinator/src/load/run_estimates.ts
+++ b/packages/coordinator/src/load/run_estimates.ts
@@ -1,28 +1,28 @@
 /**
- * Learns what estimates are worth from runs that end well. It begins anew with each
- * term; a queue's estimates are judged by its own runs after about ten of them.
+ * Learns how accurate estimates are from runs that complete. Starts empty in each term;
+ * a queue's estimates are corrected by its own runs after about ten of them.
  */
 import type * as Ports from "@cairngate/ports";
 import type * as Workflow from "@cairngate/workflow";
 import * as Scheduler from "@cairngate/workflow-scheduler";
 import type * as occupants from "../sessions/occupant.ts";
 
-/** Where an endpoint stands, and how fast it is. */
+/** Rack and speed of an endpoint. */
 export interface RunSite {
   readonly rack: string;
   readonly speed: number;
 }
 
-/** What the estimates are learned with. */
+/** Options of the run estimates. */
 export interface RunEstimatesOptions {
   readonly clock: Ports.Clock;
-  /** Null where the endpoint is not listed. */
+  /** Rack and speed of an endpoint; null where it is not listed. */
   readonly siteOf: (endpoint: string) => RunSite | null;
-  /** Told of tasks that ran by themselves and have ended well. */
+  /** Called for each single (non-gang) task that completed. */
   readonly onSingle: (occupant: occupants.Occupant, tookMs: number) => void;
 }
 
-/** Estimates of one term. */
+/** Accuracy of estimates, learned during one term. */
 export class RunEstimates {
   readonly #options: RunEstimatesOptions;
   readonly #estimates = new Scheduler.EstimateBook();
@@ -31,22 +31,25 @@
     this.#options = options;
   }
 
-  /** What runs of each queue took against their estimates. */
+  /** Correction factors of estimates by queue. */
   get corrections(): Scheduler.Corrections {
     return this.#estimates.corrections;
   }
 
-  /** The same for people. */
+  /** Statistics for the state dump. */
   describe(): readonly Scheduler.EstimateWorth[] {
     return this.#estimates.describe();
   }
 
-  /** A run has ended well; called before its workflow takes that in. */
+  /**
+   * Takes in a completed run. Has to be called before its workflow processes the end.
+   */
   noteDone(occupant: occupants.Occupant): void {
     const { task, run, sentAtMs } = occupant;
     const { workflow, step } = task;
     const members = step.gang ? workflow.siblings(task) : [task];
-    // The first end of a gang stands for all of it; later ones find members released.
+    // The first end of a gang counts for all of it; at later ends members are already
+    // released.
     const isWhole = members.every((one) => one.isPlaced && one.run === run);
     const isResumed = step.checkpoints && run > 1;
     if (sentAtMs === null || step.lasting || isResumed || !isWhole) return;
@@ -66,7 +69,7 @@
   }
 }
 
-/** Whether a run takes longer because of where it is. */
+/** Whether a run takes longer because of the racks that it is placed on. */
 function isRemote(step: Workflow.StepSpec, sites: readonly RunSite[]): boolean {
   const racks = new Set(sites.map(({ rack }) => rack));
   if (step.rack !== null) return racks.size > 1 || !racks.has(step.rack);
--- a/packages/coordinator/src/load/run_estimates_test.ts
+++ b/packages/coordinator/src/load/run_estimates_test.ts
@@ -1,4 +1,4 @@
-/** What counts as a run that tells the worth of its estimate. */
+/** Which runs count for the accuracy of estimates. */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
@@ -14,7 +14,9 @@
   ["far", { rack: "rack-1", speed: 1 }],
 ]);
 
-/** Lets the runs of one step end well, in order; returns how many were taken in. */
+/**
+ * Completes the runs of one step in order; returns the statistics learned from them.
+ */
 function endAll(
   step: Partial<Workflow.StepSpec>,
   endpoints: readonly string[],
@@ -54,29 +56,29 @@
   return learned.describe();
 }
 
-vitest.describe("estimates", () => {
-  vitest.it("are judged by single runs", () => {
+vitest.describe("RunEstimates", () => {
+  vitest.it("takes in single runs", () => {
     vitest.expect(endAll({}, ["fast", "slow"])[0].runs).toBe(2);
   });
 
-  vitest.it("are judged once by a gang, at its slowest member's speed", () => {
+  vitest.it("takes in a gang once, at its slowest member's speed", () => {
     const gang = { gang: true };
     const [learned] = endAll(gang, ["fast", "slow", "fast"]);
     vitest.expect(learned.runs).toBe(1);
   });
 
-  vitest.it("are not judged by runs away from their data or rack", () => {
+  vitest.it("ignores runs away from their data or rack", () => {
     vitest.expect(endAll({ rack: "rack-1" }, ["fast"])).toEqual([]);
     vitest.expect(endAll({ gang: true, sameRack: true }, ["fast", "far"]))
       .toEqual([]);
   });
 
-  vitest.it("are not judged by runs that go on from a checkpoint", () => {
+  vitest.it("ignores runs that resume from a checkpoint", () => {
     vitest.expect(endAll({ checkpoints: true }, ["fast"], 2)).toEqual([]);
     vitest.expect(endAll({ checkpoints: true }, ["fast"], 1)[0].runs).toBe(1);
   });
 
-  vitest.it("are not judged by runs on endpoints that are not listed", () => {
+  vitest.it("ignores runs on endpoints that are not listed", () => {
     vitest.expect(endAll({}, ["gone"])).toEqual([]);
   });
 });
--- a/packages/coordinator/src/load/share_book.ts
+++ b/packages/coordinator/src/load/share_book.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps what each team has had of the fleet during a term, while teams compete, and a
+ * Tracks each team's use of the fleet during a term, while teams compete, and keeps a
  * copy in the store for the next coordinator.
  */
 import type * as Workflow from "@cairngate/workflow";
@@ -11,31 +11,31 @@
 import * as shareLog from "./share_log.ts";
 import * as shareRows from "./share_row.ts";
 
-/** What the book needs of its node. */
+/** Ports that the share book uses. */
 export type ShareBookPorts = Pick<
   ports.CoordinatorPorts,
   "clock" | "log" | "metrics" | "store"
 >;
 
-/** What is looked at. */
+/** Input of one update. */
 export interface SharesInput {
   readonly teamsCompete: boolean;
-  /** Accelerators that each team has paid for. */
+  /** Accelerators guaranteed to each team. */
   readonly guarantees: ReadonlyMap<string, number>;
   readonly endpoints: readonly Scheduler.WorkerState[];
 }
 
 /**
- * Time between two writes, in ms: a small part of the half-life, so that a takeover
- * forgets little, and far fewer calls than a term makes anyway.
+ * Interval of writes, in ms: a small part of the half-life, so that a takeover loses
+ * little, and far fewer calls than a term makes anyway.
  */
 const WRITE_INTERVAL_MS = 2000;
-/** Time between two tries to read what the former coordinator kept, in ms. */
+/** Interval of attempts to read the former coordinator's copy, in ms. */
 const READ_RETRY_MS = 200;
-/** A call is given up after this time, in ms; the next one is due then. */
+/** Timeout of a store call, in ms; the next call is due then. */
 const CALL_TIMEOUT_MS = 1500;
 
-/** The shares of one term. */
+/** Team shares of one term. */
 export class ShareBook {
   readonly #ports: ShareBookPorts;
   readonly #term: terms.Term;
@@ -44,29 +44,29 @@
   #shares: Scheduler.TeamShares = new Map();
   #teamsCompete = false;
   #countedAtMs: number;
-  /** Whether what the former coordinator wrote has been asked for, and answered. */
+  /** Whether the former coordinator's copy has been read or found missing. */
   #isRestored = false;
-  /** Use that the store has. */
+  /** Use as last written to the store. */
   #stored: Scheduler.TeamAmounts | null = null;
 
-  constructor(bookPorts: ShareBookPorts, term: terms.Term) {
-    this.#ports = bookPorts;
+  constructor(sharePorts: ShareBookPorts, term: terms.Term) {
+    this.#ports = sharePorts;
     this.#term = term;
-    this.#log = new shareLog.ShareReporter(bookPorts);
-    this.#countedAtMs = bookPorts.clock.monotonicMs();
+    this.#log = new shareLog.ShareReporter(sharePorts);
+    this.#countedAtMs = sharePorts.clock.monotonicMs();
   }
 
-  /** Shares as last judged; empty where teams do not compete. */
+  /** Shares as last computed; empty where teams do not compete. */
   get shares(): Scheduler.TeamShares {
     return this.#shares;
   }
 
-  /** Whether a team has had clearly less than it is entitled to. */
+  /** Whether a team has used clearly less than it is entitled to. */
   isBelowShare(team: string): boolean {
     return Scheduler.isBelowShare(this.#shares, team);
   }
 
-  /** Counts what runs now; one pass over it. */
+  /** Adds the current use to the shares, in one pass over the endpoints. */
   look({ teamsCompete, guarantees, endpoints }: SharesInput): void {
     const nowMs = this.#ports.clock.monotonicMs();
     const elapsedMs = nowMs - this.#countedAtMs;
@@ -80,14 +80,17 @@
     this.#log.update(this.#shares, nowMs);
   }
 
-  /** Counts a run that yields, by its team. */
+  /** Counts a run that yields to other work, by its team. */
   noteYield(task: Workflow.Task): void {
     if (!this.#teamsCompete) return;
     const team = task.workflow.spec.tenant;
     this.#ports.metrics.count("cairngate_yields_by_team_total", { team });
   }
 
-  /** Reads what the former coordinator kept, then writes what is kept, for ever. */
+  /**
+   * Reads the former coordinator's copy, then writes the current use periodically.
+   * Never ends.
+   */
   run(): Effect.Effect<never> {
     const { clock } = this.#ports;
     return Effect.forever(Effect.gen({ self: this }, function* () {
@@ -105,7 +108,10 @@
     this.#shares = new Map();
   }
 
-  /** Until it has an answer nothing is written, which would be less than is there. */
+  /**
+   * Reads the former coordinator's copy. Nothing is written before, because that would
+   * replace the copy by less.
+   */
   #restore(): Effect.Effect<void> {
     const { clock, log, store } = this.#ports;
     const key = TableClient.Keys.TEAM_SHARES_KEY;
@@ -127,7 +133,7 @@
     );
   }
 
-  /** Adds what teams had before the term to what they have had in it. */
+  /** Adds the use from before the term to that of the term. */
   #addFormerUse(former: Scheduler.TeamAmounts, ageMs: number): void {
     const decayed = Scheduler.decayUse(former, new Map(), ageMs);
     const sum = new Map(decayed);
@@ -140,7 +146,7 @@
     );
   }
 
-  /** A write that is lost is made up for by the next one. */
+  /** Writes the use if it has changed. A lost write is made up for by the next one. */
   #write(): Effect.Effect<void> {
     const { clock, store } = this.#ports;
     const use = this.#use;
--- a/packages/coordinator/src/load/share_log.ts
+++ b/packages/coordinator/src/load/share_log.ts
@@ -1,21 +1,21 @@
-/** Tells operators which teams have had more than their share for long. */
+/** Logs the teams that stay above their share, and sets gauges of all shares. */
 import * as Scheduler from "@cairngate/workflow-scheduler";
 import type * as ports from "../ports.ts";
 
-/** A team is told of once it has been above its share for this time, in ms. */
+/** Time above its share after which a team is logged, in ms. */
 const MIN_ABOVE_MS = Scheduler.HALF_LIFE_MS;
-/** Time between two lines about one team, in ms. */
+/** Interval between two log lines about one team, in ms. */
 const REPEAT_MS = 60_000;
-/** Lines of one look; the gauge has the others. */
+/** Maximum log lines per update; the gauges show all teams. */
 const MAX_LINES = 4;
 
 interface TeamAboveShare {
   readonly sinceMs: number;
-  /** When it was told of; infinite for never. */
+  /** When it was last logged; negative infinity if never. */
   loggedAtMs: number;
 }
 
-/** Lines and gauges about shares. */
+/** Log lines and gauges of team shares. */
 export class ShareReporter {
   readonly #ports: Pick<ports.CoordinatorPorts, "log" | "metrics">;
   readonly #above = new Map<string, TeamAboveShare>();
@@ -25,7 +25,7 @@
     this.#ports = logPorts;
   }
 
-  /** Takes in the shares as they are judged now. */
+  /** Takes in the current shares. */
   update(shares: Scheduler.TeamShares, nowMs: number): void {
     this.#setGauges(shares);
     let lines = 0;
@@ -42,7 +42,7 @@
     }
   }
 
-  /** A team that is gone reads as nothing. */
+  /** Sets the gauge of each team; that of a team without a share becomes 0. */
   #setGauges(shares: Scheduler.TeamShares): void {
     const { metrics } = this.#ports;
     for (const team of this.#teams) {
@@ -69,7 +69,7 @@
     this.#ports.log.info(
       `Team ${team} has been above its share for ${Math.round(forMs)} ms: it ` +
         `has had ${percent(use)} of the fleet and is entitled to ` +
-        `${percent(weight)}; beyond guarantees others go first.`,
+        `${percent(weight)}; beyond its guarantee, other teams go first.`,
     );
   }
 }
--- a/packages/coordinator/src/load/share_log_test.ts
+++ b/packages/coordinator/src/load/share_log_test.ts
@@ -1,4 +1,4 @@
-/** Operators see shares, and hear of a team that is above its own for long. */
+/** Teams that stay above their share are logged, and every share has a gauge. */
 import * as Metrics from "@cairngate/metrics";
 import * as TestUtils from "@cairngate/test-utils";
 import * as Scheduler from "@cairngate/workflow-scheduler";
@@ -25,20 +25,20 @@
   };
 }
 
-vitest.describe("the log of shares", () => {
-  vitest.it("tells of a team after 10 s, and again each minute", () => {
+vitest.describe("ShareReporter", () => {
+  vitest.it("logs a team after 10 s, and again each minute", () => {
     const { log, shares } = build();
     const above = sharesOf(ShareLevel.Above);
     for (let ms = 0; ms <= 75_000; ms += 1000) shares.update(above, ms);
     vitest.expect(log.sentences).toEqual([
       "Team large has been above its share for 10000 ms: it has had 60.0% of " +
-      "the fleet and is entitled to 40.0%; beyond guarantees others go first.",
+      "the fleet and is entitled to 40.0%; beyond its guarantee, other teams go first.",
       "Team large has been above its share for 70000 ms: it has had 60.0% of " +
-      "the fleet and is entitled to 40.0%; beyond guarantees others go first.",
+      "the fleet and is entitled to 40.0%; beyond its guarantee, other teams go first.",
     ]);
   });
 
-  vitest.it("tells of no team that is above only for moments", () => {
+  vitest.it("does not log a team that is above only briefly", () => {
     const { log, shares } = build();
     for (let ms = 0; ms < 60_000; ms += 1000) {
       const isAbove = ms % 9000 !== 0;
@@ -48,7 +48,7 @@
     vitest.expect(log.sentences).toEqual([]);
   });
 
-  vitest.it("tells of four teams at a time", () => {
+  vitest.it("logs four teams at a time", () => {
     const { log, shares } = build();
     const teams = Array.from({ length: 100 }, (_, i) => `team-${i}`);
     const above = sharesOf(ShareLevel.Above, teams);
@@ -57,7 +57,7 @@
     vitest.expect(log.sentences.length).toBe(4);
   });
 
-  vitest.it("keeps a gauge by team, 0 for one that is gone", () => {
+  vitest.it("sets a gauge per team, 0 for one that is gone", () => {
     const { metrics, shares } = build();
     const gaugeOf = (team: string) =>
       metrics.get("cairngate_team_share", { team });
--- a/packages/coordinator/src/load/share_row.ts
+++ b/packages/coordinator/src/load/share_row.ts
@@ -1,13 +1,18 @@
-/** What teams have had, as a row of the store, so that it outlives a takeover. */
+/**
+ * Row of the store that holds the use of the fleet by team, so that it survives a
+ * takeover.
+ */
 import type * as Scheduler from "@cairngate/workflow-scheduler";
 import * as Result from "effect/Result";
 import * as Schema from "effect/Schema";
 
-/** Most teams in the row, in bytes far below the largest row of the store. */
+/**
+ * Maximum number of teams in the row, which keeps it far below the store's row limit.
+ */
 const MAX_TEAMS = 500;
 /**
- * A row that is older counts for nothing, in ms: six half-lives have passed by then,
- * and a time of day that was set would else keep it for ever.
+ * Maximum age of a row, in ms: six half-lives have passed by then. Also bounds the
+ * effect of a changed wall clock, which would otherwise keep a row valid forever.
  */
 const STALE_MS = 60_000;
 
@@ -22,15 +27,15 @@
 
 const readShares = Schema.decodeUnknownResult(WireShares);
 
-/** What the row holds. */
+/** Decoded value of the row. */
 export type ShareRow = typeof WireShares.Type;
 
-/** What was read, or why nothing is known from it. */
+/** The use and its age, or the reason why the row can't be used. */
 export type DecodedUse =
   | { readonly use: Scheduler.TeamAmounts; readonly ageMs: number }
   | { readonly reason: string };
 
-/** The row of what teams have had; of very many teams, those that had most. */
+/** Encodes the use by team; above the limit, only the teams with the highest use. */
 export function encodeUse(
   use: Scheduler.TeamAmounts,
   wallMs: number,
@@ -42,7 +47,7 @@
   return { writtenAtMs: wallMs, use: Object.fromEntries(largest) };
 }
 
-/** Reads a row's value, whoever wrote it. */
+/** Decodes a row's value, which may be written by anyone. */
 export function decodeUse(value: unknown, wallMs: number): DecodedUse {
   const read = readShares(value);
   if (Result.isFailure(read)) return { reason: "it can't be read" };
@@ -52,7 +57,7 @@
   return { use: new Map(Object.entries(use)), ageMs };
 }
 
-/** A millionth of the fleet is less than one task. */
+/** Rounds to a millionth of the fleet, which is less than one task. */
 function roundShare(share: number): number {
   return Math.round(Math.min(1, share) * 1e6) / 1e6;
 }
--- a/packages/coordinator/src/load/stop_book.ts
+++ b/packages/coordinator/src/load/stop_book.ts
@@ -1,36 +1,39 @@
-/** Counts what came of stops: whether the work that others stopped for was in time. */
+/**
+ * Counts the outcomes of preemptions: whether the work that others were stopped for was
+ * in time.
+ */
 import type * as Metrics from "@cairngate/metrics";
 import * as Workflow from "@cairngate/workflow";
 import type * as Scheduler from "@cairngate/workflow-scheduler";
 
-/** What came of one stop for other work. */
+/** Outcome of stopping one run for other work. */
 export enum StopResult {
-  /** The work took the room and met its objective. */
+  /** The work took the freed capacity and met its objective. */
   InTime = "in_time",
-  /** The work took the room and was late all the same. */
+  /** The work took the freed capacity and still missed its objective. */
   Late = "late",
-  /** The work started without this room. */
+  /** The work started without the freed capacity. */
   Elsewhere = "elsewhere",
-  /** The work ended, cancelled or given up, without a start. */
+  /** The work ended without starting: it was cancelled or given up. */
   NeverStarted = "never_started",
 }
 
-/** Stops by what came of them. */
+/** Number of stops by outcome. */
 export interface StopCounts extends Readonly<Record<StopResult, number>> {
-  /** Not known yet. */
+  /** Stops whose outcome is not known yet. */
   readonly open: number;
 }
 
-/** What the result of a stop hangs on. */
+/** Facts that decide the outcome of a stop. */
 export interface StopFacts {
-  /** Endpoint of the run that stopped; null where it had none any more. */
+  /** Endpoint of the stopped run; null where it had none any more. */
   readonly freed: string | null;
-  /** Endpoints on which the claimant started since; null where it did not. */
+  /** Endpoints on which the claimant has started since; null where it has not. */
   readonly started: readonly string[] | null;
   readonly isInTime: boolean;
 }
 
-/** What came of a stop, once the claimant is over. */
+/** Returns the outcome of a stop, once the claimant is over. */
 export function resultOf({ freed, started, isInTime }: StopFacts): StopResult {
   if (started === null) return StopResult.NeverStarted;
   if (freed === null || !started.includes(freed)) return StopResult.Elsewhere;
@@ -49,15 +52,15 @@
   started: readonly string[] | null;
 }
 
-/** A run that is stopped before this time from its start has just begun, in ms. */
+/** Age below which a stopped run counts as just started, in ms. */
 const EARLY_MS = 1000;
-/** Claims that are followed at once; further ones are not counted. */
+/** Maximum number of claims tracked at a time; further ones are not counted. */
 const MAX_CLAIMS = 2000;
 
-/** Follows stops of one term until it is known what came of them. */
+/** Tracks the stops of one term until their outcomes are known. */
 export class StopBook {
   readonly #metrics: Metrics.Metrics;
-  /** By the first task of the claimant. */
+  /** Claims by the claimant's first task. */
   readonly #claims = new Map<Workflow.Task, Claim>();
   readonly #counts = {
     [StopResult.InTime]: 0,
@@ -70,14 +73,14 @@
     this.#metrics = metrics;
   }
 
-  /** Stops by what came of them in this term. */
+  /** Stops of this term by outcome. */
   get counts(): StopCounts {
     const stops = [...this.#claims.values()].map((claim) => claim.stops.length);
     const open = stops.reduce((sum, one) => sum + one, 0);
     return { ...this.#counts, open };
   }
 
-  /** A run is stopped for a claimant. */
+  /** Notes a run that is stopped for a claimant. */
   stopped(decision: Scheduler.StopDecision, nowMs: number): void {
     const { task, claimant: unit } = decision;
     const [first] = unit.tasks;
@@ -91,13 +94,13 @@
     });
   }
 
-  /** A unit starts; it may be a claimant. */
+  /** Notes a unit that starts; it may be a claimant. */
   started({ unit, workers }: Scheduler.StartDecision): void {
     const claim = this.#claims.get(unit.tasks[0]);
     if (claim !== undefined) claim.started ??= workers;
   }
 
-  /** Counts the stops whose claimants are over by now. */
+  /** Counts the stops whose claimants are over. */
   look(wallMs: number): void {
     for (const [first, claim] of this.#claims) {
       const { workflow, round } = claim.unit;
--- a/packages/coordinator/src/load/stop_book_test.ts
+++ b/packages/coordinator/src/load/stop_book_test.ts
@@ -1,4 +1,4 @@
-/** What is counted of stops for other work. */
+/** Outcomes of runs that are stopped for other work. */
 import * as Metrics from "@cairngate/metrics";
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
@@ -27,7 +27,7 @@
   return task;
 }
 
-/** The claimant's only run ends well. */
+/** Completes the claimant's only run. */
 function complete(unit: Workflow.Unit): void {
   const [task] = unit.tasks;
   task.place("worker-1", 1, 500);
@@ -36,7 +36,7 @@
 }
 
 vitest.describe("the result of a stop", () => {
-  vitest.it("is that of the claimant where it took the room", () => {
+  vitest.it("is that of the claimant where it took the freed capacity", () => {
     const facts = { freed: "a", started: ["a", "b"] };
     vitest.expect(books.resultOf({ ...facts, isInTime: true }))
       .toBe(books.StopResult.InTime);
@@ -44,7 +44,7 @@
       .toBe(books.StopResult.Late);
   });
 
-  vitest.it("is nothing where the claimant took other room, or none", () => {
+  vitest.it("is no gain where the claimant ran elsewhere or never", () => {
     const rest = { freed: "a", isInTime: true };
     vitest.expect(books.resultOf({ ...rest, started: ["b"] }))
       .toBe(books.StopResult.Elsewhere);
@@ -53,7 +53,7 @@
   });
 });
 
-vitest.describe("a book of stops", () => {
+vitest.describe("StopBook", () => {
   vitest.it("counts by result, queue and age once the claimant is over", () => {
     const metrics = new Metrics.Metrics();
     const book = new books.StopBook(metrics);
--- a/packages/coordinator/src/ports.ts
+++ b/packages/coordinator/src/ports.ts
@@ -1,4 +1,4 @@
-/** What the coordinator needs from its node. */
+/** Dependencies of the coordinator, which its box provides. */
 import type * as Logger from "@cairngate/logger";
 import type * as Metrics from "@cairngate/metrics";
 import type * as Ports from "@cairngate/ports";
@@ -8,42 +8,42 @@
 import type * as fitnesses from "./election/fitness.ts";
 import type * as outageWords from "./election/outage_word.ts";
 
-/** Bounds that the platform sets, in milliseconds. */
+/** Bounds set by the platform, in milliseconds unless stated otherwise. */
 export interface EndpointBounds {
-  /** Longest lease of a worker. */
+  /** Longest lease of an endpoint's runs. */
   readonly longestLeaseMs: number;
-  /** Time that a stop takes at most. */
+  /** Maximum time that stopping a run takes. */
   readonly stopMs: number;
-  /** Time that members of a gang wait for each other. */
+  /** Time for which members of a gang wait for each other. */
   readonly gangWaitMs: number;
-  /** How much slower work runs away from its rack. */
+  /** Factor by which work away from its rack is slower. */
   readonly remotePenalty: number;
-  /** Time for which ended workflows can be asked for. */
+  /** Time for which ended workflows can be queried. */
   readonly keepEndedMs: number;
 }
 
-/** Everything that a coordinator works with. */
+/** Dependencies and settings of a coordinator. */
 export interface CoordinatorPorts {
-  /** Name of this node. */
+  /** Name of this box. */
   readonly node: string;
-  /** Differs in each life of the node. */
+  /** Unique to each start of the box's process. */
   readonly incarnation: string;
   readonly clock: Ports.Clock;
   readonly random: Ports.RandomSource;
   readonly store: TableClient.StoreClient;
   readonly workers: Ports.TaskWorkers;
-  /** Null where no advice service is set. */
+  /** Null where no advice service is configured. */
   readonly advisor: Ports.Advisor | null;
   readonly workerFeed: Ports.RowFeed<Ports.EndpointListing>;
   readonly intakeFeed: Ports.RowFeed<unknown>;
   readonly electionFeed: Ports.RowFeed<unknown>;
-  /** Configuration in force on this node; null before the first. */
+  /** Configuration in force on this box; null before the first one arrives. */
   readonly config: () => Ports.AccessConfig | null;
-  /** Data centres in which nothing may start; kept by the node, also between terms. */
+  /** Data centres in which nothing may start; kept by the box across terms. */
   readonly evacuations: evacuations.EvacuationBook;
   readonly fitness: fitnesses.Fitness;
   readonly outage: outageWords.OutageWord;
-  /** Boxes that take work from callers, as far as this one knows. */
+  /** Number of boxes that accept work from callers, as far as this one knows. */
   readonly countBoxes: () => number;
   readonly bounds: EndpointBounds;
   readonly hardLoad: Types.HardLoadSettings;
--- a/packages/coordinator/src/restart_test.ts
+++ b/packages/coordinator/src/restart_test.ts
@@ -7,13 +7,13 @@
 import * as restart from "./restart.ts";
 
 vitest.describe("restartOnDefect", () => {
-  vitest.it("begins again after a defect and counts it", async () => {
+  vitest.it("restarts work after a defect and counts it", async () => {
     const clock = new TestUtils.FakeClock();
     const metrics = new Metrics.Metrics();
     let tries = 0;
     const work = Effect.sync(() => {
       tries++;
-      if (tries < 3) throw new TypeError("a fault of ours");
+      if (tries < 3) throw new TypeError("unexpected");
       return tries;
     });
     const parts = { what: "The work", clock, log: Logger.silentLogger() };
@@ -26,7 +26,7 @@
     vitest.expect(count).toBe(2);
   });
 
-  vitest.it("leaves expected failures to the caller", async () => {
+  vitest.it("passes expected failures to the caller", async () => {
     const clock = new TestUtils.FakeClock();
     const parts = { what: "The work", clock, log: Logger.silentLogger() };
     const result = await Effect.runPromise(Effect.result(
