--- a/packages/coordinator/src/work/advice_book.ts
+++ b/packages/coordinator/src/work/advice_book.ts
@@ -8,7 +8,7 @@
 import * as Effect from "effect/Effect";
 
 /** What the book needs. */
-export interface AdviceBookOptions {
+export interface AdviceCacheOptions {
   /** Null where no advice service is set. */
   readonly advisor: Ports.Advisor | null;
   readonly clock: Ports.Clock;
@@ -16,120 +16,122 @@
   readonly onAdvice: () => void;
 }
 
-interface KeptAdvice {
+interface CachedAdvice {
   readonly tickets: Map<string, string>;
   /** Workers that were asked about; the policy never changes for a step. */
-  readonly asked: Set<string>;
+  readonly requested: Set<string>;
   readonly validUntilMs: number;
 }
 
 /** A ticket has to hold until the order has arrived. */
-const ARRIVAL_MS = 400;
-const ANSWER_SLACK_MS = 1500;
+const DISPATCH_MARGIN_MS = 400;
+const RESPONSE_MARGIN_MS = 1500;
 /** Workers named at first; a wide step is asked about more. */
-const LEAST_NAMED = 30;
+const MIN_ENDPOINTS_PER_REQUEST = 30;
 
 /** Advice by step. */
-export class AdviceBook {
-  readonly #options: AdviceBookOptions;
-  readonly #kept = new Map<string, KeptAdvice>();
-  #isAsking = false;
+export class AdviceCache {
+  readonly #options: AdviceCacheOptions;
+  readonly #cached = new Map<string, CachedAdvice>();
+  #isFetching = false;
 
-  constructor(options: AdviceBookOptions) {
+  constructor(options: AdviceCacheOptions) {
     this.#options = options;
   }
 
   /** The ticket for a unit on a worker; null where it may not run there now. */
-  ticket(unit: Workflow.Unit, worker: string): string | null {
-    const kept = this.#kept.get(stepName(unit));
-    if (kept === undefined) return null;
+  ticket(unit: Workflow.Unit, endpoint: string): string | null {
+    const cached = this.#cached.get(stepName(unit));
+    if (cached === undefined) return null;
     const nowMs = this.#options.clock.monotonicMs();
-    if (nowMs + ARRIVAL_MS > kept.validUntilMs) return null;
-    return kept.tickets.get(worker) ?? null;
+    if (nowMs + DISPATCH_MARGIN_MS > cached.validUntilMs) return null;
+    return cached.tickets.get(endpoint) ?? null;
   }
 
   /** Tickets for a worker hold for one life; another one has begun there. */
-  forget(worker: string): void {
-    for (const { tickets, asked } of this.#kept.values()) {
-      tickets.delete(worker);
-      asked.delete(worker);
+  evictEndpoint(endpoint: string): void {
+    for (const { tickets, requested } of this.#cached.values()) {
+      tickets.delete(endpoint);
+      requested.delete(endpoint);
     }
   }
 
   /** Asks about a unit that waits, unless a question is on its way. */
-  ask(unit: Workflow.Unit, workers: readonly string[]): void {
+  request(unit: Workflow.Unit, endpoints: readonly string[]): void {
     const { advisor } = this.#options;
-    if (advisor === null || this.#isAsking || workers.length === 0) return;
-    const named = this.#choose(unit, workers);
-    if (named.length === 0) return;
-    this.#isAsking = true;
+    if (advisor === null || this.#isFetching || endpoints.length === 0) return;
+    const requested = this.#selectEndpoints(unit, endpoints);
+    if (requested.length === 0) return;
+    this.#isFetching = true;
     const done = Effect.sync(() => {
-      this.#isAsking = false;
+      this.#isFetching = false;
       this.#options.onAdvice();
     });
     Effect.runFork(
-      Effect.ensuring(this.#askNow(advisor, unit, named), done),
+      Effect.ensuring(this.#fetch(advisor, unit, requested), done),
     );
   }
 
   /** Those that have not been asked about come first; then all again. */
-  #choose(
+  #selectEndpoints(
     unit: Workflow.Unit,
-    workers: readonly string[],
+    endpoints: readonly string[],
   ): readonly string[] {
-    const most = Math.min(
+    const max = Math.min(
       Ports.MOST_ADVISED,
-      Math.max(LEAST_NAMED, unit.tasks.length * 2),
+      Math.max(MIN_ENDPOINTS_PER_REQUEST, unit.tasks.length * 2),
     );
-    const kept = this.#kept.get(stepName(unit));
-    const isValid = kept !== undefined &&
-      this.#options.clock.monotonicMs() + ARRIVAL_MS < kept.validUntilMs;
+    const cached = this.#cached.get(stepName(unit));
+    const isValid = cached !== undefined &&
+      this.#options.clock.monotonicMs() + DISPATCH_MARGIN_MS <
+        cached.validUntilMs;
     if (!isValid) {
-      const known = workers.filter((id) => kept?.tickets.has(id) ?? true);
-      return (known.length > 0 ? known : workers).slice(0, most);
+      const allowed = endpoints.filter((id) => cached?.tickets.has(id) ?? true);
+      return (allowed.length > 0 ? allowed : endpoints).slice(0, max);
     }
-    return workers.filter((id) => !kept.asked.has(id)).slice(0, most);
+    return endpoints.filter((id) => !cached.requested.has(id)).slice(0, max);
   }
 
-  #askNow(
+  #fetch(
     advisor: Ports.Advisor,
     unit: Workflow.Unit,
-    named: readonly string[],
+    requested: readonly string[],
   ): Effect.Effect<void> {
     const { clock } = this.#options;
     const policy = unit.workflow.spec.policy.advice;
-    const answerMs = (policy?.decisionMs ?? 0) +
-      (policy?.perWorkerMs ?? 0) * named.length;
+    const serviceMs = (policy?.decisionMs ?? 0) +
+      (policy?.perWorkerMs ?? 0) * requested.length;
     return Effect.gen({ self: this }, function* () {
-      const askedAtMs = clock.monotonicMs();
+      const requestedAtMs = clock.monotonicMs();
       const name = stepName(unit);
-      const answer = advisor.ask(name, named);
-      const limitMs = answerMs + ANSWER_SLACK_MS;
-      const timed = yield* clock.within(limitMs, answer);
+      const response = advisor.ask(name, requested);
+      const timeoutMs = serviceMs + RESPONSE_MARGIN_MS;
+      const timed = yield* clock.within(timeoutMs, response);
       if (timed === null) return;
-      this.#keep(name, named, { advice: timed.value, askedAtMs });
+      this.#merge(name, requested, { advice: timed.value, requestedAtMs });
     }).pipe(Effect.ignore);
   }
 
-  #keep(
+  #merge(
     name: string,
-    named: readonly string[],
-    answer: { advice: Ports.Advice; askedAtMs: number },
+    requested: readonly string[],
+    response: { advice: Ports.Advice; requestedAtMs: number },
   ): void {
-    const { tickets, validityMs } = answer.advice;
-    const before = this.#kept.get(name);
+    const { tickets, validityMs } = response.advice;
+    const previous = this.#cached.get(name);
     const nowMs = this.#options.clock.monotonicMs();
-    const isBeforeValid = before !== undefined && nowMs < before.validUntilMs;
-    const given = new Map(isBeforeValid ? before.tickets : []);
-    for (const { worker, ticket } of tickets) given.set(worker, ticket);
+    const isPreviousValid = previous !== undefined &&
+      nowMs < previous.validUntilMs;
+    const merged = new Map(isPreviousValid ? previous.tickets : []);
+    for (const { worker, ticket } of tickets) merged.set(worker, ticket);
     // The time runs from the answer at the latest; the earlier end counts.
-    const untilMs = answer.askedAtMs + validityMs;
-    this.#kept.set(name, {
-      tickets: given,
-      asked: new Set([...(before?.asked ?? []), ...named]),
-      validUntilMs: isBeforeValid
-        ? Math.min(before.validUntilMs, untilMs)
-        : untilMs,
+    const validUntilMs = response.requestedAtMs + validityMs;
+    this.#cached.set(name, {
+      tickets: merged,
+      requested: new Set([...(previous?.requested ?? []), ...requested]),
+      validUntilMs: isPreviousValid
+        ? Math.min(previous.validUntilMs, validUntilMs)
+        : validUntilMs,
     });
   }
 }
--- a/packages/coordinator/src/work/coordinator.ts
+++ b/packages/coordinator/src/work/coordinator.ts
@@ -8,15 +8,15 @@
 import * as rowFollowers from "./row_followers.ts";
 import * as termParts from "./term_parts.ts";
 
-const SWEEP_MS = 5000;
+const SWEEP_INTERVAL_MS = 5000;
 /** Time between two looks at all running tasks. */
-const WATCH_MS = 400;
+const RUN_CHECK_INTERVAL_MS = 400;
 /** Time between two looks at which kinds of hard load there are, in ms. */
-const LOAD_MS = 1000;
+const LOAD_CHECK_INTERVAL_MS = 1000;
 /** Time between two forecasts of room, in ms. */
-const FORECAST_MS = 500;
+const FORECAST_INTERVAL_MS = 500;
 /** A store that is silent for this long holds up plans. */
-const STORE_SILENT_MS = 600;
+const MAX_STORE_SILENCE_MS = 600;
 
 /** Coordinates all workflows under one fencing token. */
 export class Coordinator {
@@ -32,7 +32,7 @@
     this.#ports = coordinatorPorts;
     this.#term = term;
     this.#electedAtMs = coordinatorPorts.clock.monotonicMs();
-    this.#parts = termParts.wireParts({
+    this.#parts = termParts.createParts({
       ports: coordinatorPorts,
       term,
       preparePlan: () => this.#preparePlan(),
@@ -44,13 +44,13 @@
     return {
       token: this.#term.token,
       lateMs: Math.round(this.#parts.directory.lateMs),
-      workflows: this.#parts.book.open.map((workflow) =>
+      workflows: this.#parts.workflows.unfinished.map((workflow) =>
         describing.describeWorkflow(
           workflow,
-          this.#waitOf(workflow),
+          this.#describeWait(workflow),
         )
       ),
-      workers: this.#parts.directory.states().map(describing.describeWorker),
+      workers: this.#parts.directory.states().map(describing.describeEndpoint),
       evacuations: describing.describeEvacuations(
         this.#ports.evacuations.list(),
         this.#parts.directory,
@@ -61,14 +61,16 @@
       estimates: this.#parts.estimates.describe(),
       teamShares: describing.describeShares(
         this.#parts.shares.shares,
-        this.#parts.book.live,
+        this.#parts.workflows.startable,
         this.#ports.clock.wallMs(),
       ),
       forecast: this.#term.forecast?.forecast ?? null,
     };
   }
 
-  #waitOf({ spec: { id } }: Workflow.Workflow): describing.WaitDump | null {
+  #describeWait(
+    { spec: { id } }: Workflow.Workflow,
+  ): describing.WaitDump | null {
     const wait = this.#parts.planning.waitOf(id);
     if (wait === null) return null;
     const forMs = this.#ports.clock.monotonicMs() - wait.sinceMs;
@@ -77,7 +79,7 @@
 
   /** Runs until interrupted. */
   run(): Effect.Effect<void> {
-    const rows = this.#followRows();
+    const rows = this.#createRowFollowers();
     const { clock } = this.#ports;
     const work = Effect.gen({ self: this }, function* () {
       yield* Effect.all([
@@ -85,17 +87,23 @@
         rows.readListings(),
       ], { concurrency: "unbounded", discard: true });
       yield* rows.readIntake();
-      this.#begin();
+      this.#startWork();
       yield* Effect.all([
         ...rows.run(),
         this.#parts.recorder.run(),
         this.#parts.planning.run(),
         this.#parts.shares.run(),
-        clock.every(SWEEP_MS, this.#parts.book.sweep()),
-        clock.every(WATCH_MS, Effect.sync(() => this.#lookAtRuns())),
-        clock.every(LOAD_MS, Effect.sync(() => this.#lookAtLoad())),
+        clock.every(SWEEP_INTERVAL_MS, this.#parts.workflows.sweep()),
         clock.every(
-          FORECAST_MS,
+          RUN_CHECK_INTERVAL_MS,
+          Effect.sync(() => this.#checkRuns()),
+        ),
+        clock.every(
+          LOAD_CHECK_INTERVAL_MS,
+          Effect.sync(() => this.#updateLoad()),
+        ),
+        clock.every(
+          FORECAST_INTERVAL_MS,
           Effect.sync(() => this.#parts.forecasts.make()),
         ),
       ], { concurrency: "unbounded", discard: true });
@@ -107,54 +115,54 @@
     return Effect.ensuring(all, this.#parts.directory.close());
   }
 
-  #followRows(): rowFollowers.RowFollowers {
+  #createRowFollowers(): rowFollowers.RowFollowers {
     return new rowFollowers.RowFollowers({
       ports: this.#ports,
       recovery: this.#parts.recovery,
       onListings: (entries) => {
         this.#parts.directory.update(entries);
-        this.#parts.planning.wake();
+        this.#parts.planning.requestPlan();
       },
       onIntake: (events) => {
-        this.#parts.intake.take(events);
-        this.#parts.planning.wake();
+        this.#parts.intake.apply(events);
+        this.#parts.planning.requestPlan();
       },
-      onAllRead: () => this.#noteAllRead(),
+      onAllRead: () => this.#completeRecovery(),
     });
   }
 
-  #noteAllRead(): void {
-    this.#parts.recovery.complete();
+  #completeRecovery(): void {
+    this.#parts.recovery.markComplete();
     this.#ports.log.info(
-      `All partitions are read: ${this.#parts.book.size} known.`,
+      `All partitions are read: ${this.#parts.workflows.size} known.`,
     );
     this.#parts.intake.concludeAll();
-    this.#parts.planning.wake();
+    this.#parts.planning.requestPlan();
   }
 
-  #begin(): void {
+  #startWork(): void {
     const { clock, log, metrics } = this.#ports;
     this.#parts.control.begin();
-    const tookMs = clock.monotonicMs() - this.#electedAtMs;
-    metrics.observeMs("cairngate_takeover_seconds", tookMs);
+    const takeoverMs = clock.monotonicMs() - this.#electedAtMs;
+    metrics.observeMs("cairngate_takeover_seconds", takeoverMs);
     log.info(
-      `Took over ${this.#parts.book.size} workflows under token ` +
-        `${this.#term.token} in ${Math.round(tookMs)} ms.`,
+      `Took over ${this.#parts.workflows.size} workflows under token ` +
+        `${this.#term.token} in ${Math.round(takeoverMs)} ms.`,
     );
   }
 
-  #lookAtRuns(): void {
+  #checkRuns(): void {
     this.#parts.watch.look();
-    this.#parts.guarantees.look();
+    this.#parts.guarantees.logChanges();
   }
 
-  #lookAtLoad(): void {
+  #updateLoad(): void {
     const { hardLoad, shares, directory } = this.#parts;
-    const paidFor = guarantees.guaranteesOf(this.#ports.config());
+    const guaranteesByTeam = guarantees.guaranteesOf(this.#ports.config());
     const endpoints = directory.states();
-    hardLoad.look(paidFor, directory.sureSpeeds());
+    hardLoad.look(guaranteesByTeam, directory.sureSpeeds());
     const { teamsCompete } = hardLoad.load;
-    shares.look({ teamsCompete, guarantees: paidFor, endpoints });
+    shares.look({ teamsCompete, guarantees: guaranteesByTeam, endpoints });
   }
 
   /**
@@ -162,11 +170,11 @@
    * a data centre may be evacuated without this box's knowledge.
    */
   #preparePlan(): boolean {
-    for (const missing of this.#parts.control.takeMissing()) {
+    for (const missing of this.#parts.control.resolveMissing()) {
       Effect.runFork(this.#parts.ends.endMissing(missing));
     }
     const silentMs = this.#ports.store.silentForMs();
-    return silentMs < STORE_SILENT_MS && !this.#term.isLost &&
+    return silentMs < MAX_STORE_SILENCE_MS && !this.#term.isLost &&
       !this.#ports.evacuations.mayBeLate;
   }
 }
--- a/packages/coordinator/src/work/describe.ts
+++ b/packages/coordinator/src/work/describe.ts
@@ -117,13 +117,13 @@
 
 /** Describes why a workflow was given up. */
 export function describeGiveUp(giveUp: Workflow.GiveUp): GiveUpDump {
-  const { history, ...known } = giveUp;
+  const { history, ...rest } = giveUp;
   const runs = history?.entries.map((entry) => ({
     ...entry,
     sentence: sentences.describeRun(entry),
   }));
   return {
-    ...known,
+    ...rest,
     runs: runs ?? null,
     isPartial: history?.isPartial ?? true,
   };
@@ -153,20 +153,22 @@
 }
 
 /** Describes one worker. */
-export function describeWorker(worker: Scheduler.WorkerState): EndpointDump {
-  const { id, dataCentre, rack, usable, speed, occupants } = worker;
+export function describeEndpoint(
+  endpoint: Scheduler.WorkerState,
+): EndpointDump {
+  const { id, dataCentre, rack, usable, speed, occupants } = endpoint;
   const runs = occupants.map(({ name, run }) => `${name}@${run}`);
   return { id, dataCentre, rack, usable, speed, runs };
 }
 
 /** Describes the data centres in which nothing starts. */
 export function describeEvacuations(
-  evacuated: readonly evacuations.Evacuation[],
+  active: readonly evacuations.Evacuation[],
   directory: directories.EndpointDirectory,
 ): EvacuationDump[] {
-  return evacuated.map((one) => ({
-    ...one,
-    runs: directory.runsIn(one.dataCentre),
+  return active.map((evacuation) => ({
+    ...evacuation,
+    runs: directory.runsIn(evacuation.dataCentre),
   }));
 }
 
@@ -175,18 +177,21 @@
   guarantees: ReadonlyMap<string, number>,
   open: number,
 ): GuaranteeDump {
-  const paidFor = [...guarantees.values()].reduce((sum, one) => sum + one, 0);
+  const paidFor = [...guarantees.values()].reduce(
+    (sum, count) => sum + count,
+    0,
+  );
   return { paidFor, open, short: Math.max(0, paidFor - open) };
 }
 
 /** Describes what teams have had, those with most beside their share first. */
 export function describeShares(
   shares: Scheduler.TeamShares,
-  live: readonly Workflow.Workflow[],
+  startable: readonly Workflow.Workflow[],
   wallMs: number,
 ): TeamShareDump[] {
   const waiting = new Map<string, number>();
-  for (const workflow of shares.size === 0 ? [] : live) {
+  for (const workflow of shares.size === 0 ? [] : startable) {
     const { tenant } = workflow.spec;
     const units = workflow.readyUnits(wallMs).length;
     waiting.set(tenant, (waiting.get(tenant) ?? 0) + units);
--- a/packages/coordinator/src/work/end_log.ts
+++ b/packages/coordinator/src/work/end_log.ts
@@ -5,7 +5,7 @@
 import * as sentences from "./run_sentences.ts";
 
 /** A run on an endpoint. */
-export interface RunPlace {
+export interface RunLocation {
   readonly task: Workflow.Task;
   readonly run: number;
   readonly endpoint: string;
@@ -22,28 +22,28 @@
   }
 
   /** A run ended other than as done. */
-  ended(place: RunPlace, { how, cause }: listeners.SessionEnd): void {
+  logEnd(place: RunLocation, { how, cause }: listeners.SessionEnd): void {
     const { log, metrics } = this.#ports;
     const { task, run, endpoint } = place;
-    const why = cause === null
+    const reason = cause === null
       ? ""
       : `, because ${listeners.describeCause(cause)}`;
-    log.info(`Run ${run} of ${task.name} on ${endpoint}: ${how}${why}.`);
+    log.info(`Run ${run} of ${task.name} on ${endpoint}: ${how}${reason}.`);
     if (cause !== null) metrics.count("cairngate_runs_lost_total", { cause });
-    if (how === Workflow.RunEnd.Crashed) this.#crashed(place);
+    if (how === Workflow.RunEnd.Crashed) this.#logCrash(place);
   }
 
   /** The end of a run became known after it had been given up. */
-  endedLate(place: RunPlace, { how }: listeners.SessionEnd): void {
+  logLateEnd(place: RunLocation, { how }: listeners.SessionEnd): void {
     const { task, run, endpoint } = place;
     this.#ports.log.info(
       `Run ${run} of ${task.name} on ${endpoint}: ${how}, as is known now.`,
     );
-    if (how === Workflow.RunEnd.Crashed) this.#crashed(place);
+    if (how === Workflow.RunEnd.Crashed) this.#logCrash(place);
   }
 
   /** The endpoint of a run is not heard, and not listed or the task is in doubt. */
-  gone({ task, run, endpoint }: RunPlace): void {
+  logGone({ task, run, endpoint }: RunLocation): void {
     this.#ports.metrics.count("cairngate_runs_gone_total");
     this.#ports.log.info(
       `Run ${run} of ${task.name}: its endpoint ${endpoint} is not heard, and ` +
@@ -53,7 +53,7 @@
   }
 
   /** A crash under a task is not laid to it any more. */
-  excused({ name, crashes }: Workflow.Task): void {
+  logExcused({ name, crashes }: Workflow.Task): void {
     this.#ports.log.info(
       `A crash under ${name} is not laid to it: others fell at that moment. ` +
         `${crashes.laid} crashes are laid to it.`,
@@ -61,7 +61,7 @@
   }
 
   /** A workflow has failed. */
-  gaveUp({ spec: { id }, giveUp }: Workflow.Workflow): void {
+  logGiveUp({ spec: { id }, giveUp }: Workflow.Workflow): void {
     if (giveUp === null) return;
     const { log, metrics } = this.#ports;
     const { reason, task, run, failures, crashes } = giveUp;
@@ -76,11 +76,11 @@
     for (const entry of entries) {
       log.info(`Given up ${task}: ${sentences.describeRun(entry)}`);
     }
-    if (isPartial) log.info(`Given up ${task}: ${sentences.PARTIAL}`);
+    if (isPartial) log.info(`Given up ${task}: ${sentences.PARTIAL_HISTORY}`);
   }
 
   /** One line for each crash with which a task may have something to do. */
-  #crashed({ task, run, endpoint }: RunPlace): void {
+  #logCrash({ task, run, endpoint }: RunLocation): void {
     const { log, metrics } = this.#ports;
     const { laid, excused, unseen } = task.crashes;
     metrics.count("cairngate_crashes_under_tasks_total");
--- a/packages/coordinator/src/work/guarantee_watch.ts
+++ b/packages/coordinator/src/work/guarantee_watch.ts
@@ -12,7 +12,7 @@
   readonly #ports: ports.CoordinatorPorts;
   readonly #directory: directories.EndpointDirectory;
   /** Accelerators that were short when it was last told. */
-  #toldShort = 0;
+  #loggedShortfall = 0;
 
   constructor(
     coordinatorPorts: ports.CoordinatorPorts,
@@ -31,18 +31,18 @@
   }
 
   /** Logs once each time when what is short has changed. */
-  look(): void {
+  logChanges(): void {
     const { evacuations, log } = this.#ports;
     const isEvacuating = evacuations.list().length > 0;
-    if (!isEvacuating && this.#toldShort === 0) return;
+    if (!isEvacuating && this.#loggedShortfall === 0) return;
     const { paidFor, open, short } = this.describe();
-    const told = isEvacuating ? short : 0;
-    if (told === this.#toldShort) return;
-    this.#toldShort = told;
+    const shortfall = isEvacuating ? short : 0;
+    if (shortfall === this.#loggedShortfall) return;
+    this.#loggedShortfall = shortfall;
     log.warn(
-      told > 0
+      shortfall > 0
         ? `Teams have paid for ${paidFor} accelerators and ${open} are left ` +
-          `beside the evacuations: ${told} can not be had.`
+          `beside the evacuations: ${shortfall} can not be had.`
         : "What teams have paid for can be had again.",
     );
   }
--- a/packages/coordinator/src/work/intake.ts
+++ b/packages/coordinator/src/work/intake.ts
@@ -10,7 +10,7 @@
 }
 
 /** The row of a cancel. */
-export interface CancelMark {
+export interface CancelRequest {
   readonly id: string;
   readonly partition: string;
 }
@@ -18,19 +18,19 @@
 /** What the rows say has happened. */
 export interface IntakeEvents {
   readonly accepted: readonly AcceptedWorkflow[];
-  readonly cancelled: readonly CancelMark[];
+  readonly cancelled: readonly CancelRequest[];
 }
 
 /**
  * Reads rows of the intake; removed rows say nothing. Rows of partitions that
  * are not open yet are left out: they will be read again.
  */
-export function readIntake(
+export function parseIntake(
   entries: readonly Ports.FeedEntry<unknown>[],
   isOpen: (partition: string) => boolean,
 ): IntakeEvents {
   const accepted: AcceptedWorkflow[] = [];
-  const cancelled: CancelMark[] = [];
+  const cancelled: CancelRequest[] = [];
   for (const { key, value } of entries) {
     const partition = TableClient.Keys.partitionIn(key);
     if (value === null || !isOpen(partition)) continue;
--- a/packages/coordinator/src/work/missing_runs.ts
+++ b/packages/coordinator/src/work/missing_runs.ts
@@ -12,40 +12,44 @@
   readonly presence: Workflow.Presence;
 }
 
-interface Waiting extends MissingRun {
+interface TrackedRun extends MissingRun {
   /** Our time by which its lease has run out. */
-  untilMs: number;
+  leaseExpiresAtMs: number;
 }
 
 /** Missing runs, until their leases have run out. */
 export class MissingRuns {
-  readonly #waiting = new Set<Waiting>();
+  readonly #runs = new Set<TrackedRun>();
 
   /** The endpoint of this run is not listed. */
-  add(run: Waiting): void {
-    this.#waiting.add(run);
+  add(run: TrackedRun): void {
+    this.#runs.add(run);
   }
 
   /** The former coordinator may have renewed the leases of all until now. */
-  coverLeases(untilMs: number): void {
-    for (const run of this.#waiting) {
-      run.untilMs = Math.max(run.untilMs, untilMs);
+  extendLeases(leaseExpiresAtMs: number): void {
+    for (const run of this.#runs) {
+      run.leaseExpiresAtMs = Math.max(run.leaseExpiresAtMs, leaseExpiresAtMs);
     }
   }
 
   /** Runs whose endpoints are listed after all; they are not missing any more. */
-  takeListed(isListed: (worker: string) => boolean): readonly Waiting[] {
-    return this.#take(({ worker }) => isListed(worker));
+  removeListed(isListed: (endpoint: string) => boolean): readonly TrackedRun[] {
+    return this.#removeWhere(({ worker }) => isListed(worker));
   }
 
   /** Runs whose leases have run out. */
-  takeLapsed(nowMs: number): readonly MissingRun[] {
-    return this.#take(({ untilMs }) => nowMs >= untilMs);
+  removeExpired(nowMs: number): readonly MissingRun[] {
+    return this.#removeWhere(({ leaseExpiresAtMs: untilMs }) =>
+      nowMs >= untilMs
+    );
   }
 
-  #take(isTaken: (run: Waiting) => boolean): readonly Waiting[] {
-    const taken = [...this.#waiting].filter(isTaken);
-    for (const run of taken) this.#waiting.delete(run);
-    return taken;
+  #removeWhere(
+    shouldRemove: (run: TrackedRun) => boolean,
+  ): readonly TrackedRun[] {
+    const removed = [...this.#runs].filter(shouldRemove);
+    for (const run of removed) this.#runs.delete(run);
+    return removed;
   }
 }
--- a/packages/coordinator/src/work/partition_fences.ts
+++ b/packages/coordinator/src/work/partition_fences.ts
@@ -9,7 +9,7 @@
 import type * as ports from "../ports.ts";
 
 /** A read or write of a fence is given up after this time, in ms. */
-const LIMIT_MS = 1500;
+const TIMEOUT_MS = 1500;
 
 interface FenceRow {
   readonly token: number;
@@ -40,13 +40,13 @@
   }
 
   /** Shuts earlier coordinators out of a partition; false: try again. */
-  take(partition: string): Effect.Effect<boolean> {
+  acquire(partition: string): Effect.Effect<boolean> {
     const key = TableClient.Keys.fenceKey(partition);
     return Effect.gen({ self: this }, function* () {
-      const [row] = yield* this.#store.read([key], LIMIT_MS);
-      const found = (row?.value as FenceRow | undefined)?.token ?? 0;
-      if (found > this.#term.token) {
-        this.#term.lose(`token ${found} holds partition ${partition}`);
+      const [row] = yield* this.#store.read([key], TIMEOUT_MS);
+      const currentToken = (row?.value as FenceRow | undefined)?.token ?? 0;
+      if (currentToken > this.#term.token) {
+        this.#term.lose(`token ${currentToken} holds partition ${partition}`);
         return false;
       }
       const value: FenceRow = { token: this.#term.token };
@@ -54,7 +54,7 @@
         conditions: [{ key, revision: row?.revision ?? 0 }],
         writes: [{ key, value }],
       };
-      const revision = yield* this.#store.write(write, LIMIT_MS);
+      const revision = yield* this.#store.write(write, TIMEOUT_MS);
       this.#revisions.set(partition, revision);
       return true;
     }).pipe(Effect.catch(() => Effect.succeed(false)));
--- a/packages/coordinator/src/work/partition_recorder.ts
+++ b/packages/coordinator/src/work/partition_recorder.ts
@@ -18,14 +18,14 @@
  * Workflows in one transaction; each takes up to four of its 100 entries: two
  * conditions and two rows, or one and three. The fence takes one more.
  */
-const MOST_WORKFLOWS = 24;
+const MAX_WORKFLOWS_PER_WRITE = 24;
 /** A write is given up only with the term. */
-const NO_LIMIT_MS = 3_600_000;
+const WRITE_TIMEOUT_MS = 3_600_000;
 /**
  * A write that takes longer holds up further plans; a store that is merely slow,
  * with writes of half a second, does not.
  */
-const STALLED_MS = 1000;
+const STALL_THRESHOLD_MS = 1000;
 
 /** What a recorder of one partition needs. */
 export interface PartitionRecorderOptions {
@@ -34,7 +34,7 @@
   readonly fences: fences.PartitionFences;
   readonly partition: string;
   /** Told of a cancel that the store shows before the feed does. */
-  readonly onCancelled: (mark: intake.CancelMark) => void;
+  readonly onCancelled: (request: intake.CancelRequest) => void;
 }
 
 /** Groups records of one partition. */
@@ -42,17 +42,17 @@
   readonly #options: PartitionRecorderOptions;
   readonly #dirty = new Set<Workflow.Workflow>();
   /** Workflows whose mark of waiting may still be there. */
-  readonly #marked = new Set<Workflow.Workflow>();
+  readonly #withWaitingRow = new Set<Workflow.Workflow>();
   /** Ended workflows whose work is dropped from the rows. */
   readonly #trimmed = new Set<Workflow.Workflow>();
   /** Workflows whose record the store does not take. */
-  readonly #apart = new Set<Workflow.Workflow>();
-  #written = Deferred.makeUnsafe<void>();
+  readonly #rejected = new Set<Workflow.Workflow>();
+  #batchWritten = Deferred.makeUnsafe<void>();
   #signal = Deferred.makeUnsafe<void>();
   /** Revision of each progress row that exists. */
   readonly #revisions = new Map<Workflow.Workflow, number>();
   /** Workflows whose cancel a refused write has shown. */
-  readonly #cancelled = new Set<Workflow.Workflow>();
+  readonly #reportedCancels = new Set<Workflow.Workflow>();
   #writingSinceMs: number | null = null;
 
   constructor(options: PartitionRecorderOptions) {
@@ -63,39 +63,39 @@
   get isStalled(): boolean {
     const sinceMs = this.#writingSinceMs;
     return sinceMs !== null &&
-      this.#options.ports.clock.monotonicMs() - sinceMs > STALLED_MS;
+      this.#options.ports.clock.monotonicMs() - sinceMs > STALL_THRESHOLD_MS;
   }
 
   /** Whether the store takes no record of this workflow. */
-  isApart(workflow: Workflow.Workflow): boolean {
-    return this.#apart.has(workflow);
+  isRejected(workflow: Workflow.Workflow): boolean {
+    return this.#rejected.has(workflow);
   }
 
   /** Takes in a workflow whose progress has this revision; 0 for none. */
-  adopt(workflow: Workflow.Workflow, revision: number): void {
-    this.#marked.add(workflow);
+  track(workflow: Workflow.Workflow, revision: number): void {
+    this.#withWaitingRow.add(workflow);
     if (revision > 0) this.#revisions.set(workflow, revision);
   }
 
   /** Drops what is known of a workflow that has been swept away. */
-  forget(workflow: Workflow.Workflow): void {
-    this.#marked.delete(workflow);
+  untrack(workflow: Workflow.Workflow): void {
+    this.#withWaitingRow.delete(workflow);
     this.#trimmed.delete(workflow);
-    this.#apart.delete(workflow);
+    this.#rejected.delete(workflow);
     this.#revisions.delete(workflow);
-    this.#cancelled.delete(workflow);
+    this.#reportedCancels.delete(workflow);
   }
 
   /** A workflow has changed; the effect ends when that is written. */
   record(workflow: Workflow.Workflow): Effect.Effect<void> {
     this.#dirty.add(workflow);
-    const written = this.#written;
+    const written = this.#batchWritten;
     Deferred.doneUnsafe(this.#signal, Effect.void);
     const recorded = Deferred.await(written);
     // Orders of a workflow that is not recorded must not leave.
     return Effect.flatMap(
       recorded,
-      () => this.#apart.has(workflow) ? Effect.never : Effect.void,
+      () => this.#rejected.has(workflow) ? Effect.never : Effect.void,
     );
   }
 
@@ -112,10 +112,16 @@
     return Effect.gen({ self: this }, function* () {
       const batch = [...this.#dirty];
       this.#dirty.clear();
-      const written = this.#written;
-      this.#written = Deferred.makeUnsafe<void>();
-      for (let at = 0; at < batch.length; at += MOST_WORKFLOWS) {
-        yield* this.#write(batch.slice(at, at + MOST_WORKFLOWS));
+      const written = this.#batchWritten;
+      this.#batchWritten = Deferred.makeUnsafe<void>();
+      for (
+        let offset = 0;
+        offset < batch.length;
+        offset += MAX_WORKFLOWS_PER_WRITE
+      ) {
+        yield* this.#write(
+          batch.slice(offset, offset + MAX_WORKFLOWS_PER_WRITE),
+        );
       }
       Deferred.doneUnsafe(written, Effect.void);
     });
@@ -132,29 +138,29 @@
       conditions: [
         fences.condition(partition),
         ...batch.map((workflow) => this.#conditionOf(workflow)),
-        ...this.#unlessCancelled(batch),
+        ...this.#cancelConditions(batch),
       ],
       writes: batch.flatMap((workflow) => this.#rowsOf(workflow)),
     };
     // A workflow may change again while the write is on its way.
-    const begun = batch.filter(hasBegun);
+    const started = batch.filter(hasStarted);
     const settled = batch.filter(isSettled);
     this.#writingSinceMs = clock.monotonicMs();
-    return store.writeOrLearn(write, NO_LIMIT_MS).pipe(
+    return store.writeOrLearn(write, WRITE_TIMEOUT_MS).pipe(
       Effect.map((revision) => {
         this.#writingSinceMs = null;
         for (const workflow of batch) {
           this.#revisions.set(workflow, revision);
-          this.#apart.delete(workflow);
+          this.#rejected.delete(workflow);
         }
-        for (const workflow of begun) this.#marked.delete(workflow);
+        for (const workflow of started) this.#withWaitingRow.delete(workflow);
         for (const workflow of settled) this.#trimmed.add(workflow);
       }),
       Effect.catch((err) => {
         const isCancel = err._tag === "ConditionFailedError" &&
-          this.#noteCancel(batch, err.key);
+          this.#reportCancel(batch, err.key);
         if (isCancel) return this.#write(batch);
-        if (err._tag === "WriteRefusedError") return this.#setApart(batch, err);
+        if (err._tag === "WriteRefusedError") return this.#isolate(batch, err);
         term.lose(err.message);
         return Effect.never;
       }),
@@ -165,38 +171,40 @@
    * The store takes no such write, ever. One workflow must not hold up those
    * beside it: each is written alone, and what is refused alone goes no further.
    */
-  #setApart(
+  #isolate(
     batch: readonly Workflow.Workflow[],
     err: Errors.WriteRefusedError,
   ): Effect.Effect<void> {
     const [first] = batch;
     if (batch.length > 1) {
-      return Effect.forEach(batch, (one) => this.#write([one]), {
+      return Effect.forEach(batch, (workflow) => this.#write([workflow]), {
         discard: true,
       });
     }
     const { log, metrics } = this.#options.ports;
     this.#writingSinceMs = null;
-    this.#apart.add(first);
+    this.#rejected.add(first);
     metrics.count("cairngate_records_refused_total");
     log.error(`Workflow ${first.spec.id} can not go on: ${err.message}`);
     return Effect.void;
   }
 
   /** Conditions that no cancel lies beside what may still start. */
-  #unlessCancelled(
+  #cancelConditions(
     batch: readonly Workflow.Workflow[],
   ): Ports.RowCondition[] {
     return batch
-      .filter((one) => !one.isOver && !this.#cancelled.has(one))
+      .filter((workflow) =>
+        !workflow.isOver && !this.#reportedCancels.has(workflow)
+      )
       .map((workflow) => ({ key: this.#cancelKeyOf(workflow), revision: 0 }));
   }
 
   /** Passes a cancel on that refused a write; false where none did. */
-  #noteCancel(batch: readonly Workflow.Workflow[], key: string): boolean {
+  #reportCancel(batch: readonly Workflow.Workflow[], key: string): boolean {
     const found = batch.find((workflow) => this.#cancelKeyOf(workflow) === key);
     if (found === undefined) return false;
-    this.#cancelled.add(found);
+    this.#reportedCancels.add(found);
     const { partition, onCancelled, ports: { metrics } } = this.#options;
     metrics.count("cairngate_cancels_before_feed_total");
     onCancelled({ id: found.spec.id, partition });
@@ -212,10 +220,14 @@
     const { spec: { id, policy } } = workflow;
     const key = this.#keyOf(workflow);
     const rows = [{ key, value: Workflow.toProgress(workflow) as unknown }];
-    if (hasBegun(workflow) && this.#marked.has(workflow)) {
+    if (hasStarted(workflow) && this.#withWaitingRow.has(workflow)) {
       const { partition } = this.#options;
-      const mark = TableClient.Keys.waitingKey(partition, policy.queue, id);
-      rows.push({ key: mark, value: null });
+      const waitingKey = TableClient.Keys.waitingKey(
+        partition,
+        policy.queue,
+        id,
+      );
+      rows.push({ key: waitingKey, value: null });
     }
     if (isSettled(workflow) && !this.#trimmed.has(workflow)) {
       const { partition } = this.#options;
@@ -236,7 +248,7 @@
   }
 }
 
-function hasBegun(workflow: Workflow.Workflow): boolean {
+function hasStarted(workflow: Workflow.Workflow): boolean {
   return workflow.state !== Workflow.WorkflowState.Queued;
 }
 
--- a/packages/coordinator/src/work/planning.ts
+++ b/packages/coordinator/src/work/planning.ts
@@ -19,26 +19,26 @@
   readonly ports: ports.CoordinatorPorts;
   readonly directory: directories.EndpointDirectory;
   readonly control: controls.RunControl;
-  readonly advice: advice.AdviceBook;
+  readonly advice: advice.AdviceCache;
   readonly hardLoad: hardLoads.HardLoadWatch;
   readonly estimates: estimates.RunEstimates;
   readonly shares: shareBooks.ShareBook;
   /** Workflows of which something may start. */
-  readonly live: () => readonly Workflow.Workflow[];
+  readonly startable: () => readonly Workflow.Workflow[];
   /** Workflows of which nothing may start before their records are there. */
-  readonly unrecorded: () => readonly Workflow.Workflow[];
+  readonly awaitingRecord: () => readonly Workflow.Workflow[];
   /** Done before each plan; false: no plan now. */
   readonly prepare: () => boolean;
 }
 
 /** Longest time between two plans while something waits. */
-const REPLAN_MS = 250;
+const REPLAN_INTERVAL_MS = 250;
 /** Events that come together are planned together. */
-const GATHER_MS = 2;
+const EVENT_BATCH_MS = 2;
 /** A plan that took long is followed by a pause this many times as long. */
-const PLAN_PAUSE = 3;
+const PLAN_PAUSE_FACTOR = 3;
 
-const SLOW_SENTENCE_OF: Readonly<Record<Scheduler.SlowReason, string>> = {
+const SLOW_START_MESSAGES: Readonly<Record<Scheduler.SlowReason, string>> = {
   [Scheduler.SlowReason.Taken]:
     "on slow endpoints, on which it ends late: fast ones are in use",
   [Scheduler.SlowReason.TooLate]:
@@ -62,13 +62,13 @@
   }
 
   /** Something has changed: plan soon. */
-  wake(): void {
+  requestPlan(): void {
     Deferred.doneUnsafe(this.#signal, Effect.void);
   }
 
   /** Why a workflow waits, and since when; null where it does not. */
-  waitOf(id: string): standstills.Standing | null {
-    return this.#standstills.of(id);
+  waitOf(id: string): standstills.StepWait | null {
+    return this.#standstills.waitOf(id);
   }
 
   /** What came of stops for other work. */
@@ -80,9 +80,11 @@
   run(): Effect.Effect<never> {
     const { clock } = this.#parts.ports;
     return Effect.forever(Effect.gen({ self: this }, function* () {
-      yield* clock.within(REPLAN_MS, Deferred.await(this.#signal));
+      yield* clock.within(REPLAN_INTERVAL_MS, Deferred.await(this.#signal));
       this.#signal = Deferred.makeUnsafe<void>();
-      yield* clock.sleep(Math.max(GATHER_MS, this.#planMs * PLAN_PAUSE));
+      yield* clock.sleep(
+        Math.max(EVENT_BATCH_MS, this.#planMs * PLAN_PAUSE_FACTOR),
+      );
       this.#stops.look(clock.wallMs());
       if (this.#parts.prepare()) this.#plan();
     }));
@@ -91,49 +93,51 @@
   #plan(): void {
     const { ports: { clock, metrics }, directory } = this.#parts;
     const startedAtMs = clock.monotonicMs();
-    const workflows = this.#parts.live();
-    const unrecorded = this.#waitsForRecords();
-    if (workflows.length === 0 && unrecorded.length === 0) {
+    const workflows = this.#parts.startable();
+    const recordWaits = this.#recordWaits();
+    if (workflows.length === 0 && recordWaits.length === 0) {
       return this.#standstills.clear();
     }
-    const workers = directory.states();
+    const endpoints = directory.states();
     this.#urgent.note(workflows);
-    const plan = Scheduler.makePlan(this.#inputOf(workers, workflows));
-    this.#standstills.take({
-      waits: [...plan.waits, ...unrecorded],
+    const plan = Scheduler.makePlan(this.#planInput(endpoints, workflows));
+    this.#standstills.update({
+      waits: [...plan.waits, ...recordWaits],
       starts: plan.starts,
-      endpoints: workers,
+      endpoints,
       nowMs: startedAtMs,
     });
-    for (const stop of plan.stops) this.#yield(stop);
+    for (const stop of plan.stops) this.#preempt(stop);
     for (const start of plan.starts) this.#start(start);
-    this.#askAdvice(plan, workers);
+    this.#requestAdvice(plan, endpoints);
     this.#planMs = clock.monotonicMs() - startedAtMs;
     metrics.observeMs("cairngate_plan_seconds", this.#planMs);
     metrics.set("cairngate_endpoints_kept", plan.kept);
   }
 
-  #waitsForRecords(): Scheduler.WaitDecision[] {
+  #recordWaits(): Scheduler.WaitDecision[] {
     const wallMs = this.#parts.ports.clock.wallMs();
     const reason = Scheduler.WaitReason.Record;
-    return this.#parts.unrecorded().flatMap((workflow) =>
+    return this.#parts.awaitingRecord().flatMap((workflow) =>
       workflow.readyUnits(wallMs).slice(0, 1).map((unit) => ({ unit, reason }))
     );
   }
 
-  #inputOf(
-    workers: readonly Scheduler.WorkerState[],
+  #planInput(
+    endpoints: readonly Scheduler.WorkerState[],
     workflows: readonly Workflow.Workflow[],
   ): Scheduler.PlanInput {
-    const { ports: { clock, bounds, config }, advice: book } = this.#parts;
+    const { ports: { clock, bounds, config }, advice: adviceCache } =
+      this.#parts;
     return {
-      workers,
+      workers: endpoints,
       workflows,
       guarantees: guarantees.guaranteesOf(config()),
       nowMs: clock.monotonicMs(),
       wallMs: clock.wallMs(),
       remotePenalty: bounds.remotePenalty,
-      isAdvised: (unit, worker) => book.ticket(unit, worker) !== null,
+      isAdvised: (unit, endpoint) =>
+        adviceCache.ticket(unit, endpoint) !== null,
       hardLoad: this.#parts.hardLoad.load,
       stopMs: bounds.stopMs,
       urgentTraffic: (service) => this.#urgent.of(service, clock.wallMs()),
@@ -148,12 +152,14 @@
     if (slow !== undefined) {
       const { log, metrics } = this.#parts.ports;
       metrics.count("cairngate_slow_places_total", { reason: slow });
-      log.info(`Urgent workflow ${spec.id} starts ${SLOW_SENTENCE_OF[slow]}.`);
+      log.info(
+        `Urgent workflow ${spec.id} starts ${SLOW_START_MESSAGES[slow]}.`,
+      );
     }
     this.#parts.control.start(decision);
   }
 
-  #yield(decision: Scheduler.StopDecision): void {
+  #preempt(decision: Scheduler.StopDecision): void {
     const { task, claimant } = decision;
     const { log, clock, metrics } = this.#parts.ports;
     const ranMs = Math.round(clock.monotonicMs() - task.startedAtMs);
@@ -169,16 +175,16 @@
   }
 
   /** Asks about the first unit that waits for advice. */
-  #askAdvice(
+  #requestAdvice(
     plan: Scheduler.Plan,
-    workers: readonly Scheduler.WorkerState[],
+    endpoints: readonly Scheduler.WorkerState[],
   ): void {
     for (const { unit, reason } of plan.waits) {
       if (reason !== Scheduler.WaitReason.Advice) continue;
-      const eligible = workers
-        .filter((worker) => Scheduler.isEligible(worker, unit))
+      const eligible = endpoints
+        .filter((endpoint) => Scheduler.isEligible(endpoint, unit))
         .sort((a, b) => a.occupants.length - b.occupants.length);
-      this.#parts.advice.ask(unit, eligible.map(({ id }) => id));
+      this.#parts.advice.request(unit, eligible.map(({ id }) => id));
     }
   }
 }
--- a/packages/coordinator/src/work/recorder.ts
+++ b/packages/coordinator/src/work/recorder.ts
@@ -13,7 +13,7 @@
 /** The recorders of all partitions; one for each term. */
 export class Recorder {
   readonly #byPartition: ReadonlyMap<string, partitions.PartitionRecorder>;
-  readonly #ofWorkflow = new Map<
+  readonly #byWorkflow = new Map<
     Workflow.Workflow,
     partitions.PartitionRecorder
   >();
@@ -29,37 +29,39 @@
 
   /** Whether orders for this workflow would not leave: no record is written. */
   isStalled(workflow: Workflow.Workflow): boolean {
-    const recorder = this.#ofWorkflow.get(workflow);
+    const recorder = this.#byWorkflow.get(workflow);
     if (recorder === undefined) return false;
-    return recorder.isStalled || recorder.isApart(workflow);
+    return recorder.isStalled || recorder.isRejected(workflow);
   }
 
   /** Takes in a workflow whose progress has this revision; 0 for none. */
-  adopt(
+  track(
     workflow: Workflow.Workflow,
     place: { partition: string; revision: number },
   ): void {
-    this.forget(workflow);
+    this.untrack(workflow);
     const recorder = this.#byPartition.get(place.partition);
     if (recorder === undefined) throw new RangeError(place.partition);
-    this.#ofWorkflow.set(workflow, recorder);
-    recorder.adopt(workflow, place.revision);
+    this.#byWorkflow.set(workflow, recorder);
+    recorder.track(workflow, place.revision);
   }
 
   /** Drops what is known of a workflow that has been swept away. */
-  forget(workflow: Workflow.Workflow): void {
-    this.#ofWorkflow.get(workflow)?.forget(workflow);
-    this.#ofWorkflow.delete(workflow);
+  untrack(workflow: Workflow.Workflow): void {
+    this.#byWorkflow.get(workflow)?.untrack(workflow);
+    this.#byWorkflow.delete(workflow);
   }
 
   /** A workflow has changed; the effect ends when that is written. */
   record(workflow: Workflow.Workflow): Effect.Effect<void> {
-    return this.#ofWorkflow.get(workflow)?.record(workflow) ?? Effect.void;
+    return this.#byWorkflow.get(workflow)?.record(workflow) ?? Effect.void;
   }
 
   /** Writes for ever. */
   run(): Effect.Effect<never> {
-    const all = [...this.#byPartition.values()].map((one) => one.run());
+    const all = [...this.#byPartition.values()].map((recorder) =>
+      recorder.run()
+    );
     return Effect.andThen(
       Effect.all(all, { concurrency: "unbounded", discard: true }),
       Effect.never,
--- a/packages/coordinator/src/work/recovery.ts
+++ b/packages/coordinator/src/work/recovery.ts
@@ -15,16 +15,16 @@
  * A read goes on for as long as the term, in ms: its pages stay right, because
  * behind the fence no earlier coordinator writes any more.
  */
-const QUIET_MS = 3_600_000;
+const READ_TIMEOUT_MS = 3_600_000;
 /** Pause before a partition is tried again, in ms. */
-const RETRY_MS = 60;
+const RETRY_DELAY_MS = 60;
 /** Time between two checks of whether enough is open, in ms. */
-const LOOK_MS = 5;
+const POLL_INTERVAL_MS = 5;
 /** Partitions not open by then, in ms, are waited for beside the work. */
-const PATIENCE_MS = 700;
+const MAX_OPEN_WAIT_MS = 700;
 
 /** A record of an earlier coordinator. */
-export interface FoundProgress {
+export interface RecordedProgress {
   readonly partition: string;
   readonly row: Ports.Row;
 }
@@ -34,8 +34,8 @@
   readonly #ports: ports.CoordinatorPorts;
   readonly #term: terms.Term;
   readonly #fences: fences.PartitionFences;
-  readonly #open = new Set<string>();
-  readonly #progress = new Map<string, FoundProgress>();
+  readonly #openPartitions = new Set<string>();
+  readonly #progress = new Map<string, RecordedProgress>();
   /** Workflows whose records somebody else wrote over. */
   readonly #unreadable = new Set<string>();
   readonly #complete = Deferred.makeUnsafe<void>();
@@ -52,7 +52,7 @@
 
   /** Whether a partition is fenced and its progress is read. */
   isOpen(partition: string): boolean {
-    return this.#open.has(partition);
+    return this.#openPartitions.has(partition);
   }
 
   /** Whether all records of earlier coordinators are known. */
@@ -66,13 +66,13 @@
   }
 
   /** Every row of every partition has been taken in. */
-  complete(): void {
+  markComplete(): void {
     this.#progress.clear();
     Deferred.doneUnsafe(this.#complete, Effect.void);
   }
 
   /** What earlier coordinators recorded of a workflow; null for nothing. */
-  progressOf(id: string): FoundProgress | null {
+  progressOf(id: string): RecordedProgress | null {
     return this.#progress.get(id) ?? null;
   }
 
@@ -85,7 +85,7 @@
   openAll(): Effect.Effect<void> {
     return Effect.forEach(
       TableClient.Keys.PARTITIONS,
-      (partition) => this.#openOne(partition),
+      (partition) => this.#openPartition(partition),
       { concurrency: "unbounded", discard: true },
     );
   }
@@ -94,30 +94,30 @@
   awaitUsable(): Effect.Effect<void> {
     const { clock } = this.#ports;
     return Effect.gen({ self: this }, function* () {
-      const patientUntilMs = clock.monotonicMs() + PATIENCE_MS;
-      while (this.#open.size < TableClient.Keys.PARTITIONS.length) {
-        const isLate = clock.monotonicMs() >= patientUntilMs;
-        if (isLate && this.#open.size > 0) return;
-        yield* clock.sleep(LOOK_MS);
+      const waitUntilMs = clock.monotonicMs() + MAX_OPEN_WAIT_MS;
+      while (this.#openPartitions.size < TableClient.Keys.PARTITIONS.length) {
+        const isLate = clock.monotonicMs() >= waitUntilMs;
+        if (isLate && this.#openPartitions.size > 0) return;
+        yield* clock.sleep(POLL_INTERVAL_MS);
       }
     });
   }
 
   /** Records can be read only once no earlier coordinator writes any more. */
-  #openOne(partition: string): Effect.Effect<void> {
+  #openPartition(partition: string): Effect.Effect<void> {
     return Effect.andThen(
-      this.#untilDone(this.#fences.take(partition)),
-      this.#untilDone(this.#readRecords(partition)),
+      this.#retryUntilDone(this.#fences.acquire(partition)),
+      this.#retryUntilDone(this.#readRecords(partition)),
     );
   }
 
   /** Tries again until it is done or the term is lost. */
-  #untilDone(attempt: Effect.Effect<boolean>): Effect.Effect<void> {
+  #retryUntilDone(attempt: Effect.Effect<boolean>): Effect.Effect<void> {
     const { clock } = this.#ports;
     return Effect.gen({ self: this }, function* () {
       while (!this.#term.isLost) {
         if (yield* attempt) return;
-        yield* clock.sleep(RETRY_MS);
+        yield* clock.sleep(RETRY_DELAY_MS);
       }
     });
   }
@@ -126,14 +126,14 @@
   #readRecords(partition: string): Effect.Effect<boolean> {
     const { store, log } = this.#ports;
     const prefix = TableClient.Keys.progressPrefix(partition);
-    return store.readAll(prefix, QUIET_MS).pipe(
+    return store.readAll(prefix, READ_TIMEOUT_MS).pipe(
       Effect.map((rows) => {
         for (const row of rows) {
           const id = row.key.slice(prefix.length);
           if (row.value === undefined) this.#unreadable.add(id);
           else this.#progress.set(id, { partition, row });
         }
-        this.#open.add(partition);
+        this.#openPartitions.add(partition);
         return true;
       }),
       Effect.catch((err) => {
--- a/packages/coordinator/src/work/row_followers.ts
+++ b/packages/coordinator/src/work/row_followers.ts
@@ -26,13 +26,13 @@
  * A term begins its work without the newest changes after this time, in ms: one
  * answer of a slow store; leases have to be renewed.
  */
-const CATCH_UP_MS = 400;
+const CATCH_UP_TIMEOUT_MS = 400;
 /**
  * Endpoints write their listings again with each beat: 245 of them woke the feed 95
  * times a second, a quarter of all calls to the store on a quiet day. What a listing
  * tells, that it drains or has gone, may come a tenth of a second later.
  */
-const GATHER_LISTINGS_MS = 100;
+const LISTINGS_BATCH_MS = 100;
 
 /** Followers of one term. */
 export class RowFollowers {
@@ -45,7 +45,7 @@
     this.#listings = new TableClient.RowFollower({
       ...this.#feedOptions(),
       feed: options.ports.workerFeed,
-      gatherMs: GATHER_LISTINGS_MS,
+      gatherMs: LISTINGS_BATCH_MS,
       onChange: options.onListings,
     });
     const isOpen = (partition: string) => options.recovery.isOpen(partition);
@@ -54,8 +54,8 @@
       feed: options.ports.intakeFeed,
       mayRead: isOpen,
       onChange: (entries) =>
-        options.onIntake(intake.readIntake(entries, isOpen)),
-      onHeard: () => this.#noteRead(),
+        options.onIntake(intake.parseIntake(entries, isOpen)),
+      onHeard: () => this.#checkAllRead(),
     });
   }
 
@@ -72,7 +72,7 @@
     const { clock } = this.#options.ports;
     return Effect.gen({ self: this }, function* () {
       while (!this.#hasReadOpen) yield* this.#intake.step();
-      yield* clock.within(CATCH_UP_MS, this.#catchUp());
+      yield* clock.within(CATCH_UP_TIMEOUT_MS, this.#catchUp());
     });
   }
 
@@ -99,7 +99,7 @@
     );
   }
 
-  #noteRead(): void {
+  #checkAllRead(): void {
     const { recovery, onAllRead } = this.#options;
     if (!recovery.isComplete && this.#intake.isCaughtUp) onAllRead();
   }
--- a/packages/coordinator/src/work/run_control.ts
+++ b/packages/coordinator/src/work/run_control.ts
@@ -4,7 +4,7 @@
 import * as Effect from "effect/Effect";
 import type * as advice from "./advice_book.ts";
 import * as leaseClocks from "../sessions/lease_clock.ts";
-import * as missings from "./missing_runs.ts";
+import * as missingRuns from "./missing_runs.ts";
 import type * as ports from "../ports.ts";
 import type * as recorders from "./recorder.ts";
 import type * as directories from "../endpoints/endpoint_directory.ts";
@@ -14,13 +14,13 @@
   readonly ports: ports.CoordinatorPorts;
   readonly recorder: recorders.Recorder;
   readonly directory: directories.EndpointDirectory;
-  readonly advice: advice.AdviceBook;
+  readonly advice: advice.AdviceCache;
 }
 
 /** Carries out decisions about runs. */
 export class RunControl {
   readonly #parts: RunControlParts;
-  readonly #missing = new missings.MissingRuns();
+  readonly #missing = new missingRuns.MissingRuns();
 
   constructor(parts: RunControlParts) {
     this.#parts = parts;
@@ -29,7 +29,7 @@
   /** Takes the places at once; orders leave when they are recorded. */
   start(decision: Scheduler.StartDecision): void {
     const { ports: { clock }, directory, recorder } = this.#parts;
-    const { unit, workers } = decision;
+    const { unit, workers: endpoints } = decision;
     const { workflow } = unit;
     const run = 1 + Math.max(...unit.tasks.map((task) => task.run));
     if (workflow.state === Workflow.WorkflowState.Queued) {
@@ -37,12 +37,12 @@
       workflow.firstStartMs = clock.wallMs();
     }
     const orders = unit.tasks.flatMap((task, i) => {
-      const session = directory.session(workers[i]);
+      const session = directory.session(endpoints[i]);
       if (session === null) return [];
       const { likelyBornMs, ref: { address } } = session;
       const nowMs = clock.monotonicMs();
-      task.place(workers[i], run, nowMs, likelyBornMs, address);
-      const ticket = this.#parts.advice.ticket(unit, workers[i]);
+      task.place(endpoints[i], run, nowMs, likelyBornMs, address);
+      const ticket = this.#parts.advice.ticket(unit, endpoints[i]);
       return [{ session, occupant: session.reserve(task, ticket) }];
     });
     const send = Effect.forEach(
@@ -107,22 +107,22 @@
   begin(): void {
     const { ports: { clock, bounds }, directory } = this.#parts;
     directory.begin();
-    this.#missing.coverLeases(
+    this.#missing.extendLeases(
       leaseClocks.foreignLapseMs(clock.monotonicMs(), bounds.longestLeaseMs),
     );
   }
 
   /** Runs of endpoints that were not listed and whose leases have run out. */
-  takeMissing(): readonly missings.MissingRun[] {
+  resolveMissing(): readonly missingRuns.MissingRun[] {
     const { ports: { clock }, directory } = this.#parts;
-    const isListed = (worker: string) => directory.open(worker) !== null;
-    for (const missing of this.#missing.takeListed(isListed)) {
+    const isListed = (endpoint: string) => directory.open(endpoint) !== null;
+    for (const missing of this.#missing.removeListed(isListed)) {
       const { task, run, worker } = missing;
       const isPlaced = task.worker === worker && task.run === run;
       if (isPlaced) this.adopt(task);
       else this.adoptOpenEnd(missing);
     }
-    return this.#missing.takeLapsed(clock.monotonicMs());
+    return this.#missing.removeExpired(clock.monotonicMs());
   }
 
   /** Its lease has run out by then, whoever gave it, or it is known to have ended. */
@@ -130,9 +130,9 @@
     const { clock, bounds } = this.#parts.ports;
     const nowMs = clock.monotonicMs();
     const hasEnded = this.#parts.directory.hasEnded(run.worker);
-    const untilMs = hasEnded
+    const leaseExpiresAtMs = hasEnded
       ? nowMs
       : leaseClocks.foreignLapseMs(nowMs, bounds.longestLeaseMs);
-    this.#missing.add({ ...run, untilMs });
+    this.#missing.add({ ...run, leaseExpiresAtMs });
   }
 }
--- a/packages/coordinator/src/work/run_ends.ts
+++ b/packages/coordinator/src/work/run_ends.ts
@@ -6,26 +6,26 @@
 import type * as ports from "../ports.ts";
 import type * as occupants from "../sessions/occupant.ts";
 import * as listeners from "../sessions/session_listener.ts";
-import type * as unheards from "../sessions/unheard_runs.ts";
+import type * as unheardRuns from "../sessions/unheard_runs.ts";
 import * as endLogs from "./end_log.ts";
-import type * as missings from "./missing_runs.ts";
+import type * as missingRuns from "./missing_runs.ts";
 import type * as recorders from "./recorder.ts";
 import type * as controls from "./run_control.ts";
-import type * as books from "./workflow_book.ts";
+import type * as registries from "./workflow_book.ts";
 
 /** What the ends have to do with. */
 export interface RunEndsOptions {
   readonly ports: ports.CoordinatorPorts;
   readonly recorder: recorders.Recorder;
-  readonly book: books.WorkflowBook;
+  readonly workflows: registries.WorkflowRegistry;
   /** It stands once the sessions do, which tell of ends. */
   readonly control: () => controls.RunControl;
   /** A run has ended well. */
-  readonly onDone: (occupant: occupants.Occupant) => void;
+  readonly onCompleted: (occupant: occupants.Occupant) => void;
   /** Another life has begun under this id. */
-  readonly onLife: (id: string) => void;
+  readonly onEndpointRestarted: (id: string) => void;
   /** Something has changed that a plan has to do with. */
-  readonly onRoom: () => void;
+  readonly onCapacityChange: () => void;
 }
 
 /** Ends of runs; one for each term. */
@@ -40,7 +40,7 @@
   }
 
   override runEnded(
-    worker: listeners.SessionWorker,
+    endpoint: listeners.SessionWorker,
     occupant: occupants.Occupant,
     end: listeners.SessionEnd,
   ): Effect.Effect<void> {
@@ -49,56 +49,60 @@
     const { clock, metrics } = this.#options.ports;
     const nowMs = clock.monotonicMs();
     const wasOver = workflow.isOver;
-    const endpoint = worker.ref.id;
-    const ended = { run, endpoint, stoppingSinceMs, ...end };
-    if (end.how === Workflow.RunEnd.Done) this.#options.onDone(occupant);
+    const endpointId = endpoint.ref.id;
+    const ended = { run, endpoint: endpointId, stoppingSinceMs, ...end };
+    if (end.how === Workflow.RunEnd.Done) this.#options.onCompleted(occupant);
     workflow.endRun(task, ended, nowMs);
     metrics.count("cairngate_runs_ended_total", { how: end.how });
-    if (end.how === Workflow.RunEnd.Done) worker.health.succeeded(nowMs);
-    else this.#runLost(worker, occupant, end);
-    return this.#settle(workflow, wasOver);
+    if (end.how === Workflow.RunEnd.Done) endpoint.health.succeeded(nowMs);
+    else this.#handleUnsuccessfulEnd(endpoint, occupant, end);
+    return this.#concludeAndRecord(workflow, wasOver);
   }
 
   override lateEnd(
-    worker: listeners.SessionWorker,
-    { task, run }: unheards.UnheardRun,
+    endpoint: listeners.SessionWorker,
+    { task, run }: unheardRuns.UnheardRun,
     end: listeners.SessionEnd,
   ): Effect.Effect<void> {
     const { workflow } = task;
     const nowMs = this.#options.ports.clock.monotonicMs();
     const wasOver = workflow.isOver;
-    const endpoint = worker.ref.id;
-    const isNews = workflow.endRun(task, { run, endpoint, ...end }, nowMs);
-    if (!isNews) return Effect.void;
-    this.#log.endedLate({ task, run, endpoint }, end);
+    const endpointId = endpoint.ref.id;
+    const isNew = workflow.endRun(
+      task,
+      { run, endpoint: endpointId, ...end },
+      nowMs,
+    );
+    if (!isNew) return Effect.void;
+    this.#log.logLateEnd({ task, run, endpoint: endpointId }, end);
     if (end.how === Workflow.RunEnd.Done) this.#stopOtherRuns(task, run);
-    return this.#settle(workflow, wasOver);
+    return this.#concludeAndRecord(workflow, wasOver);
   }
 
   override unexpectedDone(
-    worker: listeners.SessionWorker,
+    endpoint: listeners.SessionWorker,
     ended: Ports.EndedRun,
   ): Effect.Effect<void> {
     const { run } = ended;
-    const task = this.#options.book.findTask(ended.task);
+    const task = this.#options.workflows.findTask(ended.task);
     if (task === null) return Effect.void;
     const isElsewhere = task.run === run && task.isPlaced &&
-      task.worker !== worker.ref.id;
+      task.worker !== endpoint.ref.id;
     // Such a run number is left over from an earlier submission of the same id.
     if (run > task.run || isElsewhere) return Effect.void;
     const { Likely } = Workflow.Presence;
-    const late = { task, run, presence: Likely, bornMs: null };
-    return this.lateEnd(worker, late, listeners.toSessionEnd(ended));
+    const lateRun = { task, run, presence: Likely, bornMs: null };
+    return this.lateEnd(endpoint, lateRun, listeners.toSessionEnd(ended));
   }
 
   override runGone(
     { ref: { id, address } }: listeners.SessionWorker,
-    { task, run, presence, bornMs }: unheards.UnheardRun,
+    { task, run, presence, bornMs }: unheardRuns.UnheardRun,
   ): void {
     const end = { task, run, worker: id, bornMs, address, presence };
     if (!task.workflow.suspectGone(end)) return;
-    this.#log.gone({ task, run, endpoint: id });
-    this.#record(task.workflow);
+    this.#log.logGone({ task, run, endpoint: id });
+    this.#recordInBackground(task.workflow);
   }
 
   override crashExcused(
@@ -109,13 +113,13 @@
       const { workflow } = task;
       const evidence = { fellows, presence };
       if (!workflow.excuseCrash(task, run, evidence)) continue;
-      this.#log.excused(task);
-      this.#record(workflow);
+      this.#log.logExcused(task);
+      this.#recordInBackground(workflow);
     }
   }
 
   override lifeBegan({ ref: { id } }: listeners.SessionWorker): void {
-    this.#options.onLife(id);
+    this.#options.onEndpointRestarted(id);
     this.roomChanged();
   }
 
@@ -132,11 +136,11 @@
     const leftMs = endsAtMs - clock.monotonicMs();
     task.confirmedRun = run;
     task.confirmedEndsAtWallMs = Math.round(clock.wallMs() + leftMs);
-    this.#record(task.workflow);
+    this.#recordInBackground(task.workflow);
   }
 
   override roomChanged(): void {
-    this.#options.onRoom();
+    this.#options.onCapacityChange();
   }
 
   /**
@@ -144,7 +148,7 @@
    * knows its address any more, so this is all that will be known, unless it is
    * listed again.
    */
-  endMissing(missing: missings.MissingRun): Effect.Effect<void> {
+  endMissing(missing: missingRuns.MissingRun): Effect.Effect<void> {
     const { task, run, worker } = missing;
     const { workflow } = task;
     const wasOver = workflow.isOver;
@@ -153,9 +157,9 @@
     const end = { run, how, checkpoint: "", endpoint: worker };
     workflow.endRun(task, end, nowMs);
     if (workflow.suspectGone(missing)) {
-      this.#log.gone({ task, run, endpoint: worker });
+      this.#log.logGone({ task, run, endpoint: worker });
     }
-    return this.#settle(workflow, wasOver);
+    return this.#concludeAndRecord(workflow, wasOver);
   }
 
   /** Stops runs that repeat a task, or a gang, of which one run is done. */
@@ -167,35 +171,38 @@
     }
   }
 
-  #runLost(
-    worker: listeners.SessionWorker,
+  #handleUnsuccessfulEnd(
+    endpoint: listeners.SessionWorker,
     occupant: occupants.Occupant,
     end: listeners.SessionEnd,
   ): void {
     const { task, run } = occupant;
     task.workflow.lostRuns++;
-    this.#log.ended({ task, run, endpoint: worker.ref.id }, end);
+    this.#log.logEnd({ task, run, endpoint: endpoint.ref.id }, end);
     if (end.how === Workflow.RunEnd.Failed) {
       const nowMs = this.#options.ports.clock.monotonicMs();
       const sentAtMs = occupant.sentAtMs ?? task.startedAtMs;
-      worker.health.ranAndFailed(nowMs, nowMs - sentAtMs);
+      endpoint.health.ranAndFailed(nowMs, nowMs - sentAtMs);
     }
     if (task.step.gang) this.#options.control().stopGang(task, run);
   }
 
   /** What follows from the end of a run; the effect ends when it is recorded. */
-  #settle(workflow: Workflow.Workflow, wasOver: boolean): Effect.Effect<void> {
-    const { control, book, recorder } = this.#options;
+  #concludeAndRecord(
+    workflow: Workflow.Workflow,
+    wasOver: boolean,
+  ): Effect.Effect<void> {
+    const { control, workflows, recorder } = this.#options;
     if (workflow.isOver && !wasOver) {
-      this.#log.gaveUp(workflow);
+      this.#log.logGiveUp(workflow);
       control().stopAll(workflow);
     }
-    book.conclude(workflow);
+    workflows.conclude(workflow);
     this.roomChanged();
     return recorder.record(workflow);
   }
 
-  #record(workflow: Workflow.Workflow): void {
+  #recordInBackground(workflow: Workflow.Workflow): void {
     Effect.runFork(this.#options.recorder.record(workflow));
   }
 }
--- a/packages/coordinator/src/work/run_sentences.ts
+++ b/packages/coordinator/src/work/run_sentences.ts
@@ -4,10 +4,10 @@
 const { RunCount, RunEvidence } = Workflow;
 
 /** What is told where runs may be missing. */
-export const PARTIAL =
+export const PARTIAL_HISTORY =
   "More runs may have counted; they are too many, or an earlier coordinator saw them.";
 
-const EVIDENCE: Readonly<Record<Workflow.RunEvidence, string>> = {
+const EVIDENCE_TEXT: Readonly<Record<Workflow.RunEvidence, string>> = {
   [RunEvidence.OwnWord]: "by its own word",
   [RunEvidence.SeenThere]:
     "its endpoint was shown to have ended while the run was under way",
@@ -21,7 +21,7 @@
   [RunEvidence.Withdrawn]: "its end was open until the endpoint answered again",
 };
 
-const COUNT: Readonly<Record<Workflow.RunCount, string>> = {
+const COUNT_TEXT: Readonly<Record<Workflow.RunCount, string>> = {
   [RunCount.Failure]: "It counts as a failure.",
   [RunCount.Crash]: "It counts as a crash laid to the task.",
   [RunCount.Excused]: "It is excused, as others fell at that moment.",
@@ -32,6 +32,8 @@
 /** One run: where it was, how it ended, what shows it and what it counted. */
 export function describeRun(entry: Workflow.RunEntry): string {
   const { run, endpoint, how, evidence, counted } = entry;
-  return `run ${run} on ${endpoint} ended as ${how}: ${EVIDENCE[evidence]}. ` +
-    COUNT[counted];
+  return `run ${run} on ${endpoint} ended as ${how}: ${
+    EVIDENCE_TEXT[evidence]
+  }. ` +
+    COUNT_TEXT[counted];
 }
--- a/packages/coordinator/src/work/term_parts.ts
+++ b/packages/coordinator/src/work/term_parts.ts
@@ -16,7 +16,7 @@
 import * as recoveries from "./recovery.ts";
 import * as controls from "./run_control.ts";
 import * as runEnds from "./run_ends.ts";
-import * as books from "./workflow_book.ts";
+import * as registries from "./workflow_book.ts";
 import * as workflowIntakes from "./workflow_intake.ts";
 
 /** What they are made for. */
@@ -28,14 +28,14 @@
 }
 
 /** The records of a term: what is kept, read and written. */
-interface Records {
+interface RecordParts {
   readonly recovery: recoveries.Recovery;
   readonly recorder: recorders.Recorder;
-  readonly book: books.WorkflowBook;
+  readonly workflows: registries.WorkflowRegistry;
 }
 
 /** The parts that the coordinator calls. */
-export interface TermParts extends Records {
+export interface TermParts extends RecordParts {
   readonly directory: directories.EndpointDirectory;
   readonly control: controls.RunControl;
   readonly intake: workflowIntakes.WorkflowIntake;
@@ -50,57 +50,57 @@
 }
 
 /** Makes the parts of one term. */
-export function wireParts(options: TermPartsOptions): TermParts {
-  const { ports: given, term, preparePlan: prepare } = options;
+export function createParts(options: TermPartsOptions): TermParts {
+  const { ports: coordinatorPorts, term, preparePlan: prepare } = options;
   // Some parts call others that are made after them, and none before all stand.
-  const records = openRecords(options, (mark) => intake.cancel(mark));
-  const { recovery, recorder, book } = records;
-  const advisor = new advice.AdviceBook({
-    advisor: given.advisor,
-    clock: given.clock,
-    onAdvice: () => planning.wake(),
+  const records = createRecords(options, (request) => intake.cancel(request));
+  const { recovery, recorder, workflows } = records;
+  const adviceCache = new advice.AdviceCache({
+    advisor: coordinatorPorts.advisor,
+    clock: coordinatorPorts.clock,
+    onAdvice: () => planning.requestPlan(),
   });
-  const hardLoad = new hardLoads.HardLoadWatch(given);
+  const hardLoad = new hardLoads.HardLoadWatch(coordinatorPorts);
   const runEstimates = new estimates.RunEstimates({
-    clock: given.clock,
+    clock: coordinatorPorts.clock,
     siteOf: (id) => directory.siteOf(id),
     onSingle: (occupant, tookMs) => directory.learnFrom(occupant, tookMs),
   });
   const ends = new runEnds.RunEnds({
-    ports: given,
+    ports: coordinatorPorts,
     recorder,
-    book,
+    workflows,
     control: () => control,
-    onDone: (occupant) => runEstimates.noteDone(occupant),
-    onLife: (id) => {
+    onCompleted: (occupant) => runEstimates.noteDone(occupant),
+    onEndpointRestarted: (id) => {
       directory.lifeBegan(id);
-      advisor.forget(id);
+      adviceCache.evictEndpoint(id);
     },
-    onRoom: () => planning.wake(),
+    onCapacityChange: () => planning.requestPlan(),
   });
   const directory = new directories.EndpointDirectory({
-    ports: given,
+    ports: coordinatorPorts,
     term,
     listener: ends,
     recovery,
     doEndpointsDiffer: () => hardLoad.load.endpointsDiffer,
   });
-  const shared = { ports: given, directory, advice: advisor };
+  const shared = { ports: coordinatorPorts, directory, advice: adviceCache };
   const control = new controls.RunControl({ ...shared, recorder });
   const intake = new workflowIntakes.WorkflowIntake({
     recorder,
-    book,
+    workflows,
     control,
   });
-  const shares = new shareBooks.ShareBook(given, term);
+  const shares = new shareBooks.ShareBook(coordinatorPorts, term);
   const planning = new plannings.Planning({
     ...shared,
     hardLoad,
     estimates: runEstimates,
     shares,
     control,
-    live: () => book.live,
-    unrecorded: () => book.unrecorded,
+    startable: () => workflows.startable,
+    awaitingRecord: () => workflows.awaitingRecord,
     prepare,
   });
   return {
@@ -109,39 +109,43 @@
     control,
     intake,
     ends,
-    watch: new watches.RunWatch(given, directory, control),
-    guarantees: new guarantees.GuaranteeWatch(given, directory),
+    watch: new watches.RunWatch(coordinatorPorts, directory, control),
+    guarantees: new guarantees.GuaranteeWatch(coordinatorPorts, directory),
     planning,
     hardLoad,
     estimates: runEstimates,
     shares,
     forecasts: new forecasts.ForecastMaker({
-      ports: given,
+      ports: coordinatorPorts,
       term,
       directory,
       hardLoad,
-      live: () => book.live,
+      live: () => workflows.startable,
     }),
   };
 }
 
-function openRecords(
-  { ports: given, term }: Pick<TermPartsOptions, "ports" | "term">,
-  onCancelled: (mark: intakes.CancelMark) => void,
-): Records {
-  const held = new fences.PartitionFences(given, term);
-  const recovery = new recoveries.Recovery(given, term, held);
+function createRecords(
+  { ports: coordinatorPorts, term }: Pick<TermPartsOptions, "ports" | "term">,
+  onCancelled: (request: intakes.CancelRequest) => void,
+): RecordParts {
+  const partitionFences = new fences.PartitionFences(coordinatorPorts, term);
+  const recovery = new recoveries.Recovery(
+    coordinatorPorts,
+    term,
+    partitionFences,
+  );
   const recorder = new recorders.Recorder({
-    ports: given,
+    ports: coordinatorPorts,
     term,
-    fences: held,
+    fences: partitionFences,
     onCancelled,
   });
-  const book = new books.WorkflowBook({
-    ports: given,
-    fences: held,
+  const workflows = new registries.WorkflowRegistry({
+    ports: coordinatorPorts,
+    fences: partitionFences,
     recorder,
     recovery,
   });
-  return { recovery, recorder, book };
+  return { recovery, recorder, workflows };
 }
--- a/packages/coordinator/src/work/workflow_book.ts
+++ b/packages/coordinator/src/work/workflow_book.ts
@@ -9,7 +9,7 @@
 import type * as recoveries from "./recovery.ts";
 
 /** What the book works with. */
-export interface BookParts {
+export interface RegistryParts {
   readonly ports: ports.CoordinatorPorts;
   readonly fences: fences.PartitionFences;
   readonly recorder: recorders.Recorder;
@@ -17,7 +17,7 @@
 }
 
 /** Where the rows of a workflow lie. */
-interface Filed {
+interface RegisteredWorkflow {
   readonly workflow: Workflow.Workflow;
   /** Partition of its progress. */
   partition: string;
@@ -26,43 +26,43 @@
 }
 
 /** Workflows by id. */
-export class WorkflowBook {
-  readonly #parts: BookParts;
-  readonly #filed = new Map<string, Filed>();
+export class WorkflowRegistry {
+  readonly #parts: RegistryParts;
+  readonly #entries = new Map<string, RegisteredWorkflow>();
   /** Partitions in which the cancels of a workflow lie, seen or not, by id. */
-  readonly #cancels = new Map<string, Set<string>>();
+  readonly #cancelPartitions = new Map<string, Set<string>>();
   readonly #endedAtMs = new Map<string, number>();
 
-  constructor(parts: BookParts) {
+  constructor(parts: RegistryParts) {
     this.#parts = parts;
   }
 
   /** Workflows of which something may still start. */
-  get live(): readonly Workflow.Workflow[] {
-    return this.#all().filter((workflow) => this.#mayStart(workflow));
+  get startable(): readonly Workflow.Workflow[] {
+    return this.#all().filter((workflow) => this.#canStart(workflow));
   }
 
   /** Workflows of which nothing may start before their records are there. */
-  get unrecorded(): readonly Workflow.Workflow[] {
+  get awaitingRecord(): readonly Workflow.Workflow[] {
     return this.#all().filter((workflow) =>
-      !workflow.isOver && !this.#mayStart(workflow)
+      !workflow.isOver && !this.#canStart(workflow)
     );
   }
 
   /** Workflows that have not ended; some are being cancelled. */
-  get open(): readonly Workflow.Workflow[] {
+  get unfinished(): readonly Workflow.Workflow[] {
     return this.#all().filter(({ state }) => !Workflow.isFinal(state));
   }
 
   /** Finds a task by the name that endpoints use; null where there is none. */
   findTask(name: string): Workflow.Task | null {
     const [id, ...key] = name.split(".");
-    return this.#filed.get(id)?.workflow.task(key.join(".")) ?? null;
+    return this.#entries.get(id)?.workflow.task(key.join(".")) ?? null;
   }
 
   /** How many are known. */
   get size(): number {
-    return this.#filed.size;
+    return this.#entries.size;
   }
 
   /**
@@ -73,10 +73,10 @@
     spec: Workflow.WorkflowSpec,
     partition: string,
   ): Workflow.Workflow | null {
-    const known = this.#filed.get(spec.id);
-    if (known !== undefined) return this.#acceptAgain(known, partition);
+    const existing = this.#entries.get(spec.id);
+    if (existing !== undefined) return this.#acceptCopy(existing, partition);
     if (this.#parts.recovery.isUnreadable(spec.id)) {
-      return this.#passOver(spec.id);
+      return this.#skip(spec.id);
     }
     // It has ended, and a sweep has overtaken the read that tells of it.
     const isOver = spec.steps.length === 0;
@@ -84,17 +84,21 @@
       return null;
     }
     const workflow = new Workflow.Workflow(spec);
-    const filed: Filed = { workflow, partition, copies: new Set() };
-    this.#filed.set(spec.id, filed);
-    this.#parts.recorder.adopt(workflow, { partition, revision: 0 });
-    this.#applyRecord(filed);
-    workflow.cancelled ||= this.#cancels.has(spec.id);
-    this.#noteEnd(workflow);
+    const entry: RegisteredWorkflow = {
+      workflow,
+      partition,
+      copies: new Set(),
+    };
+    this.#entries.set(spec.id, entry);
+    this.#parts.recorder.track(workflow, { partition, revision: 0 });
+    this.#applyRecord(entry);
+    workflow.cancelled ||= this.#cancelPartitions.has(spec.id);
+    this.#markEnded(workflow);
     return workflow;
   }
 
   /** What of it has run nobody knows: a second start could do harm. */
-  #passOver(id: string): null {
+  #skip(id: string): null {
     this.#parts.ports.log.error(
       `Workflow ${id} is passed over in this term: ` +
         `somebody else has written over its progress.`,
@@ -103,10 +107,10 @@
   }
 
   /** Marks a workflow as cancelled; null where there is nothing to do. */
-  cancel({ id, partition }: intake.CancelMark): Workflow.Workflow | null {
-    const marks = this.#cancels.get(id) ?? new Set();
-    this.#cancels.set(id, marks.add(partition));
-    const workflow = this.#filed.get(id)?.workflow;
+  cancel({ id, partition }: intake.CancelRequest): Workflow.Workflow | null {
+    const partitions = this.#cancelPartitions.get(id) ?? new Set();
+    this.#cancelPartitions.set(id, partitions.add(partition));
+    const workflow = this.#entries.get(id)?.workflow;
     if (workflow === undefined || workflow.isOver) return null;
     workflow.cancelled = true;
     this.#parts.ports.log.info(`Workflow ${id} is cancelled.`);
@@ -115,16 +119,16 @@
 
   /** Notes the end of a workflow, if it has ended now. */
   conclude(workflow: Workflow.Workflow): void {
-    if (!this.isCertain(workflow)) return;
+    if (!this.isProgressKnown(workflow)) return;
     workflow.concludeCancel();
-    if (this.#noteEnd(workflow)) this.#logConclusion(workflow);
+    if (this.#markEnded(workflow)) this.#logConclusion(workflow);
   }
 
   /**
    * Notes the end of a workflow, also one of an earlier term: its rows are swept
    * some time later. False where there is none, or it is known.
    */
-  #noteEnd({ state, spec: { id } }: Workflow.Workflow): boolean {
+  #markEnded({ state, spec: { id } }: Workflow.Workflow): boolean {
     if (!Workflow.isFinal(state) || this.#endedAtMs.has(id)) return false;
     this.#endedAtMs.set(id, this.#parts.ports.clock.monotonicMs());
     return true;
@@ -138,12 +142,12 @@
     const { clock, bounds, log } = this.#parts.ports;
     return Effect.gen({ self: this }, function* () {
       if (!this.#parts.recovery.isComplete) return;
-      const beforeMs = clock.monotonicMs() - bounds.keepEndedMs;
-      for (const [id, atMs] of this.#endedAtMs) {
-        const filed = this.#filed.get(id);
-        if (atMs > beforeMs || filed === undefined) continue;
-        if (filed.workflow.placedTasks().length > 0) continue;
-        yield* this.#remove(filed);
+      const endedBeforeMs = clock.monotonicMs() - bounds.keepEndedMs;
+      for (const [id, endedAtMs] of this.#endedAtMs) {
+        const entry = this.#entries.get(id);
+        if (endedAtMs > endedBeforeMs || entry === undefined) continue;
+        if (entry.workflow.placedTasks().length > 0) continue;
+        yield* this.#remove(entry);
       }
     }).pipe(
       // The next sweep finds what is left.
@@ -154,11 +158,11 @@
   }
 
   #all(): Workflow.Workflow[] {
-    return [...this.#filed.values()].map(({ workflow }) => workflow);
+    return [...this.#entries.values()].map(({ workflow }) => workflow);
   }
 
-  #mayStart(workflow: Workflow.Workflow): boolean {
-    return !workflow.isOver && this.isCertain(workflow) &&
+  #canStart(workflow: Workflow.Workflow): boolean {
+    return !workflow.isOver && this.isProgressKnown(workflow) &&
       !this.#parts.recorder.isStalled(workflow);
   }
 
@@ -166,62 +170,65 @@
    * Until all partitions are read, a workflow that seems untouched may have been
    * started from a copy in one of the others: it is neither started nor recorded.
    */
-  isCertain(workflow: Workflow.Workflow): boolean {
+  isProgressKnown(workflow: Workflow.Workflow): boolean {
     return this.#parts.recovery.isComplete ||
       workflow.state !== Workflow.WorkflowState.Queued;
   }
 
-  #acceptAgain(known: Filed, partition: string): Workflow.Workflow | null {
-    if (known.partition === partition) return null;
-    known.copies.add(partition);
-    const hasMoved = !this.isCertain(known.workflow) &&
-      this.#applyRecord(known);
-    if (hasMoved) this.#noteEnd(known.workflow);
-    Effect.runFork(this.#tryDropCopies(known));
-    return hasMoved ? known.workflow : null;
+  #acceptCopy(
+    entry: RegisteredWorkflow,
+    partition: string,
+  ): Workflow.Workflow | null {
+    if (entry.partition === partition) return null;
+    entry.copies.add(partition);
+    const hasApplied = !this.isProgressKnown(entry.workflow) &&
+      this.#applyRecord(entry);
+    if (hasApplied) this.#markEnded(entry.workflow);
+    Effect.runFork(this.#tryRemoveCopies(entry));
+    return hasApplied ? entry.workflow : null;
   }
 
   /** Applies what an earlier coordinator recorded, wherever that lies. */
-  #applyRecord(filed: Filed): boolean {
+  #applyRecord(entry: RegisteredWorkflow): boolean {
     const { recorder, recovery } = this.#parts;
-    const { workflow } = filed;
-    const found = recovery.progressOf(workflow.spec.id);
-    if (found === null) return false;
-    if (found.partition !== filed.partition) {
-      filed.copies.add(filed.partition);
-      filed.copies.delete(found.partition);
-      filed.partition = found.partition;
+    const { workflow } = entry;
+    const recorded = recovery.progressOf(workflow.spec.id);
+    if (recorded === null) return false;
+    if (recorded.partition !== entry.partition) {
+      entry.copies.add(entry.partition);
+      entry.copies.delete(recorded.partition);
+      entry.partition = recorded.partition;
     }
-    const { partition, row: { revision, value } } = found;
-    recorder.adopt(workflow, { partition, revision });
+    const { partition, row: { revision, value } } = recorded;
+    recorder.track(workflow, { partition, revision });
     Workflow.applyProgress(workflow, value as Workflow.ProgressRecord);
     return true;
   }
 
   /** A copy that stays does no harm: it goes with the workflow. */
-  #tryDropCopies(filed: Filed): Effect.Effect<void> {
-    const { id } = filed.workflow.spec;
-    return Effect.catch(this.#dropCopies(filed), (err) =>
+  #tryRemoveCopies(entry: RegisteredWorkflow): Effect.Effect<void> {
+    const { id } = entry.workflow.spec;
+    return Effect.catch(this.#removeCopies(entry), (err) =>
       Effect.sync(() => {
         this.#parts.ports.log.info(`A copy of ${id} stays: ${err.message}`);
       }));
   }
 
   /** Cancels that lie with the copies stay: later terms have to find them. */
-  #dropCopies(filed: Filed) {
-    const { spec: { id, policy } } = filed.workflow;
+  #removeCopies(entry: RegisteredWorkflow) {
+    const { spec: { id, policy } } = entry.workflow;
     return Effect.forEach(
-      [...filed.copies],
+      [...entry.copies],
       (partition) =>
         Effect.map(
           this.#removeKeys(partition, rowKeys(partition, id, policy.queue)),
-          () => filed.copies.delete(partition),
+          () => entry.copies.delete(partition),
         ),
       { discard: true },
     );
   }
 
-  #dropCancels(id: string, partitions: readonly string[]) {
+  #removeCancels(id: string, partitions: readonly string[]) {
     return Effect.forEach(
       partitions,
       (partition) =>
@@ -232,20 +239,23 @@
     );
   }
 
-  #remove(filed: Filed) {
-    const { partition, workflow, workflow: { spec: { id, policy } } } = filed;
-    const marks = [...this.#cancels.get(id) ?? []];
+  #remove(entry: RegisteredWorkflow) {
+    const { partition, workflow, workflow: { spec: { id, policy } } } = entry;
+    const cancelPartitions = [...this.#cancelPartitions.get(id) ?? []];
     return Effect.gen({ self: this }, function* () {
-      yield* this.#dropCopies(filed);
-      yield* this.#dropCancels(id, marks.filter((one) => one !== partition));
+      yield* this.#removeCopies(entry);
+      yield* this.#removeCancels(
+        id,
+        cancelPartitions.filter((other) => other !== partition),
+      );
       yield* this.#removeKeys(partition, [
         ...rowKeys(partition, id, policy.queue),
         TableClient.Keys.cancelKey(partition, id),
       ]);
-      this.#filed.delete(id);
-      this.#cancels.delete(id);
+      this.#entries.delete(id);
+      this.#cancelPartitions.delete(id);
       this.#endedAtMs.delete(id);
-      this.#parts.recorder.forget(workflow);
+      this.#parts.recorder.untrack(workflow);
     });
   }
 
@@ -268,13 +278,13 @@
     const dueMs = Workflow.dueAtMs(spec, lastRound);
     const allowedMs = Workflow.objectiveAtMs(spec, lastRound) - dueMs;
     const [first] = spec.steps;
-    const started = workflow.firstStartMs === null
+    const startNote = workflow.firstStartMs === null
       ? "started before this term"
       : `first start after ${Math.round(workflow.firstStartMs - dueMs)} ms`;
     this.#parts.ports.log.info(
       `Workflow ${spec.id} of priority ${spec.policy.priority} is ${state} ` +
         `after ${Math.round(nowMs - dueMs)} of ${Math.round(allowedMs)} ms; ` +
-        `${started}, ${workflow.lostRuns} runs lost; ${first.count} tasks of ` +
+        `${startNote}, ${workflow.lostRuns} runs lost; ${first.count} tasks of ` +
         `${first.accelerators} accelerators, gang ${first.gang}, ` +
         `one rack ${first.sameRack}.`,
     );
--- a/packages/coordinator/src/work/workflow_intake.ts
+++ b/packages/coordinator/src/work/workflow_intake.ts
@@ -4,12 +4,12 @@
 import type * as intake from "./intake.ts";
 import type * as recorders from "./recorder.ts";
 import type * as controls from "./run_control.ts";
-import type * as books from "./workflow_book.ts";
+import type * as registries from "./workflow_book.ts";
 
 /** What the intake works with. */
 export interface WorkflowIntakeOptions {
   readonly recorder: recorders.Recorder;
-  readonly book: books.WorkflowBook;
+  readonly workflows: registries.WorkflowRegistry;
   readonly control: controls.RunControl;
 }
 
@@ -22,27 +22,27 @@
   }
 
   /** Takes in what the rows say has happened. */
-  take({ accepted, cancelled }: intake.IntakeEvents): void {
+  apply({ accepted, cancelled }: intake.IntakeEvents): void {
     for (const workflow of accepted) this.#accept(workflow);
-    for (const mark of cancelled) this.cancel(mark);
+    for (const request of cancelled) this.cancel(request);
   }
 
   /** A workflow is cancelled. */
-  cancel(mark: intake.CancelMark): void {
-    const workflow = this.#options.book.cancel(mark);
+  cancel(request: intake.CancelRequest): void {
+    const workflow = this.#options.workflows.cancel(request);
     if (workflow !== null) this.#endCancelled(workflow);
   }
 
   /** All partitions are read, so it is known where each workflow's record lies. */
   concludeAll(): void {
-    for (const workflow of this.#options.book.open) {
+    for (const workflow of this.#options.workflows.unfinished) {
       this.#concludeIfOver(workflow);
     }
   }
 
   #accept({ spec, partition }: intake.AcceptedWorkflow): void {
-    const { book, control } = this.#options;
-    const workflow = book.accept(spec, partition);
+    const { workflows, control } = this.#options;
+    const workflow = workflows.accept(spec, partition);
     if (workflow === null) return;
     for (const task of workflow.placedTasks()) control.adopt(task);
     for (const end of workflow.openEnds.all) control.adoptOpenEnd(end);
@@ -59,9 +59,9 @@
    * Its record lies in one partition only, so this waits until it is known where.
    */
   #concludeIfOver(workflow: Workflow.Workflow): void {
-    const { book, recorder } = this.#options;
-    if (!workflow.isOver || !book.isCertain(workflow)) return;
-    book.conclude(workflow);
+    const { workflows, recorder } = this.#options;
+    if (!workflow.isOver || !workflows.isProgressKnown(workflow)) return;
+    workflows.conclude(workflow);
     Effect.runFork(recorder.record(workflow));
   }
 }
