--- a/packages/coordinator/src/work/advice_book.ts
+++ b/packages/coordinator/src/work/advice_book.ts
@@ -1,35 +1,37 @@
 /**
- * Keeps the advice that was given for steps. The service works on one question
- * of a node at a time, so questions are asked in the order of need, and only
- * for steps that wait.
+ * Caches the answers of the advice service by step. The service handles one request
+ * of a box at a time, so at most one request is in flight, and only for steps that
+ * wait for advice.
  */
 import * as Ports from "@cairngate/ports";
 import type * as Workflow from "@cairngate/workflow";
 import * as Effect from "effect/Effect";
 
-/** What the book needs. */
+/** Dependencies of an `AdviceCache`. */
 export interface AdviceCacheOptions {
-  /** Null where no advice service is set. */
+  /** Null where no advice service is configured. */
   readonly advisor: Ports.Advisor | null;
   readonly clock: Ports.Clock;
-  /** Told when new advice is there. */
+  /** Called when a request has ended, whether or not it brought advice. */
   readonly onAdvice: () => void;
 }
 
 interface CachedAdvice {
+  /** Ticket by endpoint id. */
   readonly tickets: Map<string, string>;
-  /** Workers that were asked about; the policy never changes for a step. */
+  /** Endpoints requested so far; the policy of a step never changes. */
   readonly requested: Set<string>;
   readonly validUntilMs: number;
 }
 
-/** A ticket has to hold until the order has arrived. */
+/** A ticket has to stay valid until the start order reaches the endpoint. */
 const DISPATCH_MARGIN_MS = 400;
+/** Added to the time that the service takes by its policy. */
 const RESPONSE_MARGIN_MS = 1500;
-/** Workers named at first; a wide step is asked about more. */
+/** Steps with many tasks request twice as many endpoints as they have tasks. */
 const MIN_ENDPOINTS_PER_REQUEST = 30;
 
-/** Advice by step. */
+/** Tickets that let the tasks of a step run on given endpoints. */
 export class AdviceCache {
   readonly #options: AdviceCacheOptions;
   readonly #cached = new Map<string, CachedAdvice>();
@@ -39,7 +41,7 @@
     this.#options = options;
   }
 
-  /** The ticket for a unit on a worker; null where it may not run there now. */
+  /** The ticket for a unit on an endpoint; null where it may not run there now. */
   ticket(unit: Workflow.Unit, endpoint: string): string | null {
     const cached = this.#cached.get(stepName(unit));
     if (cached === undefined) return null;
@@ -48,7 +50,7 @@
     return cached.tickets.get(endpoint) ?? null;
   }
 
-  /** Tickets for a worker hold for one life; another one has begun there. */
+  /** Drops the tickets of a restarted endpoint: they hold for one instance only. */
   evictEndpoint(endpoint: string): void {
     for (const { tickets, requested } of this.#cached.values()) {
       tickets.delete(endpoint);
@@ -56,7 +58,7 @@
     }
   }
 
-  /** Asks about a unit that waits, unless a question is on its way. */
+  /** Requests advice for a waiting unit, unless a request is in flight. */
   request(unit: Workflow.Unit, endpoints: readonly string[]): void {
     const { advisor } = this.#options;
     if (advisor === null || this.#isFetching || endpoints.length === 0) return;
@@ -72,7 +74,10 @@
     );
   }
 
-  /** Those that have not been asked about come first; then all again. */
+  /**
+   * While the cached advice is valid, endpoints not yet requested; after that, those
+   * that were allowed before, or all where none were.
+   */
   #selectEndpoints(
     unit: Workflow.Unit,
     endpoints: readonly string[],
@@ -124,7 +129,8 @@
       nowMs < previous.validUntilMs;
     const merged = new Map(isPreviousValid ? previous.tickets : []);
     for (const { worker, ticket } of tickets) merged.set(worker, ticket);
-    // The time runs from the answer at the latest; the earlier end counts.
+    // The service starts the validity at its answer at the latest. Counting from the
+    // request, and keeping the earlier end, never overestimates it.
     const validUntilMs = response.requestedAtMs + validityMs;
     this.#cached.set(name, {
       tickets: merged,
@@ -136,7 +142,7 @@
   }
 }
 
-/** Name of a unit's step for the service. */
+/** Name of a unit's step, as the advice service knows it. */
 export function stepName(unit: Workflow.Unit): string {
   return `${unit.workflow.spec.id}.${unit.round}.${unit.stepIndex}`;
 }
--- a/packages/coordinator/src/work/coordinator.ts
+++ b/packages/coordinator/src/work/coordinator.ts
@@ -1,4 +1,4 @@
-/** One term of the coordinator: takes over, then lets its parts work. */
+/** One term of the coordinator: recovers the state, then runs the parts. */
 import type * as Workflow from "@cairngate/workflow";
 import * as Effect from "effect/Effect";
 import * as describing from "./describe.ts";
@@ -8,14 +8,15 @@
 import * as rowFollowers from "./row_followers.ts";
 import * as termParts from "./term_parts.ts";
 
+/** Interval at which rows of ended workflows are removed. */
 const SWEEP_INTERVAL_MS = 5000;
-/** Time between two looks at all running tasks. */
+/** Interval at which all running tasks are checked. */
 const RUN_CHECK_INTERVAL_MS = 400;
-/** Time between two looks at which kinds of hard load there are, in ms. */
+/** Interval at which hard load and the shares of teams are evaluated. */
 const LOAD_CHECK_INTERVAL_MS = 1000;
-/** Time between two forecasts of room, in ms. */
+/** Interval at which the capacity forecast is updated. */
 const FORECAST_INTERVAL_MS = 500;
-/** A store that is silent for this long holds up plans. */
+/** No plan is made once the store has not answered for this long. */
 const MAX_STORE_SILENCE_MS = 600;
 
 /** Coordinates all workflows under one fencing token. */
@@ -39,7 +40,7 @@
     });
   }
 
-  /** What this coordinator knows, for people. */
+  /** State of this coordinator for the state dump. */
   dump(): describing.CoordinatorDump {
     return {
       token: this.#term.token,
@@ -134,7 +135,7 @@
   #completeRecovery(): void {
     this.#parts.recovery.markComplete();
     this.#ports.log.info(
-      `All partitions are read: ${this.#parts.workflows.size} known.`,
+      `Read all partitions; ${this.#parts.workflows.size} workflows are known.`,
     );
     this.#parts.intake.concludeAll();
     this.#parts.planning.requestPlan();
@@ -166,8 +167,9 @@
   }
 
   /**
-   * No plan while the store is silent: its orders would not leave. None either while
-   * a data centre may be evacuated without this box's knowledge.
+   * Ends the missing runs whose leases have expired, then returns whether to plan now.
+   * While the store does not answer, orders could not be recorded and so not be sent.
+   * An evacuation that this box has not read yet would be violated.
    */
   #preparePlan(): boolean {
     for (const missing of this.#parts.control.resolveMissing()) {
--- a/packages/coordinator/src/work/describe.ts
+++ b/packages/coordinator/src/work/describe.ts
@@ -1,4 +1,4 @@
-/** What a coordinator knows, as plain data for people. */
+/** Converts the state of a coordinator into plain data for the state dump. */
 import type * as Admission from "@cairngate/admission";
 import * as Workflow from "@cairngate/workflow";
 import * as Scheduler from "@cairngate/workflow-scheduler";
@@ -7,7 +7,7 @@
 import type * as directories from "../endpoints/endpoint_directory.ts";
 import * as sentences from "./run_sentences.ts";
 
-/** One workflow that has not ended. */
+/** A workflow that has not ended. */
 export interface WorkflowDump {
   readonly id: string;
   readonly queue: string;
@@ -15,99 +15,101 @@
   readonly priority: number;
   readonly state: Workflow.WorkflowState;
   readonly cancelled: boolean;
-  /** Tasks by their state. */
+  /** Number of tasks by state. */
   readonly tasks: Readonly<Record<string, number>>;
-  /** Why its next tasks wait; null where none does. */
+  /** Why its ready tasks wait; null where none waits. */
   readonly waitsFor: Scheduler.WaitReason | null;
-  /** For how long nothing of them has started, in ms; null where none waits. */
+  /** Time for which none of them has started, in ms; null where none waits. */
   readonly waitsForMs: number | null;
 }
 
-/** What a workflow waits for. */
+/** Why a workflow waits, and for how long. */
 export interface WaitDump {
   readonly reason: Scheduler.WaitReason;
-  /** For how long nothing of the step has started, in ms. */
+  /** Time for which nothing of the step has started, in ms. */
   readonly forMs: number;
 }
 
-/** One worker. */
+/** An endpoint and the runs that it holds. */
 export interface EndpointDump {
   readonly id: string;
   readonly dataCentre: string;
   readonly rack: string;
   readonly usable: boolean;
-  /** Speed beside the other endpoints; 1 is the usual one. */
+  /** Speed relative to the other endpoints; 1 is typical. */
   readonly speed: number;
   readonly runs: readonly string[];
 }
 
-/** A data centre in which nothing starts. */
+/** A data centre that is being evacuated: no task starts there. */
 export interface EvacuationDump {
   readonly dataCentre: string;
   /** Time of day at which this box learned of it, in ms since 1970. */
   readonly sinceMs: number;
-  /** Runs that go on there. */
+  /** Runs still in progress there. */
   readonly runs: number;
 }
 
-/** What teams have paid for beside what there is. */
+/** The guarantees of all teams compared with the usable accelerators. */
 export interface GuaranteeDump {
-  /** Accelerators that all teams together have paid for. */
+  /** Accelerators guaranteed to all teams together. */
   readonly paidFor: number;
-  /** Accelerators that may be given work now. */
+  /** Accelerators on which tasks may start now. */
   readonly open: number;
-  /** Accelerators that guarantees can not have now. */
+  /** Guaranteed accelerators that are not available now. */
   readonly short: number;
 }
 
-/** What one team has had, beside what it is entitled to. */
+/** Recent use of one team compared with its entitlement. */
 export interface TeamShareDump {
   readonly team: string;
-  /** Share of the fleet that it is entitled to, 0 to 1. */
+  /** Share of the fleet to which the team is entitled, 0 to 1. */
   readonly weight: number;
-  /** Share of the fleet that it has lately had, 0 to 1. */
+  /** Share of the fleet that the team has used recently, 0 to 1. */
   readonly use: number;
+  /** `below`, `within` or `above` its share. */
   readonly level: string;
-  /** Units of it that wait: tasks, or whole gangs. */
+  /** Number of its waiting units: tasks, or whole gangs. */
   readonly waiting: number;
 }
 
-/** A coordinator's state. */
+/** State of a coordinator, as in the state dump. */
 export interface CoordinatorDump {
+  /** Fencing token of the term. */
   readonly token: number;
-  /** How late this box is with its own work, in ms. */
+  /** Median delay of endpoint answers beyond the requested wait, in ms. */
   readonly lateMs: number;
   readonly workflows: readonly WorkflowDump[];
   readonly workers: readonly EndpointDump[];
   readonly evacuations: readonly EvacuationDump[];
   readonly guarantees: GuaranteeDump;
-  /** Kinds of hard load that the decisions take into account. */
+  /** Kinds of hard load that planning takes into account. */
   readonly hardLoad: Scheduler.HardLoad;
-  /** Stops for other work in this term, by what came of them. */
+  /** Preemptions of this term by their result. */
   readonly stops: stopBooks.StopCounts;
-  /** What runs of each queue took against their estimates. */
+  /** Ratio of actual to estimated run times by queue. */
   readonly estimates: readonly Scheduler.EstimateWorth[];
   /** Shares of teams; empty where teams do not compete. */
   readonly teamShares: readonly TeamShareDump[];
-  /** Room that boxes admit work by; null without hard load. */
+  /** Capacity forecast used for admission; null without hard load. */
   readonly forecast: Admission.Forecast | null;
 }
 
-/** One run for which a workflow was given up. */
+/** A run that counted toward giving a workflow up, or may have. */
 export interface RunDump extends Workflow.RunEntry {
-  /** The same for people. */
+  /** The run described in one sentence. */
   readonly sentence: string;
 }
 
 /** Why a workflow was given up. */
 export interface GiveUpDump extends Omit<Workflow.GiveUp, "history"> {
-  /** Runs that counted, or might have; null: an earlier version kept none. */
+  /** Runs that counted, or may have; null in records of versions without them. */
   readonly runs: readonly RunDump[] | null;
-  /** More runs may have counted. */
+  /** Whether runs that counted may be missing from the list. */
   readonly isPartial: boolean;
 }
 
-/** What the rows of one workflow tell. */
+/** State of one workflow as stored in its rows. */
 export interface WorkflowStory {
   readonly id: string;
   readonly state: Workflow.WorkflowState;
@@ -152,7 +154,7 @@
   };
 }
 
-/** Describes one worker. */
+/** Describes one endpoint. */
 export function describeEndpoint(
   endpoint: Scheduler.WorkerState,
 ): EndpointDump {
@@ -161,7 +163,7 @@
   return { id, dataCentre, rack, usable, speed, runs };
 }
 
-/** Describes the data centres in which nothing starts. */
+/** Describes the data centres that are being evacuated. */
 export function describeEvacuations(
   active: readonly evacuations.Evacuation[],
   directory: directories.EndpointDirectory,
@@ -172,7 +174,7 @@
   }));
 }
 
-/** Describes what guarantees can have now. */
+/** Compares the guarantees with the open accelerators. */
 export function describeGuarantees(
   guarantees: ReadonlyMap<string, number>,
   open: number,
@@ -184,7 +186,7 @@
   return { paidFor, open, short: Math.max(0, paidFor - open) };
 }
 
-/** Describes what teams have had, those with most beside their share first. */
+/** Describes the use of teams, highest use relative to entitlement first. */
 export function describeShares(
   shares: Scheduler.TeamShares,
   startable: readonly Workflow.Workflow[],
--- a/packages/coordinator/src/work/end_log.ts
+++ b/packages/coordinator/src/work/end_log.ts
@@ -1,17 +1,17 @@
-/** Log lines and counters for runs that did not end well. */
+/** Log lines and counters for runs that ended without success. */
 import * as Workflow from "@cairngate/workflow";
 import type * as ports from "../ports.ts";
 import * as listeners from "../sessions/session_listener.ts";
 import * as sentences from "./run_sentences.ts";
 
-/** A run on an endpoint. */
+/** A run and its endpoint. */
 export interface RunLocation {
   readonly task: Workflow.Task;
   readonly run: number;
   readonly endpoint: string;
 }
 
-/** Tells how runs ended; one for each term. */
+/** Logs and counts the ends of runs; one instance for each term. */
 export class EndLog {
   readonly #ports: Pick<ports.CoordinatorPorts, "log" | "metrics">;
 
@@ -21,7 +21,7 @@
     this.#ports = coordinatorPorts;
   }
 
-  /** A run ended other than as done. */
+  /** Logs a run that did not complete its task. */
   logEnd(place: RunLocation, { how, cause }: listeners.SessionEnd): void {
     const { log, metrics } = this.#ports;
     const { task, run, endpoint } = place;
@@ -33,34 +33,37 @@
     if (how === Workflow.RunEnd.Crashed) this.#logCrash(place);
   }
 
-  /** The end of a run became known after it had been given up. */
+  /** Logs an end that was reported after the coordinator had given the run up. */
   logLateEnd(place: RunLocation, { how }: listeners.SessionEnd): void {
     const { task, run, endpoint } = place;
     this.#ports.log.info(
-      `Run ${run} of ${task.name} on ${endpoint}: ${how}, as is known now.`,
+      `Run ${run} of ${task.name} on ${endpoint}: ${how}, as reported later.`,
     );
     if (how === Workflow.RunEnd.Crashed) this.#logCrash(place);
   }
 
-  /** The endpoint of a run is not heard, and not listed or the task is in doubt. */
+  /**
+   * Logs a run whose endpoint does not answer, and either is not listed any more or
+   * may have been crashed by the task.
+   */
   logGone({ task, run, endpoint }: RunLocation): void {
     this.#ports.metrics.count("cairngate_runs_gone_total");
     this.#ports.log.info(
       `Run ${run} of ${task.name}: its endpoint ${endpoint} is not heard, and ` +
-        `its lease has run out. It may have crashed or be cut off, ` +
-        `so this counts nothing; the task starts on an endpoint of its own.`,
+        `its lease has run out. It may have crashed or be unreachable, ` +
+        `so no crash is counted; the task restarts on an otherwise idle endpoint.`,
     );
   }
 
-  /** A crash under a task is not laid to it any more. */
+  /** Logs that a crash is no longer attributed to the task that was running. */
   logExcused({ name, crashes }: Workflow.Task): void {
     this.#ports.log.info(
-      `A crash under ${name} is not laid to it: others fell at that moment. ` +
-        `${crashes.laid} crashes are laid to it.`,
+      `A crash under ${name} is not attributed to it, because other endpoints ` +
+        `failed at the same time; ${crashes.laid} crashes count against it.`,
     );
   }
 
-  /** A workflow has failed. */
+  /** Logs why a workflow was given up; does nothing where it was not. */
   logGiveUp({ spec: { id }, giveUp }: Workflow.Workflow): void {
     if (giveUp === null) return;
     const { log, metrics } = this.#ports;
@@ -68,9 +71,9 @@
     metrics.count("cairngate_workflows_given_up_total", { reason });
     log.warn(
       `Workflow ${id} is given up for ${reason} of ${task}, last with run ` +
-        `${run}: ${failures} runs failed, ${crashes.laid} crashes of endpoints ` +
-        `are laid to it, ${crashes.excused} are not, with ${crashes.unseen} ` +
-        `nothing has shown its run.`,
+        `${run}: ${failures} runs failed, ${crashes.laid} endpoint crashes ` +
+        `count against it, ${crashes.excused} are excused, ${crashes.unseen} ` +
+        `occurred where nothing shows its run.`,
     );
     const { entries = [], isPartial = true } = giveUp.history ?? {};
     for (const entry of entries) {
@@ -79,15 +82,15 @@
     if (isPartial) log.info(`Given up ${task}: ${sentences.PARTIAL_HISTORY}`);
   }
 
-  /** One line for each crash with which a task may have something to do. */
+  /** Logs an endpoint crash that the task of a run may have caused. */
   #logCrash({ task, run, endpoint }: RunLocation): void {
     const { log, metrics } = this.#ports;
     const { laid, excused, unseen } = task.crashes;
     metrics.count("cairngate_crashes_under_tasks_total");
     log.warn(
-      `Endpoint ${endpoint} has crashed and may have had run ${run} of ` +
-        `${task.name}: ${laid} crashes are laid to the task, ${excused} are ` +
-        `not, with ${unseen} nothing has shown its run.`,
+      `Endpoint ${endpoint} has crashed and may have held run ${run} of ` +
+        `${task.name}: ${laid} crashes count against the task, ${excused} are ` +
+        `excused, and ${unseen} occurred where nothing shows its run.`,
     );
   }
 }
--- a/packages/coordinator/src/work/guarantee_watch.ts
+++ b/packages/coordinator/src/work/guarantee_watch.ts
@@ -1,17 +1,17 @@
 /**
- * Tells the operator what guarantees can not have while data centres are evacuated:
- * room that was paid for is then neither given nor silently forgotten.
+ * Logs by how many accelerators the guarantees of teams fall short while data centres
+ * are evacuated, so that the operator notices guarantees that can't be met.
  */
 import type * as Ports from "@cairngate/ports";
 import * as describing from "./describe.ts";
 import type * as ports from "../ports.ts";
 import type * as directories from "../endpoints/endpoint_directory.ts";
 
-/** Compares guarantees with the room that is left. */
+/** Compares the guarantees of teams with the open accelerators. */
 export class GuaranteeWatch {
   readonly #ports: ports.CoordinatorPorts;
   readonly #directory: directories.EndpointDirectory;
-  /** Accelerators that were short when it was last told. */
+  /** Shortfall in accelerators at the last log line; 0 where there was none. */
   #loggedShortfall = 0;
 
   constructor(
@@ -22,7 +22,7 @@
     this.#directory = directory;
   }
 
-  /** What guarantees can have now. */
+  /** Guarantees, open accelerators and shortfall as of now. */
   describe(): describing.GuaranteeDump {
     return describing.describeGuarantees(
       guaranteesOf(this.#ports.config()),
@@ -30,7 +30,7 @@
     );
   }
 
-  /** Logs once each time when what is short has changed. */
+  /** Logs the shortfall whenever it has changed. */
   logChanges(): void {
     const { evacuations, log } = this.#ports;
     const isEvacuating = evacuations.list().length > 0;
@@ -41,14 +41,14 @@
     this.#loggedShortfall = shortfall;
     log.warn(
       shortfall > 0
-        ? `Teams have paid for ${paidFor} accelerators and ${open} are left ` +
-          `beside the evacuations: ${shortfall} can not be had.`
-        : "What teams have paid for can be had again.",
+        ? `Teams are guaranteed ${paidFor} accelerators, but ${open} are left ` +
+          `during the evacuations: ${shortfall} can not be had.`
+        : "Evacuations leave no guarantee short any more.",
     );
   }
 }
 
-/** Accelerators that each team has paid for. */
+/** Guaranteed accelerators by team; empty without a configuration. */
 export function guaranteesOf(
   config: Ports.AccessConfig | null,
 ): ReadonlyMap<string, number> {
--- a/packages/coordinator/src/work/intake.ts
+++ b/packages/coordinator/src/work/intake.ts
@@ -1,29 +1,29 @@
-/** Turns the rows of accepted and cancelled workflows into events. */
+/** Parses the rows of accepted and cancelled workflows. */
 import type * as Ports from "@cairngate/ports";
 import * as TableClient from "@cairngate/table-client";
 import type * as Workflow from "@cairngate/workflow";
 
-/** A workflow and the partition of its row. */
+/** An accepted workflow and the partition that holds its row. */
 export interface AcceptedWorkflow {
   readonly spec: Workflow.WorkflowSpec;
   readonly partition: string;
 }
 
-/** The row of a cancel. */
+/** A request to cancel a workflow, and the partition that holds its row. */
 export interface CancelRequest {
   readonly id: string;
   readonly partition: string;
 }
 
-/** What the rows say has happened. */
+/** Accepted workflows and cancel requests among the rows of one change. */
 export interface IntakeEvents {
   readonly accepted: readonly AcceptedWorkflow[];
   readonly cancelled: readonly CancelRequest[];
 }
 
 /**
- * Reads rows of the intake; removed rows say nothing. Rows of partitions that
- * are not open yet are left out: they will be read again.
+ * Parses rows of the intake table; removed rows are ignored. Rows of partitions that
+ * are not open yet are skipped, because they are read again once the partition opens.
  */
 export function parseIntake(
   entries: readonly Ports.FeedEntry<unknown>[],
--- a/packages/coordinator/src/work/missing_runs.ts
+++ b/packages/coordinator/src/work/missing_runs.ts
@@ -1,44 +1,44 @@
-/** Runs that the records lay to endpoints which are not listed any more. */
+/** Recorded runs whose endpoints are not listed any more. */
 import type * as Workflow from "@cairngate/workflow";
 
-/** A run whose endpoint is gone; whoever ended it did not tell. */
+/** A run whose endpoint is not listed and whose end is not recorded. */
 export interface MissingRun {
   readonly task: Workflow.Task;
   readonly run: number;
   readonly worker: string;
-  /** Birth of that endpoint's life; null: not told, or not known. */
+  /** Start time of the endpoint's instance; null where it is not known. */
   readonly bornMs: number | null;
   readonly address?: string | null;
   readonly presence: Workflow.Presence;
 }
 
 interface TrackedRun extends MissingRun {
-  /** Our time by which its lease has run out. */
+  /** Local monotonic time by which its lease has expired at the latest. */
   leaseExpiresAtMs: number;
 }
 
-/** Missing runs, until their leases have run out. */
+/** Holds missing runs until their leases have expired or they are listed again. */
 export class MissingRuns {
   readonly #runs = new Set<TrackedRun>();
 
-  /** The endpoint of this run is not listed. */
+  /** Adds a run whose endpoint is not listed. */
   add(run: TrackedRun): void {
     this.#runs.add(run);
   }
 
-  /** The former coordinator may have renewed the leases of all until now. */
+  /** Extends all leases: the former coordinator may have renewed them until now. */
   extendLeases(leaseExpiresAtMs: number): void {
     for (const run of this.#runs) {
       run.leaseExpiresAtMs = Math.max(run.leaseExpiresAtMs, leaseExpiresAtMs);
     }
   }
 
-  /** Runs whose endpoints are listed after all; they are not missing any more. */
+  /** Removes and returns the runs whose endpoints are listed again. */
   removeListed(isListed: (endpoint: string) => boolean): readonly TrackedRun[] {
     return this.#removeWhere(({ worker }) => isListed(worker));
   }
 
-  /** Runs whose leases have run out. */
+  /** Removes and returns the runs whose leases have expired. */
   removeExpired(nowMs: number): readonly MissingRun[] {
     return this.#removeWhere(({ leaseExpiresAtMs: untilMs }) =>
       nowMs >= untilMs
--- a/packages/coordinator/src/work/partition_fences.ts
+++ b/packages/coordinator/src/work/partition_fences.ts
@@ -1,6 +1,6 @@
 /**
- * The right of one term to write progress, partition by partition. A row in each
- * partition holds the token of the only coordinator that may write there.
+ * Fences partitions against writes of earlier coordinators. A row in each partition
+ * holds the fencing token of the only coordinator that may write progress there.
  */
 import type * as Ports from "@cairngate/ports";
 import * as TableClient from "@cairngate/table-client";
@@ -8,18 +8,18 @@
 import type * as terms from "../election/term.ts";
 import type * as ports from "../ports.ts";
 
-/** A read or write of a fence is given up after this time, in ms. */
+/** Time limit of one read or write of a fence row. */
 const TIMEOUT_MS = 1500;
 
 interface FenceRow {
   readonly token: number;
 }
 
-/** Fences of one term. */
+/** The fences that one term holds. */
 export class PartitionFences {
   readonly #store: TableClient.StoreClient;
   readonly #term: terms.Term;
-  /** Revision of the fence row in each partition that is taken. */
+  /** Revision of the fence row by fenced partition. */
   readonly #revisions = new Map<string, number>();
 
   constructor(
@@ -30,23 +30,25 @@
     this.#term = term;
   }
 
-  /** Condition of every write in a partition that is taken. */
+  /** The condition that every write in a fenced partition has to carry. */
   condition(partition: string): Ports.RowCondition {
     const revision = this.#revisions.get(partition);
     if (revision === undefined) {
-      throw new RangeError(`partition ${partition} is not taken`);
+      throw new RangeError(`partition ${partition} is not fenced by this term`);
     }
     return { key: TableClient.Keys.fenceKey(partition), revision };
   }
 
-  /** Shuts earlier coordinators out of a partition; false: try again. */
+  /** Fences earlier coordinators out of a partition; false where that failed. */
   acquire(partition: string): Effect.Effect<boolean> {
     const key = TableClient.Keys.fenceKey(partition);
     return Effect.gen({ self: this }, function* () {
       const [row] = yield* this.#store.read([key], TIMEOUT_MS);
       const currentToken = (row?.value as FenceRow | undefined)?.token ?? 0;
       if (currentToken > this.#term.token) {
-        this.#term.lose(`token ${currentToken} holds partition ${partition}`);
+        this.#term.lose(
+          `a later token ${currentToken} fences partition ${partition}`,
+        );
         return false;
       }
       const value: FenceRow = { token: this.#term.token };
--- a/packages/coordinator/src/work/partition_recorder.ts
+++ b/packages/coordinator/src/work/partition_recorder.ts
@@ -1,7 +1,7 @@
 /**
- * Writes the progress of one partition's workflows. Whatever changed while a
- * write is on its way goes into the next one; orders wait for the write that
- * carries them.
+ * Writes the progress of the workflows of one partition. Changes made while a write is
+ * in flight go into the next one. An order is sent only after the write that records
+ * it has succeeded.
  */
 import type * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
@@ -15,43 +15,44 @@
 import type * as ports from "../ports.ts";
 
 /**
- * Workflows in one transaction; each takes up to four of its 100 entries: two
- * conditions and two rows, or one and three. The fence takes one more.
+ * A transaction holds at most 100 entries. Each workflow takes up to four (two
+ * conditions and two rows, or one and three), and the fence takes one more.
  */
 const MAX_WORKFLOWS_PER_WRITE = 24;
-/** A write is given up only with the term. */
+/** Longer than any term: a write is retried until the term ends. */
 const WRITE_TIMEOUT_MS = 3_600_000;
 /**
- * A write that takes longer holds up further plans; a store that is merely slow,
- * with writes of half a second, does not.
+ * Workflows of the partition start nothing while a write has taken longer than this. A
+ * store that is merely slow, with writes of half a second, stays below it.
  */
 const STALL_THRESHOLD_MS = 1000;
 
-/** What a recorder of one partition needs. */
+/** Dependencies of a `PartitionRecorder`. */
 export interface PartitionRecorderOptions {
   readonly ports: ports.CoordinatorPorts;
   readonly term: terms.Term;
   readonly fences: fences.PartitionFences;
   readonly partition: string;
-  /** Told of a cancel that the store shows before the feed does. */
+  /** Called for a cancel request that a write meets before the feed delivers it. */
   readonly onCancelled: (request: intake.CancelRequest) => void;
 }
 
-/** Groups records of one partition. */
+/** Batches the progress writes of one partition. */
 export class PartitionRecorder {
   readonly #options: PartitionRecorderOptions;
   readonly #dirty = new Set<Workflow.Workflow>();
-  /** Workflows whose mark of waiting may still be there. */
+  /** Workflows whose row in the table of waiting workflows may still exist. */
   readonly #withWaitingRow = new Set<Workflow.Workflow>();
-  /** Ended workflows whose work is dropped from the rows. */
+  /** Ended workflows whose stored spec no longer holds their work. */
   readonly #trimmed = new Set<Workflow.Workflow>();
-  /** Workflows whose record the store does not take. */
+  /** Workflows whose progress record the store rejects. */
   readonly #rejected = new Set<Workflow.Workflow>();
+  /** Completed when the changes that are collected now are written. */
   #batchWritten = Deferred.makeUnsafe<void>();
   #signal = Deferred.makeUnsafe<void>();
-  /** Revision of each progress row that exists. */
+  /** Revision of the progress row, where there is one. */
   readonly #revisions = new Map<Workflow.Workflow, number>();
-  /** Workflows whose cancel a refused write has shown. */
+  /** Workflows whose cancel request a failed write has revealed. */
   readonly #reportedCancels = new Set<Workflow.Workflow>();
   #writingSinceMs: number | null = null;
 
@@ -59,25 +60,25 @@
     this.#options = options;
   }
 
-  /** Whether a write hangs, so that orders would not leave. */
+  /** Whether a write takes so long that new orders would be held back. */
   get isStalled(): boolean {
     const sinceMs = this.#writingSinceMs;
     return sinceMs !== null &&
       this.#options.ports.clock.monotonicMs() - sinceMs > STALL_THRESHOLD_MS;
   }
 
-  /** Whether the store takes no record of this workflow. */
+  /** Whether the store rejects the progress record of a workflow. */
   isRejected(workflow: Workflow.Workflow): boolean {
     return this.#rejected.has(workflow);
   }
 
-  /** Takes in a workflow whose progress has this revision; 0 for none. */
+  /** Tracks a workflow; `revision` is that of its progress row, 0 for none. */
   track(workflow: Workflow.Workflow, revision: number): void {
     this.#withWaitingRow.add(workflow);
     if (revision > 0) this.#revisions.set(workflow, revision);
   }
 
-  /** Drops what is known of a workflow that has been swept away. */
+  /** Drops the state of a workflow whose rows have been removed. */
   untrack(workflow: Workflow.Workflow): void {
     this.#withWaitingRow.delete(workflow);
     this.#trimmed.delete(workflow);
@@ -86,20 +87,20 @@
     this.#reportedCancels.delete(workflow);
   }
 
-  /** A workflow has changed; the effect ends when that is written. */
+  /** Schedules a write of a changed workflow; the effect ends once it is written. */
   record(workflow: Workflow.Workflow): Effect.Effect<void> {
     this.#dirty.add(workflow);
     const written = this.#batchWritten;
     Deferred.doneUnsafe(this.#signal, Effect.void);
     const recorded = Deferred.await(written);
-    // Orders of a workflow that is not recorded must not leave.
+    // Orders of a workflow whose record was rejected must not be sent.
     return Effect.flatMap(
       recorded,
       () => this.#rejected.has(workflow) ? Effect.never : Effect.void,
     );
   }
 
-  /** Writes for ever. */
+  /** Writes changes until interrupted. */
   run(): Effect.Effect<never> {
     return Effect.forever(Effect.gen({ self: this }, function* () {
       yield* Deferred.await(this.#signal);
@@ -128,9 +129,9 @@
   }
 
   /**
-   * One transaction under one id, tried until its fate is known: a write that
-   * the store carries out late must not undo a later one. It holds only while no
-   * cancel lies beside the records, so that no start is recorded after one.
+   * Writes one transaction under one write id and retries it until its outcome is
+   * known, because a write that the store applies late must not overwrite a later one.
+   * It fails if a cancel request exists, so that no start is recorded after a cancel.
    */
   #write(batch: readonly Workflow.Workflow[]): Effect.Effect<void> {
     const { ports: { store, clock }, term, fences, partition } = this.#options;
@@ -142,7 +143,7 @@
       ],
       writes: batch.flatMap((workflow) => this.#rowsOf(workflow)),
     };
-    // A workflow may change again while the write is on its way.
+    // Evaluated now, because a workflow may change while the write is in flight.
     const started = batch.filter(hasStarted);
     const settled = batch.filter(isSettled);
     this.#writingSinceMs = clock.monotonicMs();
@@ -168,8 +169,9 @@
   }
 
   /**
-   * The store takes no such write, ever. One workflow must not hold up those
-   * beside it: each is written alone, and what is refused alone goes no further.
+   * Handles a write that the store rejects for good. Each workflow of the batch is
+   * written alone, so that one with a bad record does not block the others; one that
+   * is rejected alone starts nothing until a later write of it succeeds.
    */
   #isolate(
     batch: readonly Workflow.Workflow[],
@@ -185,11 +187,13 @@
     this.#writingSinceMs = null;
     this.#rejected.add(first);
     metrics.count("cairngate_records_refused_total");
-    log.error(`Workflow ${first.spec.id} can not go on: ${err.message}`);
+    log.error(
+      `The store rejects the record of workflow ${first.spec.id}: ${err.message}`,
+    );
     return Effect.void;
   }
 
-  /** Conditions that no cancel lies beside what may still start. */
+  /** Conditions that workflows which may still start tasks have no cancel request. */
   #cancelConditions(
     batch: readonly Workflow.Workflow[],
   ): Ports.RowCondition[] {
@@ -200,7 +204,7 @@
       .map((workflow) => ({ key: this.#cancelKeyOf(workflow), revision: 0 }));
   }
 
-  /** Passes a cancel on that refused a write; false where none did. */
+  /** Reports the cancel request behind a failed condition; false for other keys. */
   #reportCancel(batch: readonly Workflow.Workflow[], key: string): boolean {
     const found = batch.find((workflow) => this.#cancelKeyOf(workflow) === key);
     if (found === undefined) return false;
@@ -252,7 +256,7 @@
   return workflow.state !== Workflow.WorkflowState.Queued;
 }
 
-/** Whether it has ended and nothing of it is still to be stopped. */
+/** Whether it has ended and none of its runs has still to be stopped. */
 function isSettled(workflow: Workflow.Workflow): boolean {
   return Workflow.isFinal(workflow.state) &&
     workflow.placedTasks().length === 0;
--- a/packages/coordinator/src/work/planning.ts
+++ b/packages/coordinator/src/work/planning.ts
@@ -1,4 +1,4 @@
-/** Makes plans when something has changed, and hands them on. */
+/** Makes a plan whenever something has changed, and carries it out. */
 import * as Workflow from "@cairngate/workflow";
 import * as Scheduler from "@cairngate/workflow-scheduler";
 import * as Deferred from "effect/Deferred";
@@ -14,7 +14,7 @@
 import * as standstills from "./standstill_watch.ts";
 import type * as directories from "../endpoints/endpoint_directory.ts";
 
-/** What planning works with. */
+/** Dependencies of `Planning`. */
 export interface PlanningParts {
   readonly ports: ports.CoordinatorPorts;
   readonly directory: directories.EndpointDirectory;
@@ -23,35 +23,35 @@
   readonly hardLoad: hardLoads.HardLoadWatch;
   readonly estimates: estimates.RunEstimates;
   readonly shares: shareBooks.ShareBook;
-  /** Workflows of which something may start. */
+  /** Workflows whose ready tasks may start. */
   readonly startable: () => readonly Workflow.Workflow[];
-  /** Workflows of which nothing may start before their records are there. */
+  /** Workflows whose tasks must not start until their record is read or written. */
   readonly awaitingRecord: () => readonly Workflow.Workflow[];
-  /** Done before each plan; false: no plan now. */
+  /** Called before each plan; returns false to skip it. */
   readonly prepare: () => boolean;
 }
 
-/** Longest time between two plans while something waits. */
+/** Longest time between two plans. */
 const REPLAN_INTERVAL_MS = 250;
-/** Events that come together are planned together. */
+/** Delay before a plan, so that simultaneous events share one plan. */
 const EVENT_BATCH_MS = 2;
-/** A plan that took long is followed by a pause this many times as long. */
+/** Pause before the next plan, as a multiple of the time that the last one took. */
 const PLAN_PAUSE_FACTOR = 3;
 
 const SLOW_START_MESSAGES: Readonly<Record<Scheduler.SlowReason, string>> = {
   [Scheduler.SlowReason.Taken]:
-    "on slow endpoints, on which it ends late: fast ones are in use",
+    "on slow endpoints and will end late: fast endpoints are in use",
   [Scheduler.SlowReason.TooLate]:
     "so late that no endpoint is fast enough for its objective",
 };
 
-/** Plans for one term. */
+/** Planning of one term. */
 export class Planning {
   readonly #parts: PlanningParts;
   readonly #standstills: standstills.StandstillWatch;
   readonly #stops: stopBooks.StopBook;
   readonly #urgent = new Scheduler.UrgentArrivals();
-  /** Time that the last plan took. */
+  /** Duration of the last plan. */
   #planMs = 0;
   #signal = Deferred.makeUnsafe<void>();
 
@@ -61,22 +61,22 @@
     this.#stops = new stopBooks.StopBook(parts.ports.metrics);
   }
 
-  /** Something has changed: plan soon. */
+  /** Requests a plan after something has changed. */
   requestPlan(): void {
     Deferred.doneUnsafe(this.#signal, Effect.void);
   }
 
-  /** Why a workflow waits, and since when; null where it does not. */
+  /** Why a workflow waits and since when; null where it does not. */
   waitOf(id: string): standstills.StepWait | null {
     return this.#standstills.waitOf(id);
   }
 
-  /** What came of stops for other work. */
+  /** Preemptions by their result. */
   get stopCounts(): stopBooks.StopCounts {
     return this.#stops.counts;
   }
 
-  /** Plans for ever. */
+  /** Plans until interrupted. */
   run(): Effect.Effect<never> {
     const { clock } = this.#parts.ports;
     return Effect.forever(Effect.gen({ self: this }, function* () {
@@ -174,7 +174,7 @@
     if (task.state === Workflow.TaskState.Stopping) task.stopsForOthers++;
   }
 
-  /** Asks about the first unit that waits for advice. */
+  /** Requests advice for units that wait for it; the cache allows one at a time. */
   #requestAdvice(
     plan: Scheduler.Plan,
     endpoints: readonly Scheduler.WorkerState[],
--- a/packages/coordinator/src/work/recorder.ts
+++ b/packages/coordinator/src/work/recorder.ts
@@ -1,16 +1,16 @@
-/** Writes the progress of workflows, each in its own partition. */
+/** Routes progress writes of workflows to the recorders of their partitions. */
 import * as TableClient from "@cairngate/table-client";
 import type * as Workflow from "@cairngate/workflow";
 import * as Effect from "effect/Effect";
 import * as partitions from "./partition_recorder.ts";
 
-/** What the recorders of all partitions share. */
+/** Dependencies shared by the recorders of all partitions. */
 export type RecorderOptions = Omit<
   partitions.PartitionRecorderOptions,
   "partition"
 >;
 
-/** The recorders of all partitions; one for each term. */
+/** Progress recorder of one term, over all partitions. */
 export class Recorder {
   readonly #byPartition: ReadonlyMap<string, partitions.PartitionRecorder>;
   readonly #byWorkflow = new Map<
@@ -27,14 +27,14 @@
     );
   }
 
-  /** Whether orders for this workflow would not leave: no record is written. */
+  /** Whether a workflow can't be recorded now, so that its orders are held back. */
   isStalled(workflow: Workflow.Workflow): boolean {
     const recorder = this.#byWorkflow.get(workflow);
     if (recorder === undefined) return false;
     return recorder.isStalled || recorder.isRejected(workflow);
   }
 
-  /** Takes in a workflow whose progress has this revision; 0 for none. */
+  /** Tracks a workflow; `revision` is that of its progress row, 0 for none. */
   track(
     workflow: Workflow.Workflow,
     place: { partition: string; revision: number },
@@ -46,18 +46,18 @@
     recorder.track(workflow, place.revision);
   }
 
-  /** Drops what is known of a workflow that has been swept away. */
+  /** Drops the state of a workflow whose rows have been removed. */
   untrack(workflow: Workflow.Workflow): void {
     this.#byWorkflow.get(workflow)?.untrack(workflow);
     this.#byWorkflow.delete(workflow);
   }
 
-  /** A workflow has changed; the effect ends when that is written. */
+  /** Schedules a write of a changed workflow; the effect ends once it is written. */
   record(workflow: Workflow.Workflow): Effect.Effect<void> {
     return this.#byWorkflow.get(workflow)?.record(workflow) ?? Effect.void;
   }
 
-  /** Writes for ever. */
+  /** Writes changes until interrupted. */
   run(): Effect.Effect<never> {
     const all = [...this.#byPartition.values()].map((recorder) =>
       recorder.run()
--- a/packages/coordinator/src/work/recovery.ts
+++ b/packages/coordinator/src/work/recovery.ts
@@ -1,7 +1,7 @@
 /**
- * Reads back what earlier coordinators have recorded, partition by partition. A
- * partition that is away holds up only its own workflows, and whatever may not
- * happen before all records are known.
+ * Reads the progress that earlier coordinators recorded, partition by partition. An
+ * unavailable partition delays only its own workflows, and those operations that
+ * require all records.
  */
 import type * as Ports from "@cairngate/ports";
 import * as TableClient from "@cairngate/table-client";
@@ -12,31 +12,31 @@
 import type * as ports from "../ports.ts";
 
 /**
- * A read goes on for as long as the term, in ms: its pages stay right, because
- * behind the fence no earlier coordinator writes any more.
+ * Longer than any term: a read need not start over, because the fence keeps earlier
+ * coordinators from changing pages that were already read.
  */
 const READ_TIMEOUT_MS = 3_600_000;
-/** Pause before a partition is tried again, in ms. */
+/** Delay before the next attempt on a partition. */
 const RETRY_DELAY_MS = 60;
-/** Time between two checks of whether enough is open, in ms. */
+/** Interval at which the number of open partitions is checked. */
 const POLL_INTERVAL_MS = 5;
-/** Partitions not open by then, in ms, are waited for beside the work. */
+/** Work starts after this time; the remaining partitions open meanwhile. */
 const MAX_OPEN_WAIT_MS = 700;
 
-/** A record of an earlier coordinator. */
+/** Progress that an earlier coordinator recorded. */
 export interface RecordedProgress {
   readonly partition: string;
   readonly row: Ports.Row;
 }
 
-/** Recovery of one term. */
+/** Recovery of the state of earlier terms; one instance for each term. */
 export class Recovery {
   readonly #ports: ports.CoordinatorPorts;
   readonly #term: terms.Term;
   readonly #fences: fences.PartitionFences;
   readonly #openPartitions = new Set<string>();
   readonly #progress = new Map<string, RecordedProgress>();
-  /** Workflows whose records somebody else wrote over. */
+  /** Ids of workflows whose progress row was overwritten by another writer. */
   readonly #unreadable = new Set<string>();
   readonly #complete = Deferred.makeUnsafe<void>();
 
@@ -50,7 +50,7 @@
     this.#fences = partitionFences;
   }
 
-  /** Whether a partition is fenced and its progress is read. */
+  /** Whether a partition is fenced and its progress has been read. */
   isOpen(partition: string): boolean {
     return this.#openPartitions.has(partition);
   }
@@ -65,23 +65,23 @@
     return Deferred.await(this.#complete);
   }
 
-  /** Every row of every partition has been taken in. */
+  /** Marks that every row of every partition has been applied. */
   markComplete(): void {
     this.#progress.clear();
     Deferred.doneUnsafe(this.#complete, Effect.void);
   }
 
-  /** What earlier coordinators recorded of a workflow; null for nothing. */
+  /** Recorded progress of a workflow; null where there is none. */
   progressOf(id: string): RecordedProgress | null {
     return this.#progress.get(id) ?? null;
   }
 
-  /** Whether records of a workflow are there that nobody can read. */
+  /** Whether the progress row of a workflow exists but can't be decoded. */
   isUnreadable(id: string): boolean {
     return this.#unreadable.has(id);
   }
 
-  /** Opens all partitions, however long some of them are away. */
+  /** Opens all partitions; retries unavailable ones until the term is lost. */
   openAll(): Effect.Effect<void> {
     return Effect.forEach(
       TableClient.Keys.PARTITIONS,
@@ -90,7 +90,7 @@
     );
   }
 
-  /** Ends when all partitions are open, or some are and time is up. */
+  /** Ends once all partitions are open, or some are and the time limit is over. */
   awaitUsable(): Effect.Effect<void> {
     const { clock } = this.#ports;
     return Effect.gen({ self: this }, function* () {
@@ -103,7 +103,7 @@
     });
   }
 
-  /** Records can be read only once no earlier coordinator writes any more. */
+  /** Fences a partition before reading it, so that no earlier coordinator writes. */
   #openPartition(partition: string): Effect.Effect<void> {
     return Effect.andThen(
       this.#retryUntilDone(this.#fences.acquire(partition)),
@@ -111,7 +111,7 @@
     );
   }
 
-  /** Tries again until it is done or the term is lost. */
+  /** Retries until the attempt succeeds or the term is lost. */
   #retryUntilDone(attempt: Effect.Effect<boolean>): Effect.Effect<void> {
     const { clock } = this.#ports;
     return Effect.gen({ self: this }, function* () {
@@ -122,7 +122,7 @@
     });
   }
 
-  /** False where the store fell silent; what had come is read again then. */
+  /** Reads all progress rows of a partition; false where it has to be read again. */
   #readRecords(partition: string): Effect.Effect<boolean> {
     const { store, log } = this.#ports;
     const prefix = TableClient.Keys.progressPrefix(partition);
@@ -137,7 +137,9 @@
         return true;
       }),
       Effect.catch((err) => {
-        log.info(`Partition ${partition} is not read yet: ${err.message}`);
+        log.info(
+          `Reading partition ${partition} failed and is retried: ${err.message}`,
+        );
         return Effect.succeed(false);
       }),
     );
--- a/packages/coordinator/src/work/row_followers.ts
+++ b/packages/coordinator/src/work/row_followers.ts
@@ -1,4 +1,4 @@
-/** Follows the rows that a term lives by: listings of endpoints, and the intake. */
+/** Follows the listings of endpoints and the intake rows of workflows. */
 import type * as Ports from "@cairngate/ports";
 import * as TableClient from "@cairngate/table-client";
 import * as Effect from "effect/Effect";
@@ -6,35 +6,35 @@
 import * as intake from "./intake.ts";
 import type * as recoveries from "./recovery.ts";
 
-/** What the followers work with. */
+/** Dependencies of `RowFollowers`. */
 export interface RowFollowersOptions {
   readonly ports: ports.CoordinatorPorts;
   readonly recovery: recoveries.Recovery;
-  /** Told of changes of the listings. */
+  /** Called with changed listings. */
   readonly onListings: (
     entries: readonly Ports.FeedEntry<Ports.EndpointListing>[],
   ) => void;
-  /** Told of workflows that were accepted or cancelled. */
+  /** Called with accepted workflows and cancel requests. */
   readonly onIntake: (events: intake.IntakeEvents) => void;
-  /** Told once that all partitions have been read. */
+  /** Called once all partitions have been read. */
   readonly onAllRead: () => void;
 }
 
-/** A silent link is noticed soon after this wait. */
+/** Wait of one feed request; a broken link is detected soon after it. */
 const FEED_WAIT_MS = 1000;
 /**
- * A term begins its work without the newest changes after this time, in ms: one
- * answer of a slow store; leases have to be renewed.
+ * A term starts without the newest changes after this time, one answer of a slow
+ * store, because the leases of running tasks have to be renewed.
  */
 const CATCH_UP_TIMEOUT_MS = 400;
 /**
- * Endpoints write their listings again with each beat: 245 of them woke the feed 95
- * times a second, a quarter of all calls to the store on a quiet day. What a listing
- * tells, that it drains or has gone, may come a tenth of a second later.
+ * Endpoints rewrite their listings with each heartbeat: 245 of them caused 95 feed
+ * requests a second, a quarter of all store calls under light load. Changes of a
+ * listing (draining, gone) may be seen a tenth of a second later.
  */
 const LISTINGS_BATCH_MS = 100;
 
-/** Followers of one term. */
+/** The row followers of one term. */
 export class RowFollowers {
   readonly #options: RowFollowersOptions;
   readonly #listings: TableClient.RowFollower<Ports.EndpointListing>;
@@ -59,7 +59,7 @@
     });
   }
 
-  /** Ends when the listings have been read. */
+  /** Ends once all listings have been read. */
   readListings(): Effect.Effect<void> {
     const follower = this.#listings;
     return Effect.gen(function* () {
@@ -67,7 +67,7 @@
     });
   }
 
-  /** Ends when the open partitions have been read, and mostly what is new in them. */
+  /** Ends once the open partitions are read, and caught up within a time limit. */
   readIntake(): Effect.Effect<void> {
     const { clock } = this.#options.ports;
     return Effect.gen({ self: this }, function* () {
@@ -76,12 +76,12 @@
     });
   }
 
-  /** Follows both for ever. */
+  /** Effects that follow both feeds until interrupted. */
   run(): readonly Effect.Effect<void>[] {
     return [this.#listings.run(), this.#intake.run()];
   }
 
-  /** Changes since the pages; nothing is waited for where some are unread. */
+  /** Reads the changes since the pages; ends at once while partitions are unread. */
   #catchUp(): Effect.Effect<void> {
     const follower = this.#intake;
     return Effect.gen(function* () {
@@ -91,7 +91,7 @@
     });
   }
 
-  /** Whether every partition that is open has been read. */
+  /** Whether every open partition has been read. */
   get #hasReadOpen(): boolean {
     const { recovery } = this.#options;
     return TableClient.Keys.PARTITIONS.every((partition) =>
--- a/packages/coordinator/src/work/run_control.ts
+++ b/packages/coordinator/src/work/run_control.ts
@@ -1,4 +1,4 @@
-/** Starts, stops and adopts runs; no order leaves before it is recorded. */
+/** Starts, stops and adopts runs; no order is sent before it is recorded. */
 import * as Workflow from "@cairngate/workflow";
 import type * as Scheduler from "@cairngate/workflow-scheduler";
 import * as Effect from "effect/Effect";
@@ -9,7 +9,7 @@
 import type * as recorders from "./recorder.ts";
 import type * as directories from "../endpoints/endpoint_directory.ts";
 
-/** What the control of runs works with. */
+/** Dependencies of `RunControl`. */
 export interface RunControlParts {
   readonly ports: ports.CoordinatorPorts;
   readonly recorder: recorders.Recorder;
@@ -17,7 +17,7 @@
   readonly advice: advice.AdviceCache;
 }
 
-/** Carries out decisions about runs. */
+/** Carries out start and stop decisions. */
 export class RunControl {
   readonly #parts: RunControlParts;
   readonly #missing = new missingRuns.MissingRuns();
@@ -26,7 +26,7 @@
     this.#parts = parts;
   }
 
-  /** Takes the places at once; orders leave when they are recorded. */
+  /** Reserves the endpoints at once; sends the orders once they are recorded. */
   start(decision: Scheduler.StartDecision): void {
     const { ports: { clock }, directory, recorder } = this.#parts;
     const { unit, workers: endpoints } = decision;
@@ -53,7 +53,7 @@
     Effect.runFork(Effect.andThen(recorder.record(workflow), send));
   }
 
-  /** Stops the run of a task, wherever it may be. */
+  /** Stops the run of a task, where a session of its endpoint holds it. */
   stop(task: Workflow.Task): void {
     if (task.worker === null) return;
     const session = this.#parts.directory.session(task.worker);
@@ -67,23 +67,23 @@
     Effect.runFork(session.stop(occupant));
   }
 
-  /** Stops all runs of a workflow. */
+  /** Stops all placed tasks of a workflow. */
   stopAll(workflow: Workflow.Workflow): void {
     for (const task of workflow.placedTasks()) this.stop(task);
   }
 
-  /** Stops the other members of a gang's run. */
+  /** Stops the members of a gang that are still placed in the given run. */
   stopGang(task: Workflow.Task, run: number): void {
     for (const member of task.workflow.siblings(task)) {
       if (member.isPlaced && member.run === run) this.stop(member);
     }
   }
 
-  /** Finds the worker that may run a task since an earlier term. */
+  /** Adopts a run that an earlier term placed, or tracks it as missing. */
   adopt(task: Workflow.Task): void {
     const { ports: { clock }, directory } = this.#parts;
     const nowMs = clock.monotonicMs();
-    // How long it ran is not known; half of its work is a fair guess.
+    // Its elapsed time is not known; assumes half of the estimate.
     task.startedAtMs = nowMs - task.step.estimateMs / 2;
     const { run, worker, bornMs, address } = task;
     if (worker === null) return;
@@ -96,14 +96,14 @@
     if (task.workflow.isOver) this.stop(task);
   }
 
-  /** A run that an earlier term gave up; its endpoint may still tell its end. */
+  /** Adopts a run that an earlier term gave up and whose end may still be reported. */
   adoptOpenEnd(end: Workflow.OpenEnd): void {
     const session = this.#parts.directory.open(end.worker, end);
     if (session === null) this.#addMissing(end);
     else session.adoptUnheard(end);
   }
 
-  /** Endpoints are called from now on. */
+  /** Starts calling endpoints. */
   begin(): void {
     const { ports: { clock, bounds }, directory } = this.#parts;
     directory.begin();
@@ -112,7 +112,10 @@
     );
   }
 
-  /** Runs of endpoints that were not listed and whose leases have run out. */
+  /**
+   * Adopts missing runs whose endpoints are listed again, and returns those whose
+   * leases have expired.
+   */
   resolveMissing(): readonly missingRuns.MissingRun[] {
     const { ports: { clock }, directory } = this.#parts;
     const isListed = (endpoint: string) => directory.open(endpoint) !== null;
@@ -125,7 +128,10 @@
     return this.#missing.removeExpired(clock.monotonicMs());
   }
 
-  /** Its lease has run out by then, whoever gave it, or it is known to have ended. */
+  /**
+   * Tracks a run until every lease that a coordinator may have granted has expired.
+   * An endpoint known to have ended needs no wait.
+   */
   #addMissing(run: Workflow.OpenEnd): void {
     const { clock, bounds } = this.#parts.ports;
     const nowMs = clock.monotonicMs();
--- a/packages/coordinator/src/work/run_ends.ts
+++ b/packages/coordinator/src/work/run_ends.ts
@@ -1,4 +1,4 @@
-/** What follows from what the sessions tell: above all from the ends of runs. */
+/** Handles the events of endpoint sessions, above all the ends of runs. */
 import type * as Ports from "@cairngate/ports";
 import * as Workflow from "@cairngate/workflow";
 import * as Effect from "effect/Effect";
@@ -13,22 +13,22 @@
 import type * as controls from "./run_control.ts";
 import type * as registries from "./workflow_book.ts";
 
-/** What the ends have to do with. */
+/** Dependencies of `RunEnds`. */
 export interface RunEndsOptions {
   readonly ports: ports.CoordinatorPorts;
   readonly recorder: recorders.Recorder;
   readonly workflows: registries.WorkflowRegistry;
-  /** It stands once the sessions do, which tell of ends. */
+  /** A function, because the run control is created after this object. */
   readonly control: () => controls.RunControl;
-  /** A run has ended well. */
+  /** Called when a run has completed its task. */
   readonly onCompleted: (occupant: occupants.Occupant) => void;
-  /** Another life has begun under this id. */
+  /** Called when another instance has started under an endpoint's id. */
   readonly onEndpointRestarted: (id: string) => void;
-  /** Something has changed that a plan has to do with. */
+  /** Called when a change may allow new starts. */
   readonly onCapacityChange: () => void;
 }
 
-/** Ends of runs; one for each term. */
+/** Session listener that applies the ends of runs; one instance for each term. */
 export class RunEnds extends listeners.SessionListener {
   readonly #options: RunEndsOptions;
   readonly #log: endLogs.EndLog;
@@ -88,7 +88,7 @@
     if (task === null) return Effect.void;
     const isElsewhere = task.run === run && task.isPlaced &&
       task.worker !== endpoint.ref.id;
-    // Such a run number is left over from an earlier submission of the same id.
+    // Such a run belongs to an earlier submission of the same id.
     if (run > task.run || isElsewhere) return Effect.void;
     const { Likely } = Workflow.Presence;
     const lateRun = { task, run, presence: Likely, bornMs: null };
@@ -129,7 +129,7 @@
       task.state = Workflow.TaskState.Running;
     }
     if (!task.isSuspect || task.confirmedRun === run) return;
-    // The next coordinator has to know that it was there if its endpoint ends.
+    // The next coordinator needs this to attribute a crash of the endpoint.
     const { clock } = this.#options.ports;
     const endsAtMs = task.endsAtMs ??
       task.startedAtMs + task.step.estimateMs;
@@ -144,9 +144,8 @@
   }
 
   /**
-   * An endpoint of an earlier term is not listed, and its lease has run out. Nobody
-   * knows its address any more, so this is all that will be known, unless it is
-   * listed again.
+   * Ends a run of an earlier term as lost: its endpoint is not listed and its lease has
+   * expired. Nothing more can be learned of it unless the endpoint is listed again.
    */
   endMissing(missing: missingRuns.MissingRun): Effect.Effect<void> {
     const { task, run, worker } = missing;
@@ -162,7 +161,7 @@
     return this.#concludeAndRecord(workflow, wasOver);
   }
 
-  /** Stops runs that repeat a task, or a gang, of which one run is done. */
+  /** Stops other runs of a task, or of its gang, after one run has completed. */
   #stopOtherRuns(task: Workflow.Task, doneRun: number): void {
     const members = task.step.gang ? task.workflow.siblings(task) : [task];
     for (const member of members) {
@@ -187,7 +186,7 @@
     if (task.step.gang) this.#options.control().stopGang(task, run);
   }
 
-  /** What follows from the end of a run; the effect ends when it is recorded. */
+  /** Applies the end of a run to its workflow; the effect ends once it is recorded. */
   #concludeAndRecord(
     workflow: Workflow.Workflow,
     wasOver: boolean,
--- a/packages/coordinator/src/work/run_sentences.ts
+++ b/packages/coordinator/src/work/run_sentences.ts
@@ -1,11 +1,11 @@
-/** Sentences on the runs for which a workflow was given up. */
+/** Describes the runs that counted toward giving a workflow up. */
 import * as Workflow from "@cairngate/workflow";
 
 const { RunCount, RunEvidence } = Workflow;
 
-/** What is told where runs may be missing. */
+/** Note for a history from which runs may be missing. */
 export const PARTIAL_HISTORY =
-  "More runs may have counted; they are too many, or an earlier coordinator saw them.";
+  "More runs may have counted: too many to keep, or seen by an earlier coordinator.";
 
 const EVIDENCE_TEXT: Readonly<Record<Workflow.RunEvidence, string>> = {
   [RunEvidence.OwnWord]: "by its own word",
@@ -17,19 +17,22 @@
     "its endpoint was shown to have ended, and nothing shows the run under way",
   [RunEvidence.NotListed]:
     "its endpoint is not heard, and its lease has run out",
-  [RunEvidence.NotHeard]: "its gang ended, and its endpoint was not heard",
-  [RunEvidence.Withdrawn]: "its end was open until the endpoint answered again",
+  [RunEvidence.NotHeard]: "its gang ended, and its endpoint did not answer",
+  [RunEvidence.Withdrawn]:
+    "its end was unknown until the endpoint answered again",
 };
 
 const COUNT_TEXT: Readonly<Record<Workflow.RunCount, string>> = {
   [RunCount.Failure]: "It counts as a failure.",
   [RunCount.Crash]: "It counts as a crash laid to the task.",
-  [RunCount.Excused]: "It is excused, as others fell at that moment.",
-  [RunCount.Suspicion]: "It is laid to nobody and is one of the ends in all.",
-  [RunCount.Nothing]: "It counts nothing.",
+  [RunCount.Excused]:
+    "It is excused, because other endpoints failed at the same time.",
+  [RunCount.Suspicion]:
+    "It is not attributed to the task, but counts toward the limit on all crashes.",
+  [RunCount.Nothing]: "It does not count.",
 };
 
-/** One run: where it was, how it ended, what shows it and what it counted. */
+/** Describes one run: its endpoint, its end, the evidence and what it counts as. */
 export function describeRun(entry: Workflow.RunEntry): string {
   const { run, endpoint, how, evidence, counted } = entry;
   return `run ${run} on ${endpoint} ended as ${how}: ${
--- a/packages/coordinator/src/work/standstill_watch.ts
+++ b/packages/coordinator/src/work/standstill_watch.ts
@@ -1,33 +1,33 @@
 /**
- * Notices steps that could run and stand still: which, since when, for which reason,
- * and what the endpoints of their service could hold meanwhile.
+ * Detects steps that are ready but do not start, and logs since when, for which reason
+ * and how much capacity the endpoints of their service have.
  */
 import * as Scheduler from "@cairngate/workflow-scheduler";
 import type * as ports from "../ports.ts";
 
-/** Operators allow work to stand for this time, in ms, while there is room. */
+/** Operators accept that ready work waits this long while there is capacity. */
 const MAX_STANDSTILL_MS = 3000;
-/** Time between two lines about one step, in ms: long waits fill no log. */
+/** Time between two log lines for one step, so that long waits don't flood the log. */
 const LOG_INTERVAL_MS = 10_000;
-/** Lines after one plan; the others are in the counter. */
+/** Most log lines for one plan; other steps are logged after later plans. */
 const MAX_LOG_LINES = 4;
 
-/** Since when a step waits, and why. */
+/** Why a step waits, and since when. */
 export interface StepWait {
   readonly reason: Scheduler.WaitReason;
   readonly sinceMs: number;
 }
 
 interface WaitingStep {
-  /** When the step was found waiting, and nothing of it has started since. */
+  /** When the step began to wait; a start of one of its units resets it. */
   readonly sinceMs: number;
   reason: Scheduler.WaitReason;
   reasonSinceMs: number;
-  /** When it was told of; infinite for never. */
+  /** When it was last logged; negative infinity for never. */
   loggedAtMs: number;
 }
 
-/** What one plan has left and what it was made from. */
+/** The waits and starts of one plan, and the endpoints that it was made for. */
 export interface PlanResult {
   readonly waits: readonly Scheduler.WaitDecision[];
   readonly starts: readonly Scheduler.StartDecision[];
@@ -35,7 +35,7 @@
   readonly nowMs: number;
 }
 
-/** Steps that wait, from plan to plan. */
+/** Tracks waiting steps across plans. */
 export class StandstillWatch {
   readonly #ports: Pick<ports.CoordinatorPorts, "log" | "metrics">;
   #waiting = new Map<string, WaitingStep>();
@@ -46,7 +46,7 @@
     this.#ports = coordinatorPorts;
   }
 
-  /** What a workflow waits for, the step that has waited longest; null for nothing. */
+  /** The wait of the workflow's step that waits longest; null where none waits. */
   waitOf(id: string): StepWait | null {
     let oldest: WaitingStep | null = null;
     for (const [name, step] of this.#waiting) {
@@ -58,16 +58,16 @@
       : { reason: oldest.reason, sinceMs: oldest.sinceMs };
   }
 
-  /** Nothing is left that could wait. */
+  /** Clears all steps; for when there is nothing to plan. */
   clear(): void {
     this.update({ waits: [], starts: [], endpoints: [], nowMs: 0 });
   }
 
-  /** Takes in a plan; tells of steps that stand for too long beside free room. */
+  /** Applies a plan; logs steps that wait too long although there is capacity. */
   update({ waits, starts, endpoints, nowMs }: PlanResult): void {
     const previous = this.#waiting;
     this.#waiting = new Map();
-    for (const { unit } of starts) previous.delete(stepName(unit));
+    for (const { unit } of starts) previous.delete(nameOf(unit));
     for (const wait of waits) this.#track(wait, previous, nowMs);
     const sinceMs = [...this.#waiting.values()].map((step) => step.sinceMs);
     const oldestMs = nowMs - Math.min(nowMs, ...sinceMs);
@@ -84,7 +84,7 @@
     previous: ReadonlyMap<string, WaitingStep>,
     nowMs: number,
   ): void {
-    const name = stepName(unit);
+    const name = nameOf(unit);
     if (this.#waiting.has(name)) return;
     const step = previous.get(name) ?? {
       sinceMs: nowMs,
@@ -99,13 +99,13 @@
     this.#waiting.set(name, step);
   }
 
-  /** False where there is nothing to tell. */
+  /** Logs a step that waits too long; returns whether it did. */
   #logStandstill(
     unit: Scheduler.WaitDecision["unit"],
     endpoints: readonly Scheduler.WorkerState[],
     nowMs: number,
   ): boolean {
-    const step = this.#waiting.get(stepName(unit));
+    const step = this.#waiting.get(nameOf(unit));
     if (step === undefined) return false;
     const waitedMs = nowMs - step.sinceMs;
     const isTooSoon = waitedMs <= MAX_STANDSTILL_MS ||
@@ -117,20 +117,18 @@
     const { reason, reasonSinceMs } = step;
     this.#ports.metrics.count("cairngate_standstills_total", { reason });
     this.#ports.log.warn(
-      `Step ${stepName(unit)} stands still for ${
-        Math.round(waitedMs)
-      } ms: it ` +
-        `waits for ${reason} since ${Math.round(nowMs - reasonSinceMs)} ms, ` +
-        `with ${unit.tasks.length} tasks to place at once; of ${room.known} ` +
+      `Step ${nameOf(unit)} stands still for ${Math.round(waitedMs)} ms: it ` +
+        `waits for ${reason} (for ${Math.round(nowMs - reasonSinceMs)} ms), ` +
+        `with ${unit.tasks.length} tasks to place together; of ${room.known} ` +
         `endpoints of its service ${room.usable} may be given work, and ` +
-        `${room.couldHold} have room for a task.`,
+        `${room.couldHold} have capacity for a task.`,
     );
     return true;
   }
 }
 
 /** Name of a unit's step. */
-function stepName(
+function nameOf(
   { workflow, round, stepIndex }: Scheduler.WaitDecision["unit"],
 ) {
   return `${workflow.spec.id}.${round}.${stepIndex}`;
--- a/packages/coordinator/src/work/term_parts.ts
+++ b/packages/coordinator/src/work/term_parts.ts
@@ -1,4 +1,4 @@
-/** The parts of one term, each with its one job, wired to each other. */
+/** Creates the parts of one term and connects them. */
 import * as watches from "../endpoints/run_watch.ts";
 import * as forecasts from "../load/forecast_maker.ts";
 import * as hardLoads from "../load/hard_load_watch.ts";
@@ -19,22 +19,22 @@
 import * as registries from "./workflow_book.ts";
 import * as workflowIntakes from "./workflow_intake.ts";
 
-/** What they are made for. */
+/** Dependencies of the parts of a term. */
 export interface TermPartsOptions {
   readonly ports: ports.CoordinatorPorts;
   readonly term: terms.Term;
-  /** Done before each plan; false: no plan now. */
+  /** Called before each plan; returns false to skip it. */
   readonly preparePlan: () => boolean;
 }
 
-/** The records of a term: what is kept, read and written. */
+/** The parts that read, hold and write the stored state. */
 interface RecordParts {
   readonly recovery: recoveries.Recovery;
   readonly recorder: recorders.Recorder;
   readonly workflows: registries.WorkflowRegistry;
 }
 
-/** The parts that the coordinator calls. */
+/** The parts of a term that the coordinator uses. */
 export interface TermParts extends RecordParts {
   readonly directory: directories.EndpointDirectory;
   readonly control: controls.RunControl;
@@ -49,10 +49,10 @@
   readonly forecasts: forecasts.ForecastMaker;
 }
 
-/** Makes the parts of one term. */
+/** Creates the parts of one term. */
 export function createParts(options: TermPartsOptions): TermParts {
   const { ports: coordinatorPorts, term, preparePlan: prepare } = options;
-  // Some parts call others that are made after them, and none before all stand.
+  // Callbacks refer to parts created later; none is called before all are created.
   const records = createRecords(options, (request) => intake.cancel(request));
   const { recovery, recorder, workflows } = records;
   const adviceCache = new advice.AdviceCache({
--- a/packages/coordinator/src/work/workflow_book.ts
+++ b/packages/coordinator/src/work/workflow_book.ts
@@ -1,4 +1,4 @@
-/** All workflows of one term: accepted, cancelled, ended, swept away. */
+/** Registry of the workflows of one term, from acceptance to removal. */
 import * as TableClient from "@cairngate/table-client";
 import * as Workflow from "@cairngate/workflow";
 import * as Effect from "effect/Effect";
@@ -8,7 +8,7 @@
 import type * as recorders from "./recorder.ts";
 import type * as recoveries from "./recovery.ts";
 
-/** What the book works with. */
+/** Dependencies of `WorkflowRegistry`. */
 export interface RegistryParts {
   readonly ports: ports.CoordinatorPorts;
   readonly fences: fences.PartitionFences;
@@ -16,58 +16,59 @@
   readonly recovery: recoveries.Recovery;
 }
 
-/** Where the rows of a workflow lie. */
+/** A workflow and the partitions that hold its rows. */
 interface RegisteredWorkflow {
   readonly workflow: Workflow.Workflow;
-  /** Partition of its progress. */
+  /** Partition of its progress row. */
   partition: string;
-  /** Other partitions in which it was accepted once more. */
+  /** Other partitions that hold a copy of its accepted row. */
   readonly copies: Set<string>;
 }
 
-/** Workflows by id. */
+/** The workflows of one term by id. */
 export class WorkflowRegistry {
   readonly #parts: RegistryParts;
   readonly #entries = new Map<string, RegisteredWorkflow>();
-  /** Partitions in which the cancels of a workflow lie, seen or not, by id. */
+  /** Partitions that hold cancel requests, by workflow id, registered or not. */
   readonly #cancelPartitions = new Map<string, Set<string>>();
+  /** Monotonic time at which the end of a workflow was noticed, by id. */
   readonly #endedAtMs = new Map<string, number>();
 
   constructor(parts: RegistryParts) {
     this.#parts = parts;
   }
 
-  /** Workflows of which something may still start. */
+  /** Workflows whose ready tasks may start. */
   get startable(): readonly Workflow.Workflow[] {
     return this.#all().filter((workflow) => this.#canStart(workflow));
   }
 
-  /** Workflows of which nothing may start before their records are there. */
+  /** Workflows whose tasks must not start until their record is read or written. */
   get awaitingRecord(): readonly Workflow.Workflow[] {
     return this.#all().filter((workflow) =>
       !workflow.isOver && !this.#canStart(workflow)
     );
   }
 
-  /** Workflows that have not ended; some are being cancelled. */
+  /** Workflows that have not ended, including those being cancelled. */
   get unfinished(): readonly Workflow.Workflow[] {
     return this.#all().filter(({ state }) => !Workflow.isFinal(state));
   }
 
-  /** Finds a task by the name that endpoints use; null where there is none. */
+  /** Finds a task by the name used in orders to endpoints; null where unknown. */
   findTask(name: string): Workflow.Task | null {
     const [id, ...key] = name.split(".");
     return this.#entries.get(id)?.workflow.task(key.join(".")) ?? null;
   }
 
-  /** How many are known. */
+  /** Number of workflows, ended ones included. */
   get size(): number {
     return this.#entries.size;
   }
 
   /**
-   * Takes in an accepted workflow; null where nothing new is learned. A caller
-   * that got no answer from one partition may be in another as well.
+   * Registers an accepted workflow; null where that changes nothing. The same workflow
+   * may be accepted in two partitions, where the answer of the first one was lost.
    */
   accept(
     spec: Workflow.WorkflowSpec,
@@ -78,7 +79,7 @@
     if (this.#parts.recovery.isUnreadable(spec.id)) {
       return this.#skip(spec.id);
     }
-    // It has ended, and a sweep has overtaken the read that tells of it.
+    // It has ended, and its progress row was removed before it could be read.
     const isOver = spec.steps.length === 0;
     if (isOver && this.#parts.recovery.progressOf(spec.id) === null) {
       return null;
@@ -97,16 +98,16 @@
     return workflow;
   }
 
-  /** What of it has run nobody knows: a second start could do harm. */
+  /** Skips a workflow: without its progress, tasks could be run a second time. */
   #skip(id: string): null {
     this.#parts.ports.log.error(
-      `Workflow ${id} is passed over in this term: ` +
-        `somebody else has written over its progress.`,
+      `Workflow ${id} is skipped in this term: ` +
+        `its progress row was overwritten by another writer.`,
     );
     return null;
   }
 
-  /** Marks a workflow as cancelled; null where there is nothing to do. */
+  /** Records a cancel request; returns the workflow if this cancels it, else null. */
   cancel({ id, partition }: intake.CancelRequest): Workflow.Workflow | null {
     const partitions = this.#cancelPartitions.get(id) ?? new Set();
     this.#cancelPartitions.set(id, partitions.add(partition));
@@ -117,7 +118,7 @@
     return workflow;
   }
 
-  /** Notes the end of a workflow, if it has ended now. */
+  /** Concludes a cancel where nothing runs any more, and logs a new end. */
   conclude(workflow: Workflow.Workflow): void {
     if (!this.isProgressKnown(workflow)) return;
     workflow.concludeCancel();
@@ -125,8 +126,8 @@
   }
 
   /**
-   * Notes the end of a workflow, also one of an earlier term: its rows are swept
-   * some time later. False where there is none, or it is known.
+   * Marks a workflow as ended, also where it ended in an earlier term, so that its rows
+   * are removed later. False where it has not ended or is marked already.
    */
   #markEnded({ state, spec: { id } }: Workflow.Workflow): boolean {
     if (!Workflow.isFinal(state) || this.#endedAtMs.has(id)) return false;
@@ -135,8 +136,9 @@
   }
 
   /**
-   * Removes rows of workflows that ended long ago. The record of an end goes
-   * last: until all partitions are read, a copy may lie where nobody has looked.
+   * Removes the rows of workflows that ended longer ago than `keepEndedMs`. Does
+   * nothing until all partitions are read: an unread one may hold a copy, which
+   * would start again without the record of the end. That record is removed last.
    */
   sweep(): Effect.Effect<void> {
     const { clock, bounds, log } = this.#parts.ports;
@@ -150,9 +152,13 @@
         yield* this.#remove(entry);
       }
     }).pipe(
-      // The next sweep finds what is left.
+      // The next sweep removes the rest.
       Effect.catch((err) =>
-        Effect.sync(() => log.info(`The sweep broke off: ${err.message}`))
+        Effect.sync(() =>
+          log.info(
+            `Removing ended workflows failed and is retried: ${err.message}`,
+          )
+        )
       ),
     );
   }
@@ -167,8 +173,9 @@
   }
 
   /**
-   * Until all partitions are read, a workflow that seems untouched may have been
-   * started from a copy in one of the others: it is neither started nor recorded.
+   * Whether the recorded progress of a workflow is known. Until all partitions are
+   * read, a queued workflow may have been started from a copy in another
+   * partition, so it is neither started nor recorded.
    */
   isProgressKnown(workflow: Workflow.Workflow): boolean {
     return this.#parts.recovery.isComplete ||
@@ -188,7 +195,7 @@
     return hasApplied ? entry.workflow : null;
   }
 
-  /** Applies what an earlier coordinator recorded, wherever that lies. */
+  /** Applies recorded progress, from whichever partition holds it; false for none. */
   #applyRecord(entry: RegisteredWorkflow): boolean {
     const { recorder, recovery } = this.#parts;
     const { workflow } = entry;
@@ -205,16 +212,18 @@
     return true;
   }
 
-  /** A copy that stays does no harm: it goes with the workflow. */
+  /** Removes copies; one that remains is harmless and removed with the workflow. */
   #tryRemoveCopies(entry: RegisteredWorkflow): Effect.Effect<void> {
     const { id } = entry.workflow.spec;
     return Effect.catch(this.#removeCopies(entry), (err) =>
       Effect.sync(() => {
-        this.#parts.ports.log.info(`A copy of ${id} stays: ${err.message}`);
+        this.#parts.ports.log.info(
+          `Removing a copy of ${id} failed: ${err.message}`,
+        );
       }));
   }
 
-  /** Cancels that lie with the copies stay: later terms have to find them. */
+  /** Removes copies but not their cancel requests: later terms have to find them. */
   #removeCopies(entry: RegisteredWorkflow) {
     const { spec: { id, policy } } = entry.workflow;
     return Effect.forEach(
@@ -259,7 +268,7 @@
     });
   }
 
-  /** Removes rows of one partition. */
+  /** Removes rows of one partition under its fence. */
   #removeKeys(partition: string, keys: readonly string[]) {
     const { fences, ports: { store } } = this.#parts;
     return Effect.suspend(() =>
@@ -270,7 +279,7 @@
     );
   }
 
-  /** One line that tells how a workflow fared against its objective. */
+  /** Logs how long a workflow took compared with its objective. */
   #logConclusion(workflow: Workflow.Workflow): void {
     const { spec, state } = workflow;
     const nowMs = this.#parts.ports.clock.wallMs();
@@ -286,12 +295,12 @@
         `after ${Math.round(nowMs - dueMs)} of ${Math.round(allowedMs)} ms; ` +
         `${startNote}, ${workflow.lostRuns} runs lost; ${first.count} tasks of ` +
         `${first.accelerators} accelerators, gang ${first.gang}, ` +
-        `one rack ${first.sameRack}.`,
+        `same rack ${first.sameRack}.`,
     );
   }
 }
 
-/** Rows of a workflow in one partition, but for its cancel. */
+/** Keys of the rows of a workflow in one partition, except its cancel request. */
 function rowKeys(partition: string, id: string, queue: string): string[] {
   return [
     TableClient.Keys.workflowKey(partition, id),
--- a/packages/coordinator/src/work/workflow_intake.ts
+++ b/packages/coordinator/src/work/workflow_intake.ts
@@ -1,4 +1,4 @@
-/** What follows from workflows that are accepted or cancelled. */
+/** Applies accepted workflows and cancel requests. */
 import type * as Workflow from "@cairngate/workflow";
 import * as Effect from "effect/Effect";
 import type * as intake from "./intake.ts";
@@ -6,14 +6,14 @@
 import type * as controls from "./run_control.ts";
 import type * as registries from "./workflow_book.ts";
 
-/** What the intake works with. */
+/** Dependencies of `WorkflowIntake`. */
 export interface WorkflowIntakeOptions {
   readonly recorder: recorders.Recorder;
   readonly workflows: registries.WorkflowRegistry;
   readonly control: controls.RunControl;
 }
 
-/** Workflows that come in; one for each term. */
+/** Intake of workflows; one instance for each term. */
 export class WorkflowIntake {
   readonly #options: WorkflowIntakeOptions;
 
@@ -21,19 +21,19 @@
     this.#options = options;
   }
 
-  /** Takes in what the rows say has happened. */
+  /** Applies the events parsed from intake rows. */
   apply({ accepted, cancelled }: intake.IntakeEvents): void {
     for (const workflow of accepted) this.#accept(workflow);
     for (const request of cancelled) this.cancel(request);
   }
 
-  /** A workflow is cancelled. */
+  /** Cancels a workflow: stops its runs and records the cancel. */
   cancel(request: intake.CancelRequest): void {
     const workflow = this.#options.workflows.cancel(request);
     if (workflow !== null) this.#endCancelled(workflow);
   }
 
-  /** All partitions are read, so it is known where each workflow's record lies. */
+  /** Concludes cancelled workflows once all partitions have been read. */
   concludeAll(): void {
     for (const workflow of this.#options.workflows.unfinished) {
       this.#concludeIfOver(workflow);
@@ -55,8 +55,9 @@
   }
 
   /**
-   * Records that a workflow is cancelled, and its end where nothing of it runs.
-   * Its record lies in one partition only, so this waits until it is known where.
+   * Records that a workflow is cancelled, and its end where none of its tasks run.
+   * Does nothing until the partition of its progress row is known, because only one
+   * partition may hold that row.
    */
   #concludeIfOver(workflow: Workflow.Workflow): void {
     const { workflows, recorder } = this.#options;
