--- a/packages/workflow-scheduler/mod.ts
+++ b/packages/workflow-scheduler/mod.ts
@@ -31,7 +31,7 @@
   HALF_LIFE_MS,
   isBelowShare,
   judgeShares,
-  levelIn,
+  levelOfTeam,
   ShareLevel,
   sharesHeld,
   type TeamShare,
--- a/packages/workflow-scheduler/src/count_room.ts
+++ b/packages/workflow-scheduler/src/count_room.ts
@@ -14,16 +14,16 @@
 /** Counts them. */
 export function countRoom(
   unit: Workflow.Unit,
-  endpoints: readonly fleet.WorkerState[],
+  states: readonly fleet.WorkerState[],
 ): RoomCount {
-  const known = endpoints.filter((endpoint) => fleet.isOfKind(endpoint, unit));
-  const couldHold = known.filter((endpoint) => {
-    const room = new fleet.EndpointRoom(endpoint);
-    return room.fits(unit, room.free) > 0;
+  const matching = states.filter((state) => fleet.isOfKind(state, unit));
+  const couldHold = matching.filter((state) => {
+    const endpoint = new fleet.Endpoint(state);
+    return endpoint.fits(unit, endpoint.free) > 0;
   });
   return {
-    known: known.length,
-    usable: known.filter(({ usable }) => usable).length,
+    known: matching.length,
+    usable: matching.filter(({ usable }) => usable).length,
     couldHold: couldHold.length,
   };
 }
--- a/packages/workflow-scheduler/src/estimate_book.ts
+++ b/packages/workflow-scheduler/src/estimate_book.ts
@@ -2,7 +2,7 @@
  * What estimates are worth: runs of a queue beside what their callers guessed. A gang
  * lasts as long as its longest task, so its runs take longer than the guess for one.
  */
-import type * as outlooks from "./expected_run.ts";
+import type * as estimates from "./expected_run.ts";
 
 /** A run that has ended well. */
 export interface EndedRun {
@@ -14,16 +14,16 @@
 }
 
 /** Runs of a queue that are remembered: newer ones take the place of older ones. */
-const MOST_RUNS = 60;
+const MAX_RUNS_PER_QUEUE = 60;
 /** Runs that speak for a true estimate from the start. */
-const PRIOR_RUNS = 5;
+const PRIOR_RUN_COUNT = 5;
 /** Bounds of a correction: beyond them a queue has work of several kinds. */
-const LEAST_CORRECTION = 0.5;
-const MOST_CORRECTION = 2.5;
+const MIN_CORRECTION = 0.5;
+const MAX_CORRECTION = 2.5;
 /** Shares of the runs that are shorter than the low, the usual and the high ones. */
-const LOW = 0.25;
-const USUAL = 0.5;
-const HIGH = 0.75;
+const LOW_QUANTILE = 0.25;
+const USUAL_QUANTILE = 0.5;
+const HIGH_QUANTILE = 0.75;
 
 /** What the runs of one queue took, as multiples of their estimates. */
 export interface EstimateWorth {
@@ -45,13 +45,13 @@
     if (!Number.isFinite(ratio) || ratio <= 0) return;
     const ratios = this.#ratios.get(queue) ?? [];
     ratios.push(ratio);
-    if (ratios.length > MOST_RUNS) ratios.shift();
+    if (ratios.length > MAX_RUNS_PER_QUEUE) ratios.shift();
     this.#ratios.set(queue, ratios);
     this.#corrections = null;
   }
 
   /** Corrections by queue, within bounds. */
-  get corrections(): outlooks.Corrections {
+  get corrections(): estimates.Corrections {
     this.#corrections ??= new Map(
       this.describe().map(({ queue, usual }) => [queue, usual]),
     );
@@ -61,16 +61,20 @@
   /** What is known of each queue, for people. */
   describe(): readonly EstimateWorth[] {
     return [...this.#ratios].map(([queue, ratios]) => {
-      const prior = Array.from({ length: PRIOR_RUNS }, () => 1);
+      const prior = Array.from({ length: PRIOR_RUN_COUNT }, () => 1);
       const sorted = [...ratios, ...prior].sort((a, b) => a - b);
-      const at = (share: number) =>
-        bound(sorted[Math.floor((sorted.length - 1) * share)]);
-      const worth = { low: at(LOW), usual: at(USUAL), high: at(HIGH) };
-      return { queue, runs: ratios.length, ...worth };
+      const quantileAt = (share: number) =>
+        clampCorrection(sorted[Math.floor((sorted.length - 1) * share)]);
+      const quantiles = {
+        low: quantileAt(LOW_QUANTILE),
+        usual: quantileAt(USUAL_QUANTILE),
+        high: quantileAt(HIGH_QUANTILE),
+      };
+      return { queue, runs: ratios.length, ...quantiles };
     });
   }
 }
 
-function bound(ratio: number): number {
-  return Math.min(MOST_CORRECTION, Math.max(LEAST_CORRECTION, ratio));
+function clampCorrection(ratio: number): number {
+  return Math.min(MAX_CORRECTION, Math.max(MIN_CORRECTION, ratio));
 }
--- a/packages/workflow-scheduler/src/eviction.ts
+++ b/packages/workflow-scheduler/src/eviction.ts
@@ -5,11 +5,11 @@
 import type * as rank from "./rank.ts";
 import * as stopRules from "./stop_rules.ts";
 import type * as teamShares from "./team_shares.ts";
-import * as victims from "./victim_cost.ts";
+import * as victimCost from "./victim_cost.ts";
 
 /** Places for a unit and the tasks that have to stop first. */
 export interface Eviction {
-  readonly places: placement.Places;
+  readonly places: placement.Placement;
   readonly victims: ReadonlySet<Workflow.Task>;
   /** By which the victims were chosen. */
   readonly cost: number;
@@ -23,13 +23,13 @@
   readonly nowMs: number;
   readonly wallMs: number;
   /** What stopping each task costs, as far as this plan has worked it out. */
-  readonly costs: Map<Workflow.Task, number>;
+  readonly losses: Map<Workflow.Task, number>;
   /** Whether tasks that were stopped for others often enough are spared. */
-  readonly sparesStopped: boolean;
+  readonly sparesOftenStopped: boolean;
   /** Whether a task stops for another unit already; its room is given away. */
-  readonly isTaken: (task: Workflow.Task) => boolean;
+  readonly isAlreadyVictim: (task: Workflow.Task) => boolean;
   /** Time until the run of a task ends that has run for some time, in ms. */
-  readonly leftMs: (task: Workflow.Task, ranMs: number) => number;
+  readonly remainingMs: (task: Workflow.Task, ranMs: number) => number;
   /** What teams have had; null where that does not count. */
   readonly shares: teamShares.TeamShares | null;
 }
@@ -37,38 +37,38 @@
 /** Core-seconds that one accelerator-second counts for. */
 const ACCELERATOR_WEIGHT = 8;
 /** Time for which a place is of no use around any stop and restart, in ms. */
-const RESTART_MS = 1000;
+const RESTART_OVERHEAD_MS = 1000;
 /**
  * Cost of a start of a task that has few left, in core-seconds: more than all that an
  * endpoint runs. Such a task yields only where nothing else can.
  */
-const FEW_STARTS_COST = 1e9;
+const FEW_STARTS_LOSS = 1e9;
 /**
  * Such a task does not yield at all for this time from its start, in ms: if it ends its
  * endpoint, it mostly does so by then (after 10 ms in the users' record), and a start
  * that is cut short tells nothing. A guarantee waits for it no longer.
  */
-const FEW_STARTS_KEPT_MS = 2000;
+const FEW_STARTS_PROTECTED_MS = 2000;
 /** Work that a task with checkpoints loses at most, in ms. */
-const LOST_WITH_CHECKPOINT_MS = 100;
+const MAX_CHECKPOINT_LOSS_MS = 100;
 
 /** Core-seconds of one second of a task; accelerators count as cores. */
-function weightOf(step: Workflow.StepSpec): number {
+function coreEquivalentsOf(step: Workflow.StepSpec): number {
   return step.cpuMillis / 1000 + ACCELERATOR_WEIGHT * step.accelerators;
 }
 
 /** Core-seconds that a unit brings, by its estimate. */
-export function workOf({ step, tasks }: Workflow.Unit): number {
-  return tasks.length * weightOf(step) * step.estimateMs / 1000;
+export function coreSecondsOf({ step, tasks }: Workflow.Unit): number {
+  return tasks.length * coreEquivalentsOf(step) * step.estimateMs / 1000;
 }
 
 /** Finds the cheapest set of victims; null where even that is not enough. */
 export function findEviction(
   unit: Workflow.Unit,
-  rooms: readonly fleet.EndpointRoom[],
+  endpoints: readonly fleet.Endpoint[],
   context: EvictionContext,
 ): Eviction | null {
-  const near = placement.nearWorkers(unit, rooms);
+  const near = placement.endpointsNearData(unit, endpoints);
   if (!placement.wantsOneRack(unit)) return evictAmong(unit, near, context);
   let best: Eviction | null = null;
   for (const rack of placement.groupByRack(near).values()) {
@@ -88,46 +88,51 @@
  */
 export function evictAmong(
   unit: Workflow.Unit,
-  rooms: readonly fleet.EndpointRoom[],
+  endpoints: readonly fleet.Endpoint[],
   context: EvictionContext,
 ): Eviction | null {
   const chosen = new Set<Workflow.Task>();
-  const places: fleet.EndpointRoom[] = [];
-  const taken = new Map<fleet.EndpointRoom, number>();
-  const offerOf = (room: fleet.EndpointRoom) => {
-    const count = (taken.get(room) ?? 0) + 1;
-    return victimsFor({ unit, room, count, chosen }, context);
+  const places: fleet.Endpoint[] = [];
+  const assignedCounts = new Map<fleet.Endpoint, number>();
+  const optionOf = (endpoint: fleet.Endpoint) => {
+    const need = (assignedCounts.get(endpoint) ?? 0) + 1;
+    return findVictims({ unit, endpoint, need, chosen }, context);
   };
-  const offers = new Map(rooms.map((room) => [room, offerOf(room)]));
+  const options = new Map(
+    endpoints.map((endpoint) => [endpoint, optionOf(endpoint)]),
+  );
   let cost = 0;
   let loss = 0;
   while (places.length < unit.tasks.length) {
-    const best = cheapest(offers);
+    const best = findCheapest(options);
     if (best === null) return null;
-    const before = chosen.size;
+    const countBefore = chosen.size;
     for (const victim of best.more.tasks) addGroup(chosen, victim);
     cost += best.more.cost;
     loss += best.more.loss;
-    taken.set(best.room, (taken.get(best.room) ?? 0) + 1);
-    places.push(best.room);
-    const added = [...chosen].slice(before);
-    const changed = rooms.filter((room) =>
-      room === best.room ||
-      added.some((task) => task.worker === room.worker.id)
+    assignedCounts.set(
+      best.endpoint,
+      (assignedCounts.get(best.endpoint) ?? 0) + 1,
+    );
+    places.push(best.endpoint);
+    const newVictims = [...chosen].slice(countBefore);
+    const changed = endpoints.filter((endpoint) =>
+      endpoint === best.endpoint ||
+      newVictims.some((task) => task.worker === endpoint.state.id)
     );
-    for (const room of changed) offers.set(room, offerOf(room));
+    for (const endpoint of changed) options.set(endpoint, optionOf(endpoint));
   }
   return { places, victims: chosen, cost, loss };
 }
 
 /** The first of the rooms that cost least; null where none can be freed. */
-function cheapest(
-  offers: ReadonlyMap<fleet.EndpointRoom, Victims | null>,
-): { readonly room: fleet.EndpointRoom; readonly more: Victims } | null {
-  let best: { room: fleet.EndpointRoom; more: Victims } | null = null;
-  for (const [room, more] of offers) {
+function findCheapest(
+  options: ReadonlyMap<fleet.Endpoint, Victims | null>,
+): { readonly endpoint: fleet.Endpoint; readonly more: Victims } | null {
+  let best: { endpoint: fleet.Endpoint; more: Victims } | null = null;
+  for (const [endpoint, more] of options) {
     if (more === null) continue;
-    if (best === null || more.cost < best.more.cost) best = { room, more };
+    if (best === null || more.cost < best.more.cost) best = { endpoint, more };
     if (more.cost === 0) break;
   }
   return best;
@@ -140,33 +145,33 @@
 }
 
 /** Cheapest further victims on one worker so that `count` tasks fit. */
-function victimsFor(
+function findVictims(
   search: {
     unit: Workflow.Unit;
-    room: fleet.EndpointRoom;
-    count: number;
+    endpoint: fleet.Endpoint;
+    need: number;
     chosen: ReadonlySet<Workflow.Task>;
   },
   context: EvictionContext,
 ): Victims | null {
-  const { unit, room, count, chosen } = search;
-  const amounts = { ...room.soon };
-  for (const task of room.worker.occupants) {
-    if (chosen.has(task)) fleet.give(amounts, task.step);
+  const { unit, endpoint, need, chosen } = search;
+  const free = { ...endpoint.freeAfterStops };
+  for (const task of endpoint.state.occupants) {
+    if (chosen.has(task)) fleet.addTask(free, task.step);
   }
-  if (room.fits(unit, amounts) >= count) return { tasks: [], cost: 0, loss: 0 };
-  const candidates = room.worker.occupants
+  if (endpoint.fits(unit, free) >= need) return { tasks: [], cost: 0, loss: 0 };
+  const candidates = endpoint.state.occupants
     .filter((task) =>
       !chosen.has(task) && isEvictable(task, context.nowMs) &&
-      !context.isTaken(task) &&
-      !(context.sparesStopped && stopRules.isSpared(groupOf(task))) &&
+      !context.isAlreadyVictim(task) &&
+      !(context.sparesOftenStopped && stopRules.isSpared(groupOf(task))) &&
       context.ranks.mayEvict(unit.workflow, task.workflow)
     )
-    .map((task) => ({ task, loss: knownCost(task, context) }))
+    .map((task) => ({ task, loss: cachedLossOf(task, context) }))
     .map(({ task, loss }) => ({
       task,
       loss,
-      cost: victims.weighCost({ task, loss }, context.shares),
+      cost: victimCost.weighCost({ task, loss }, context.shares),
     }))
     .sort((a, b) => a.cost - b.cost);
   const picked: Workflow.Task[] = [];
@@ -174,24 +179,24 @@
   let loss = 0;
   for (const candidate of candidates) {
     const { task } = candidate;
-    const isKept = task.step.lasting &&
-      isNeeded(task, [...chosen, ...picked]);
-    if (isKept) continue;
-    fleet.give(amounts, candidate.task.step);
+    const isProtected = task.step.lasting &&
+      isStepAtMinimum(task, [...chosen, ...picked]);
+    if (isProtected) continue;
+    fleet.addTask(free, candidate.task.step);
     picked.push(candidate.task);
     cost += candidate.cost;
     loss += candidate.loss;
-    if (room.fits(unit, amounts) >= count) return { tasks: picked, cost, loss };
+    if (endpoint.fits(unit, free) >= need) return { tasks: picked, cost, loss };
   }
   return null;
 }
 
-function knownCost(task: Workflow.Task, context: EvictionContext): number {
-  const known = context.costs.get(task);
-  if (known !== undefined) return known;
-  const cost = costOf(task, context);
-  context.costs.set(task, cost);
-  return cost;
+function cachedLossOf(task: Workflow.Task, context: EvictionContext): number {
+  const cached = context.losses.get(task);
+  if (cached !== undefined) return cached;
+  const loss = lossOf(task, context);
+  context.losses.set(task, loss);
+  return loss;
 }
 
 /**
@@ -201,43 +206,47 @@
  * plays of two heavy loads on 245 endpoints and one on 33 (tools/decisions, 12
  * seeds) earned 0.013, 0.000 and 0.005 more of what was owed.
  */
-function costOf(task: Workflow.Task, context: EvictionContext): number {
+function lossOf(task: Workflow.Task, context: EvictionContext): number {
   const { step } = task;
   const ranMs = Math.max(0, context.nowMs - task.startedAtMs);
   const lostMs = step.checkpoints
-    ? Math.min(ranMs, LOST_WITH_CHECKPOINT_MS)
+    ? Math.min(ranMs, MAX_CHECKPOINT_LOSS_MS)
     : ranMs;
-  const weight = weightOf(step);
+  const weight = coreEquivalentsOf(step);
   const group = groupOf(task);
-  const leftMs = context.leftMs(task, ranMs);
-  const isMissed = missesByStop(task, { ...context, leftMs, lostMs });
-  const missed = isMissed ? weight * step.estimateMs / 1000 : 0;
-  const isLast = group.some((one) => mayCrash(one, context.nowMs));
-  const last = isLast ? FEW_STARTS_COST : 0;
-  return last + group.length * (weight * (lostMs + RESTART_MS) / 1000 + missed);
+  const remainingMs = context.remainingMs(task, ranMs);
+  const isMissed = wouldMissByStop(task, { ...context, remainingMs, lostMs });
+  const missedWork = isMissed ? weight * step.estimateMs / 1000 : 0;
+  const hasFewStartsLeft = group.some((one) =>
+    mayCrashEndpoint(one, context.nowMs)
+  );
+  const fewStartsLoss = hasFewStartsLeft ? FEW_STARTS_LOSS : 0;
+  return fewStartsLoss +
+    group.length *
+      (weight * (lostMs + RESTART_OVERHEAD_MS) / 1000 + missedWork);
 }
 
 /** Whether a task would end in time, as expected, unless it is stopped now. */
-function missesByStop(
+function wouldMissByStop(
   task: Workflow.Task,
-  now: { leftMs: number; lostMs: number; wallMs: number },
+  timing: { remainingMs: number; lostMs: number; wallMs: number },
 ): boolean {
   const objectiveMs = Workflow.objectiveAtMs(task.workflow.spec, task.round);
-  const endsMs = now.wallMs + now.leftMs;
-  const endsAgainMs = endsMs + now.lostMs + RESTART_MS;
-  return endsMs <= objectiveMs && endsAgainMs > objectiveMs;
+  const endsMs = timing.wallMs + timing.remainingMs;
+  const endsAfterRestartMs = endsMs + timing.lostMs + RESTART_OVERHEAD_MS;
+  return endsMs <= objectiveMs && endsAfterRestartMs > objectiveMs;
 }
 
 function isEvictable(task: Workflow.Task, nowMs: number): boolean {
-  const isKept = groupOf(task).some((one) =>
-    one.hasFewStarts && nowMs - one.startedAtMs < FEW_STARTS_KEPT_MS
+  const isProtected = groupOf(task).some((one) =>
+    one.hasFewStarts && nowMs - one.startedAtMs < FEW_STARTS_PROTECTED_MS
   );
-  return !isKept && (task.state === Workflow.TaskState.Starting ||
+  return !isProtected && (task.state === Workflow.TaskState.Starting ||
     task.state === Workflow.TaskState.Running);
 }
 
 /** Whether a task has few starts left, and has not shown that it needs no more. */
-function mayCrash(task: Workflow.Task, nowMs: number): boolean {
+function mayCrashEndpoint(task: Workflow.Task, nowMs: number): boolean {
   return task.hasFewStarts &&
     !Workflow.isProvenLasting(task.step, nowMs - task.startedAtMs);
 }
@@ -248,18 +257,18 @@
 }
 
 /** Whether a lasting step can not miss one more of its tasks. */
-function isNeeded(
+function isStepAtMinimum(
   task: Workflow.Task,
   chosen: readonly Workflow.Task[],
 ): boolean {
   const { lasting, mayMiss } = task.step;
   if (!lasting || mayMiss === 0) return false;
-  const isAway = (other: Workflow.Task) =>
+  const isUnavailable = (other: Workflow.Task) =>
     chosen.includes(other) || other.state !== Workflow.TaskState.Running;
-  const away = task.workflow.siblings(task).filter((other) =>
-    other !== task && isAway(other)
+  const unavailable = task.workflow.siblings(task).filter((other) =>
+    other !== task && isUnavailable(other)
   );
-  return away.length >= mayMiss;
+  return unavailable.length >= mayMiss;
 }
 
 function addGroup(chosen: Set<Workflow.Task>, task: Workflow.Task): void {
--- a/packages/workflow-scheduler/src/expected_run.ts
+++ b/packages/workflow-scheduler/src/expected_run.ts
@@ -10,34 +10,39 @@
 export type Corrections = ReadonlyMap<string, number>;
 
 /** Share of the endpoints that are faster than what counts as the best speed. */
-const FASTER_SHARE = 0.1;
+const BEST_SPEED_QUANTILE = 0.1;
 /** Stands for no speed at all. */
-const LEAST_SPEED = 0.05;
+const MIN_SPEED = 0.05;
 /** Time that an endpoint needs to be free for another run once one has to stop, in ms. */
-export const STOP_MS = 1000;
+export const STOP_ALLOWANCE_MS = 1000;
 
 /** Expects runs by the speeds of endpoints and what estimates were worth. */
-export class RunOutlook {
+export class RunEstimator {
   /** Speed that one endpoint in ten reaches. */
   readonly bestSpeed: number;
   readonly #corrections: Corrections;
 
   constructor(speeds: readonly number[], corrections: Corrections) {
     const sorted = [...speeds].sort((a, b) => b - a);
-    const best = sorted[Math.floor(sorted.length * FASTER_SHARE)] ?? 1;
-    this.bestSpeed = Math.max(best, LEAST_SPEED);
+    const bestSpeed = sorted[Math.floor(sorted.length * BEST_SPEED_QUANTILE)] ??
+      1;
+    this.bestSpeed = Math.max(bestSpeed, MIN_SPEED);
     this.#corrections = corrections;
   }
 
   /** Time of a run on endpoints of which the slowest has this speed, in ms. */
-  expectedMs(unit: Pick<Workflow.Unit, "step" | "workflow">, slowest: number) {
+  expectedMs(
+    unit: Pick<Workflow.Unit, "step" | "workflow">,
+    slowestSpeed: number,
+  ) {
     const { queue } = unit.workflow.spec.policy;
     const correction = this.#corrections.get(queue) ?? 1;
-    return unit.step.estimateMs * correction / Math.max(slowest, LEAST_SPEED);
+    return unit.step.estimateMs * correction /
+      Math.max(slowestSpeed, MIN_SPEED);
   }
 
   /** What a unit can still reach on the best endpoints. */
-  hopeOf(unit: Workflow.Unit, wallMs: number): rank.Hope {
+  bestOutcomeOf(unit: Workflow.Unit, wallMs: number): rank.Hope {
     return rank.hopeOf(unit, wallMs, this.expectedMs(unit, this.bestSpeed));
   }
 
@@ -46,27 +51,34 @@
    * its objective, else an end that is late and of use. Infinite where it can't.
    */
   neededSpeed(unit: Workflow.Unit, wallMs: number): number {
-    const hope = this.hopeOf(unit, wallMs);
-    return this.#speedFor(unit, rank.leftMs(unit, wallMs, hope));
+    const outcome = this.bestOutcomeOf(unit, wallMs);
+    return this.#speedFor(unit, rank.timeToDeadlineMs(unit, wallMs, outcome));
   }
 
   /** The same, if others have to stop there first; infinite if that is too late. */
   neededSpeedAfterStops(unit: Workflow.Unit, wallMs: number): number {
-    const hope = this.hopeOf(unit, wallMs);
-    return this.#speedFor(unit, rank.leftMs(unit, wallMs, hope) - STOP_MS);
+    const outcome = this.bestOutcomeOf(unit, wallMs);
+    return this.#speedFor(
+      unit,
+      rank.timeToDeadlineMs(unit, wallMs, outcome) - STOP_ALLOWANCE_MS,
+    );
   }
 
   /** Whether a unit that starts after some time still ends by its objective. */
-  endsInTime(
+  canEndInTime(
     unit: Workflow.Unit,
-    start: { readonly wallMs: number; readonly slowest: number },
+    start: { readonly wallMs: number; readonly slowestSpeed: number },
   ): boolean {
-    const leftMs = rank.leftMs(unit, start.wallMs, rank.Hope.InTime);
-    return this.expectedMs(unit, start.slowest) <= leftMs;
+    const remainingMs = rank.timeToDeadlineMs(
+      unit,
+      start.wallMs,
+      rank.Hope.InTime,
+    );
+    return this.expectedMs(unit, start.slowestSpeed) <= remainingMs;
   }
 
-  #speedFor(unit: Workflow.Unit, leftMs: number): number {
-    if (leftMs <= 0) return Number.POSITIVE_INFINITY;
-    return this.expectedMs(unit, 1) / leftMs;
+  #speedFor(unit: Workflow.Unit, remainingMs: number): number {
+    if (remainingMs <= 0) return Number.POSITIVE_INFINITY;
+    return this.expectedMs(unit, 1) / remainingMs;
   }
 }
--- a/packages/workflow-scheduler/src/expected_run_test.ts
+++ b/packages/workflow-scheduler/src/expected_run_test.ts
@@ -3,8 +3,8 @@
 import * as Workflow from "@cairngate/workflow";
 import * as fc from "fast-check";
 import * as vitest from "vitest";
-import * as books from "./estimate_book.ts";
-import * as outlooks from "./expected_run.ts";
+import * as estimateBook from "./estimate_book.ts";
+import * as estimates from "./expected_run.ts";
 
 function buildUnit(estimateMs: number): Workflow.Unit {
   const workflow = new Workflow.Workflow({
@@ -23,34 +23,37 @@
   vitest.it("grows as the slowest endpoint is slower", () => {
     const speed = fc.double({ min: 0.1, max: 4, noNaN: true });
     fc.assert(fc.property(speed, speed, (one, other) => {
-      const outlook = new outlooks.RunOutlook([1], new Map());
+      const estimator = new estimates.RunEstimator([1], new Map());
       const unit = buildUnit(1000);
-      const slow = outlook.expectedMs(unit, Math.min(one, other));
-      const fast = outlook.expectedMs(unit, Math.max(one, other));
+      const slow = estimator.expectedMs(unit, Math.min(one, other));
+      const fast = estimator.expectedMs(unit, Math.max(one, other));
       vitest.expect(slow).toBeGreaterThanOrEqual(fast);
     }));
   });
 
   vitest.it("grows with what runs of the queue took", () => {
     const { queue } = TestUtils.buildAccess().queues[0];
-    const outlook = new outlooks.RunOutlook([1], new Map([[queue, 1.5]]));
-    vitest.expect(outlook.expectedMs(buildUnit(1000), 0.5)).toBe(3000);
+    const estimator = new estimates.RunEstimator(
+      [1],
+      new Map([[queue, 1.5]]),
+    );
+    vitest.expect(estimator.expectedMs(buildUnit(1000), 0.5)).toBe(3000);
   });
 });
 
 vitest.describe("the speed that a unit needs", () => {
   vitest.it("grows while it waits, and stops take longer still", () => {
-    const outlook = new outlooks.RunOutlook([1.6], new Map());
+    const estimator = new estimates.RunEstimator([1.6], new Map());
     const unit = buildUnit(2000);
-    const atOnce = outlook.neededSpeed(unit, 0);
-    vitest.expect(outlook.neededSpeed(unit, 500)).toBeGreaterThan(atOnce);
-    vitest.expect(outlook.neededSpeedAfterStops(unit, 0))
-      .toBeGreaterThan(outlook.neededSpeed(unit, 500));
+    const atOnce = estimator.neededSpeed(unit, 0);
+    vitest.expect(estimator.neededSpeed(unit, 500)).toBeGreaterThan(atOnce);
+    vitest.expect(estimator.neededSpeedAfterStops(unit, 0))
+      .toBeGreaterThan(estimator.neededSpeed(unit, 500));
   });
 
   vitest.it("is infinite once its end is of no use any more", () => {
-    const outlook = new outlooks.RunOutlook([1.6], new Map());
-    vitest.expect(outlook.neededSpeed(buildUnit(2000), 1e6))
+    const estimator = new estimates.RunEstimator([1.6], new Map());
+    vitest.expect(estimator.neededSpeed(buildUnit(2000), 1e6))
       .toBe(Number.POSITIVE_INFINITY);
   });
 });
@@ -64,7 +67,7 @@
       speed: fc.double(),
     });
     fc.assert(fc.property(fc.array(run), (runs) => {
-      const book = new books.EstimateBook();
+      const book = new estimateBook.EstimateBook();
       for (const one of runs) book.note(one);
       for (const correction of book.corrections.values()) {
         vitest.expect(correction).toBeGreaterThanOrEqual(0.5);
@@ -74,7 +77,7 @@
   });
 
   vitest.it("follows what runs took, at the speed of their endpoint", () => {
-    const book = new books.EstimateBook();
+    const book = new estimateBook.EstimateBook();
     const ended = { queue: "a", estimateMs: 1000, tookMs: 3000, speed: 0.5 };
     for (let i = 0; i < 4; i++) book.note(ended);
     vitest.expect(book.corrections.get("a")).toBe(1);
@@ -83,7 +86,7 @@
   });
 
   vitest.it("forgets what runs took long ago", () => {
-    const book = new books.EstimateBook();
+    const book = new estimateBook.EstimateBook();
     const ended = { queue: "a", estimateMs: 1000, tookMs: 2000, speed: 1 };
     for (let i = 0; i < 60; i++) book.note(ended);
     for (let i = 0; i < 60; i++) book.note({ ...ended, tookMs: 1000 });
--- a/packages/workflow-scheduler/src/fleet.ts
+++ b/packages/workflow-scheduler/src/fleet.ts
@@ -26,95 +26,99 @@
 }
 
 /** Amounts that change while a plan is made. */
-interface Amounts {
+interface MutableResources {
   cpuMillis: number;
   memoryMb: number;
   accelerators: number;
 }
 
 /** Room of one worker during a plan. */
-export class EndpointRoom {
-  readonly worker: WorkerState;
+export class Endpoint {
+  readonly state: WorkerState;
   /** Free when the plan began. */
-  readonly before: Workflow.Resources;
+  readonly freeAtStart: Workflow.Resources;
   /** Free now. */
-  readonly free: Amounts;
+  readonly free: MutableResources;
   /** Free once all that is being stopped has ended. */
-  readonly soon: Amounts;
+  readonly freeAfterStops: MutableResources;
   /** Tasks of each step that it holds, for limits per worker. */
-  readonly #held = new Map<readonly Workflow.Task[], number>();
-  #isClaimed = false;
-
-  constructor(worker: WorkerState) {
-    this.worker = worker;
-    this.free = { ...worker.total };
-    this.soon = { ...worker.total };
-    for (const task of worker.occupants) {
-      take(this.free, task.step, 1);
+  readonly #tasksPerStep = new Map<readonly Workflow.Task[], number>();
+  #hasAllocation = false;
+
+  constructor(state: WorkerState) {
+    this.state = state;
+    this.free = { ...state.total };
+    this.freeAfterStops = { ...state.total };
+    for (const task of state.occupants) {
+      subtractTasks(this.free, task.step, 1);
       if (task.state !== Workflow.TaskState.Stopping) {
-        take(this.soon, task.step, 1);
+        subtractTasks(this.freeAfterStops, task.step, 1);
       }
-      this.#note(task, 1);
+      this.#countForStep(task, 1);
     }
-    this.before = { ...this.free };
+    this.freeAtStart = { ...this.free };
   }
 
   /** Tasks of a unit's step that fit into an amount of room. */
   fits(unit: Workflow.Unit, amounts: Workflow.Resources): number {
     const { step } = unit;
-    const most = Math.min(
-      divide(amounts.cpuMillis, step.fills ? 0 : step.cpuMillis),
-      divide(amounts.memoryMb, step.memoryMb),
-      divide(amounts.accelerators, step.accelerators),
+    const maxTasks = Math.min(
+      countFitting(amounts.cpuMillis, step.fills ? 0 : step.cpuMillis),
+      countFitting(amounts.memoryMb, step.memoryMb),
+      countFitting(amounts.accelerators, step.accelerators),
       unit.tasks.length,
-      this.#mostTries,
+      this.#maxConcurrentStarts,
     );
-    if (step.perWorker === 0) return Math.max(0, most);
-    const held = this.#held.get(unit.workflow.siblings(unit.tasks[0])) ?? 0;
-    return Math.max(0, Math.min(most, step.perWorker - held));
+    if (step.perWorker === 0) return Math.max(0, maxTasks);
+    const placed =
+      this.#tasksPerStep.get(unit.workflow.siblings(unit.tasks[0])) ?? 0;
+    return Math.max(0, Math.min(maxTasks, step.perWorker - placed));
   }
 
   /** One run at a time tells whether an endpoint in doubt still fails. */
-  get #mostTries(): number {
-    if (this.worker.isDoubted !== true) return Number.POSITIVE_INFINITY;
+  get #maxConcurrentStarts(): number {
+    if (this.state.isDoubted !== true) return Number.POSITIVE_INFINITY;
     return this.isEmpty ? 1 : 0;
   }
 
   /** Whether nothing runs there, and nothing is planned to. */
   get isEmpty(): boolean {
-    return this.worker.occupants.length === 0 && !this.#isClaimed;
+    return this.state.occupants.length === 0 && !this.#hasAllocation;
   }
 
   /** Takes room for tasks of a step, now and later. */
-  claim(unit: Workflow.Unit, count: number): void {
-    this.#isClaimed = true;
-    take(this.free, unit.step, count);
-    take(this.soon, unit.step, count);
-    this.#note(unit.tasks[0], count);
+  allocate(unit: Workflow.Unit, count: number): void {
+    this.#hasAllocation = true;
+    subtractTasks(this.free, unit.step, count);
+    subtractTasks(this.freeAfterStops, unit.step, count);
+    this.#countForStep(unit.tasks[0], count);
   }
 
   /** Keeps all of the room from others. */
-  close(): void {
+  withholdAll(): void {
     this.free.accelerators = -1;
     this.free.memoryMb = -1;
     this.free.cpuMillis = -1;
   }
 
   /** Counts a task that is going to be stopped. */
-  expect(task: Workflow.Task): void {
-    give(this.soon, task.step);
+  countStop(task: Workflow.Task): void {
+    addTask(this.freeAfterStops, task.step);
   }
 
-  #note(task: Workflow.Task, count: number): void {
+  #countForStep(task: Workflow.Task, count: number): void {
     if (task.step.perWorker === 0) return;
     const siblings = task.workflow.siblings(task);
-    this.#held.set(siblings, (this.#held.get(siblings) ?? 0) + count);
+    this.#tasksPerStep.set(
+      siblings,
+      (this.#tasksPerStep.get(siblings) ?? 0) + count,
+    );
   }
 }
 
 /** Takes resources of a step from an amount. */
-export function take(
-  amounts: Amounts,
+export function subtractTasks(
+  amounts: MutableResources,
   step: Workflow.StepSpec,
   count: number,
 ): void {
@@ -128,38 +132,45 @@
   tasks: Iterable<Workflow.Task>,
   total: Workflow.Resources,
 ): boolean {
-  const left = { ...total };
-  for (const { step } of tasks) take(left, step, 1);
-  return left.cpuMillis >= 0 && left.memoryMb >= 0 && left.accelerators >= 0;
+  const remaining = { ...total };
+  for (const { step } of tasks) subtractTasks(remaining, step, 1);
+  return remaining.cpuMillis >= 0 && remaining.memoryMb >= 0 &&
+    remaining.accelerators >= 0;
 }
 
 /** Gives the resources of one task of a step back. */
-export function give(amounts: Amounts, step: Workflow.StepSpec): void {
-  take(amounts, step, -1);
+export function addTask(
+  amounts: MutableResources,
+  step: Workflow.StepSpec,
+): void {
+  subtractTasks(amounts, step, -1);
 }
 
-function divide(room: number, need: number): number {
-  if (room < 0) return 0;
-  return need === 0 ? Number.POSITIVE_INFINITY : Math.floor(room / need);
+function countFitting(available: number, needed: number): number {
+  if (available < 0) return 0;
+  return needed === 0
+    ? Number.POSITIVE_INFINITY
+    : Math.floor(available / needed);
 }
 
 /** Share of the fleet's capacity that is taken, by the scarcest resource. */
-export function usedShare(rooms: readonly EndpointRoom[]): number {
+export function peakUtilization(endpoints: readonly Endpoint[]): number {
   const total = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
   const free = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
-  for (const room of rooms) {
-    add(total, room.worker.total);
-    add(free, room.free);
+  for (const endpoint of endpoints) {
+    add(total, endpoint.state.total);
+    add(free, endpoint.free);
   }
-  const shareOf = (all: number, left: number) => all === 0 ? 0 : 1 - left / all;
+  const usedShareOf = (all: number, remaining: number) =>
+    all === 0 ? 0 : 1 - remaining / all;
   return Math.max(
-    shareOf(total.cpuMillis, free.cpuMillis),
-    shareOf(total.memoryMb, free.memoryMb),
-    shareOf(total.accelerators, free.accelerators),
+    usedShareOf(total.cpuMillis, free.cpuMillis),
+    usedShareOf(total.memoryMb, free.memoryMb),
+    usedShareOf(total.accelerators, free.accelerators),
   );
 }
 
-function add(sum: Amounts, amounts: Workflow.Resources): void {
+function add(sum: MutableResources, amounts: Workflow.Resources): void {
   sum.cpuMillis += amounts.cpuMillis;
   sum.memoryMb += amounts.memoryMb;
   sum.accelerators += amounts.accelerators;
@@ -167,15 +178,15 @@
 
 /** Whether a worker may run a step now. */
 export function isEligible(
-  worker: WorkerState,
+  state: WorkerState,
   unit: Workflow.Unit,
 ): boolean {
-  return worker.usable && isOfKind(worker, unit);
+  return state.usable && isOfKind(state, unit);
 }
 
 /** Whether a worker is of the service and the kind that a step needs. */
-export function isOfKind(worker: WorkerState, unit: Workflow.Unit): boolean {
+export function isOfKind(state: WorkerState, unit: Workflow.Unit): boolean {
   const { step, workflow } = unit;
-  return worker.service === workflow.spec.policy.service &&
-    (step.label === null || worker.labels.has(step.label));
+  return state.service === workflow.spec.policy.service &&
+    (step.label === null || state.labels.has(step.label));
 }
--- a/packages/workflow-scheduler/src/hard_load.ts
+++ b/packages/workflow-scheduler/src/hard_load.ts
@@ -22,7 +22,7 @@
  * that much more work in the queue it can push all others back, although each of them
  * asks for little.
  */
-const LARGE_TEAM = 2;
+const LARGE_TEAM_FACTOR = 2;
 
 /** Whether some team has paid for so much more than the others that they compete. */
 export function haveLargeTeam(
@@ -31,26 +31,27 @@
   const paid = [...guarantees.values()].filter((one) => one > 0);
   if (paid.length < 2) return false;
   const mean = paid.reduce((sum, one) => sum + one, 0) / paid.length;
-  return Math.max(...paid) >= LARGE_TEAM * mean;
+  return Math.max(...paid) >= LARGE_TEAM_FACTOR * mean;
 }
 
 /** Shares of the endpoints that are left out as the fastest and the slowest ones. */
-const LEFT_OUT_SHARE = 0.1;
+const OUTLIER_SHARE = 0.1;
 
 /** How many times as fast the fast endpoints are as the slow ones. */
 export function speedSpread(speeds: readonly number[]): number {
   if (speeds.length === 0) return 1;
   const sorted = [...speeds].sort((a, b) => a - b);
-  const skip = Math.floor(sorted.length * LEFT_OUT_SHARE);
-  return sorted[sorted.length - 1 - skip] / Math.max(sorted[skip], 1e-3);
+  const outlierCount = Math.floor(sorted.length * OUTLIER_SHARE);
+  return sorted[sorted.length - 1 - outlierCount] /
+    Math.max(sorted[outlierCount], 1e-3);
 }
 
 /** Endpoints differ from this spread on; work then misses its objective by its place. */
-const SPREAD_BEGINS = 1.5;
+const UNEVEN_FROM_SPREAD = 1.5;
 /** Hysteresis: learned speeds vary a little, and decisions must not change with them. */
-const SPREAD_ENDS = 1.35;
+const EVEN_BELOW_SPREAD = 1.35;
 
 /** Whether endpoints differ in speed, after a time in which they did or did not. */
-export function doEndpointsDiffer(spread: number, didBefore: boolean): boolean {
-  return spread >= (didBefore ? SPREAD_ENDS : SPREAD_BEGINS);
+export function doEndpointsDiffer(spread: number, didDiffer: boolean): boolean {
+  return spread >= (didDiffer ? EVEN_BELOW_SPREAD : UNEVEN_FROM_SPREAD);
 }
--- a/packages/workflow-scheduler/src/isolation.ts
+++ b/packages/workflow-scheduler/src/isolation.ts
@@ -12,8 +12,8 @@
  * empty, after about 3 s. After a single crash most tasks are neighbours of the one
  * that did it, up to eight on one endpoint, and none of them waits.
  */
-const PATIENCE_MS = 2000;
-const PATIENT_AFTER_CRASHES = 2;
+const EMPTY_ENDPOINT_WAIT_MS = 2000;
+const WAIT_FROM_CRASHES = 2;
 
 /** Whether one of its tasks may crash its endpoint. */
 export function isSuspect(unit: Workflow.Unit): boolean {
@@ -21,30 +21,30 @@
 }
 
 /** The rooms that a suspect may use now. */
-export function roomsApart(
+export function endpointsForSuspect(
   unit: Workflow.Unit,
-  rooms: readonly fleet.EndpointRoom[],
+  endpoints: readonly fleet.Endpoint[],
   nowMs: number,
-): readonly fleet.EndpointRoom[] {
-  if (isHeldBack(unit, nowMs)) return [];
-  const empty = rooms.filter((room) => room.isEmpty);
+): readonly fleet.Endpoint[] {
+  if (isInCrashBackoff(unit, nowMs)) return [];
+  const empty = endpoints.filter((endpoint) => endpoint.isEmpty);
   // One that has crashed may do so again, and no task would be to blame.
-  const steady = empty.filter(({ worker }) => !worker.hasCrashedLately);
-  if (hasPlacesNear(unit, steady)) return steady;
-  if (hasPlacesNear(unit, empty)) return empty;
+  const stable = empty.filter(({ state }) => !state.hasCrashedLately);
+  if (fitsNearData(unit, stable)) return stable;
+  if (fitsNearData(unit, empty)) return empty;
   const crashes = Math.max(...unit.tasks.map((task) => task.crashes.laid));
-  if (crashes < PATIENT_AFTER_CRASHES) return rooms;
-  return waitedMs(unit, nowMs) < PATIENCE_MS ? [] : rooms;
+  if (crashes < WAIT_FROM_CRASHES) return endpoints;
+  return waitedMs(unit, nowMs) < EMPTY_ENDPOINT_WAIT_MS ? [] : endpoints;
 }
 
 /** Whether it waits because it may have crashed too many endpoints. */
-export function isHeldBack(unit: Workflow.Unit, nowMs: number): boolean {
-  const longestMs = Math.max(
+export function isInCrashBackoff(unit: Workflow.Unit, nowMs: number): boolean {
+  const backoffMs = Math.max(
     ...unit.tasks.map(({ possibleCrashes, spentStarts }) =>
       Workflow.holdMs(possibleCrashes, spentStarts)
     ),
   );
-  return waitedMs(unit, nowMs) < longestMs;
+  return waitedMs(unit, nowMs) < backoffMs;
 }
 
 function waitedMs(unit: Workflow.Unit, nowMs: number): number {
@@ -52,9 +52,9 @@
 }
 
 /** Far from its data, or on several racks, it would run much longer. */
-function hasPlacesNear(
+function fitsNearData(
   unit: Workflow.Unit,
-  rooms: readonly fleet.EndpointRoom[],
+  endpoints: readonly fleet.Endpoint[],
 ): boolean {
-  return placement.findNear(unit, rooms, placement.freeNow) !== null;
+  return placement.findNear(unit, endpoints, placement.freeNow) !== null;
 }
--- a/packages/workflow-scheduler/src/isolation_test.ts
+++ b/packages/workflow-scheduler/src/isolation_test.ts
@@ -36,8 +36,8 @@
   crashedLately: readonly number[] = [],
 ): fleet.WorkerState[] {
   return Array.from({ length: count }, (_, i) => {
-    const beside = buildWorkflow(`beside-${i}`, {});
-    for (const task of beside.tasks) task.place(`worker-${i}`, 1, 0);
+    const neighbour = buildWorkflow(`beside-${i}`, {});
+    for (const task of neighbour.tasks) task.place(`worker-${i}`, 1, 0);
     return {
       id: `worker-${i}`,
       service: "analysis",
@@ -48,7 +48,7 @@
       dataCentre: "dc-1",
       hasCrashedLately: crashedLately.includes(i),
       speed: 1,
-      occupants: halfFull.includes(i) ? [...beside.tasks] : [],
+      occupants: halfFull.includes(i) ? [...neighbour.tasks] : [],
     };
   });
 }
@@ -141,15 +141,15 @@
   const RAN_MS = { young: 500, old: 5000 };
 
   /** What has to yield to guaranteed work where these tasks fill all endpoints. */
-  function findYielding(running: readonly Workflow.Workflow[]): string[] {
+  function findVictims(running: readonly Workflow.Workflow[]): string[] {
     const claim = new Workflow.Workflow({
       ...buildWorkflow("claim", {}).spec,
       policy: TestUtils.buildAccess().queues[0],
     });
     const empty = buildWorkers(running.length, []);
-    const workers = empty.map((worker, i) => ({
-      ...worker,
-      total: { ...worker.total, accelerators: 1 },
+    const workers = empty.map((state, i) => ({
+      ...state,
+      total: { ...state.total, accelerators: 1 },
       occupants: [...running[i].tasks],
     }));
     const { stops } = plans.makePlan({
@@ -182,16 +182,16 @@
 
   vitest.it("does not yield before it had the time to tell", () => {
     const { young, old } = RAN_MS;
-    vitest.expect(findYielding([suspectOn("worker-0", young, 2)]))
+    vitest.expect(findVictims([suspectOn("worker-0", young, 2)]))
       .toEqual(["suspect"]);
-    vitest.expect(findYielding([suspectOn("worker-0", young)])).toEqual([]);
-    vitest.expect(findYielding([suspectOn("worker-0", old)]))
+    vitest.expect(findVictims([suspectOn("worker-0", young)])).toEqual([]);
+    vitest.expect(findVictims([suspectOn("worker-0", old)]))
       .toEqual(["suspect"]);
   });
 
   vitest.it("yields after all others", () => {
     const other = startOn(buildWorkflow("other", {}), "worker-1", 50_000);
     const suspect = suspectOn("worker-0", RAN_MS.old);
-    vitest.expect(findYielding([suspect, other])).toEqual(["other"]);
+    vitest.expect(findVictims([suspect, other])).toEqual(["other"]);
   });
 });
--- a/packages/workflow-scheduler/src/kept_rooms.ts
+++ b/packages/workflow-scheduler/src/kept_rooms.ts
@@ -2,45 +2,53 @@
 import type * as Workflow from "@cairngate/workflow";
 import type * as fleet from "./fleet.ts";
 import * as placement from "./placement.ts";
-import * as urgentRoom from "./urgent_room.ts";
+import * as reserveSize from "./urgent_room.ts";
 
 /** Finds places among some rooms for as many tasks of a unit as there is room for. */
-export type FindForEach = (
+export type FindPlaces = (
   unit: Workflow.Unit,
-  rooms: readonly fleet.EndpointRoom[],
-) => placement.Places;
+  endpoints: readonly fleet.Endpoint[],
+) => placement.Placement;
 
 /** What the choice is made from. */
-export interface KeptRoomsOptions {
-  readonly rooms: readonly fleet.EndpointRoom[];
+export interface UrgentReserveOptions {
+  readonly endpoints: readonly fleet.Endpoint[];
   /** Urgent work of a service as it came lately. */
-  readonly trafficOf: (service: string) => urgentRoom.UrgentTraffic;
+  readonly trafficOf: (service: string) => reserveSize.UrgentTraffic;
   /** Time that a stop takes at most, in ms. */
   readonly stopMs: number;
 }
 
 /** Endpoints that are left free, by service; chosen once in a plan. */
-export class KeptRooms {
-  readonly #options: KeptRoomsOptions;
-  readonly #kept = new Map<string, ReadonlySet<fleet.EndpointRoom>>();
+export class UrgentReserve {
+  readonly #options: UrgentReserveOptions;
+  readonly #reservedByService = new Map<
+    string,
+    ReadonlySet<fleet.Endpoint>
+  >();
 
-  constructor(options: KeptRoomsOptions) {
+  constructor(options: UrgentReserveOptions) {
     this.#options = options;
   }
 
   /** Endpoints that are left free, as far as units have asked. */
   get size(): number {
-    return [...this.#kept.values()].reduce((sum, kept) => sum + kept.size, 0);
+    return [...this.#reservedByService.values()].reduce(
+      (sum, reserved) => sum + reserved.size,
+      0,
+    );
   }
 
   /** Those of the rooms that a unit may take. */
-  openFor(
+  allowedFor(
     unit: Workflow.Unit,
-    rooms: readonly fleet.EndpointRoom[],
-  ): readonly fleet.EndpointRoom[] {
-    if (urgentRoom.mayUse(unit)) return rooms;
-    const kept = this.#of(unit.workflow.spec.policy.service);
-    return kept.size === 0 ? rooms : rooms.filter((room) => !kept.has(room));
+    endpoints: readonly fleet.Endpoint[],
+  ): readonly fleet.Endpoint[] {
+    if (reserveSize.mayUseReserve(unit)) return endpoints;
+    const reserved = this.#reservedFor(unit.workflow.spec.policy.service);
+    return reserved.size === 0
+      ? endpoints
+      : endpoints.filter((endpoint) => !reserved.has(endpoint));
   }
 
   /**
@@ -48,37 +56,46 @@
    * fills the room for urgent work first: a stop that must be strikes it, and not
    * work that would lose all.
    */
-  fill(
+  findPlaces(
     unit: Workflow.Unit,
-    rooms: readonly fleet.EndpointRoom[],
-    find: FindForEach = findAny,
-  ): placement.Places {
+    endpoints: readonly fleet.Endpoint[],
+    find: FindPlaces = findFree,
+  ): placement.Placement {
     const { priority, service } = unit.workflow.spec.policy;
-    const isCheap = priority > 0 && unit.step.checkpoints;
-    const kept = isCheap ? this.#of(service) : new Set<fleet.EndpointRoom>();
-    const first = find(unit, rooms.filter((room) => kept.has(room)));
+    const isCheapToStop = priority > 0 && unit.step.checkpoints;
+    const reserved = isCheapToStop
+      ? this.#reservedFor(service)
+      : new Set<fleet.Endpoint>();
+    const first = find(
+      unit,
+      endpoints.filter((endpoint) => reserved.has(endpoint)),
+    );
     const tasks = unit.tasks.slice(first.length);
     if (tasks.length === 0) return first;
-    const others = rooms.filter((room) => !kept.has(room));
-    return [...first, ...find({ ...unit, tasks }, others)];
+    const unreserved = endpoints.filter((endpoint) => !reserved.has(endpoint));
+    return [...first, ...find({ ...unit, tasks }, unreserved)];
   }
 
-  #of(service: string): ReadonlySet<fleet.EndpointRoom> {
-    const known = this.#kept.get(service);
-    if (known !== undefined) return known;
-    const { rooms, trafficOf, stopMs } = this.#options;
-    const own = rooms.filter(({ worker }) =>
-      worker.usable && worker.service === service
+  #reservedFor(service: string): ReadonlySet<fleet.Endpoint> {
+    const cached = this.#reservedByService.get(service);
+    if (cached !== undefined) return cached;
+    const { endpoints, trafficOf, stopMs } = this.#options;
+    const ofService = endpoints.filter(({ state }) =>
+      state.usable && state.service === service
+    );
+    const reserved = reserveSize.chooseReserved(
+      ofService,
+      trafficOf(service),
+      stopMs,
     );
-    const kept = urgentRoom.chooseRooms(own, trafficOf(service), stopMs);
-    this.#kept.set(service, kept);
-    return kept;
+    this.#reservedByService.set(service, reserved);
+    return reserved;
   }
 }
 
-function findAny(
+function findFree(
   unit: Workflow.Unit,
-  rooms: readonly fleet.EndpointRoom[],
-): placement.Places {
-  return placement.findForEach(unit, rooms, placement.freeNow);
+  endpoints: readonly fleet.Endpoint[],
+): placement.Placement {
+  return placement.findForEach(unit, endpoints, placement.freeNow);
 }
--- a/packages/workflow-scheduler/src/placement.ts
+++ b/packages/workflow-scheduler/src/placement.ts
@@ -3,45 +3,51 @@
 import * as fleet from "./fleet.ts";
 
 /** Workers of a unit's tasks, in the order of the tasks. */
-export type Places = readonly fleet.EndpointRoom[];
+export type Placement = readonly fleet.Endpoint[];
 
 /** Tells the room of a worker that a search may use. */
-export type RoomOf = (room: fleet.EndpointRoom) => Workflow.Resources;
+export type FreeOf = (
+  endpoint: fleet.Endpoint,
+) => Workflow.Resources;
 
 /** Room that is free now. */
-export const freeNow: RoomOf = (room) => room.free;
+export const freeNow: FreeOf = (endpoint) => endpoint.free;
 
 /** Room that is free once all stops have ended. */
-export const freeSoon: RoomOf = (room) => room.soon;
+export const freeAfterStops: FreeOf = (endpoint) => endpoint.freeAfterStops;
 
 /** Room that was free before this plan gave any of it away. */
-export const freeBefore: RoomOf = (room) => room.before;
+export const freeAtStart: FreeOf = (endpoint) => endpoint.freeAtStart;
 
 /** Finds the tightest places among some workers; null where there are none. */
 export function findAmong(
   unit: Workflow.Unit,
-  rooms: readonly fleet.EndpointRoom[],
-  roomOf: RoomOf,
-): Places | null {
-  const open = rooms
-    .map((room) => ({ room, fits: room.fits(unit, roomOf(room)) }))
+  endpoints: readonly fleet.Endpoint[],
+  freeOf: FreeOf,
+): Placement | null {
+  const candidates = endpoints
+    .map((endpoint) => ({
+      endpoint,
+      fits: endpoint.fits(unit, freeOf(endpoint)),
+    }))
     .filter(({ fits }) => fits > 0);
-  const sum = open.reduce((total, { fits }) => total + fits, 0);
+  const sum = candidates.reduce((total, { fits }) => total + fits, 0);
   if (sum < unit.tasks.length) return null;
-  const rackFree = freeByRack(rooms, roomOf);
-  const left = ({ room, fits }: typeof open[number]) =>
-    roomOf(room).accelerators - fits * unit.step.accelerators;
-  const slowness = slownessFor(unit);
+  const rackFree = freeByRack(endpoints, freeOf);
+  const acceleratorsLeft = ({ endpoint, fits }: typeof candidates[number]) =>
+    freeOf(endpoint).accelerators - fits * unit.step.accelerators;
+  const penalty = penaltyFor(unit);
   // Racks are filled one after another, so that whole ones stay free.
-  open.sort((a, b) =>
-    slowness(a.room) - slowness(b.room) ||
-    (rackFree.get(a.room.worker.rack) ?? 0) -
-      (rackFree.get(b.room.worker.rack) ?? 0) ||
-    left(a) - left(b) ||
-    roomOf(a.room).accelerators - roomOf(b.room).accelerators ||
-    roomOf(a.room).memoryMb - roomOf(b.room).memoryMb
+  candidates.sort((a, b) =>
+    penalty(a.endpoint) - penalty(b.endpoint) ||
+    (rackFree.get(a.endpoint.state.rack) ?? 0) -
+      (rackFree.get(b.endpoint.state.rack) ?? 0) ||
+    acceleratorsLeft(a) - acceleratorsLeft(b) ||
+    freeOf(a.endpoint).accelerators -
+      freeOf(b.endpoint).accelerators ||
+    freeOf(a.endpoint).memoryMb - freeOf(b.endpoint).memoryMb
   );
-  return takePlaces(open, unit.tasks.length);
+  return takePlaces(candidates, unit.tasks.length);
 }
 
 /**
@@ -51,44 +57,48 @@
  */
 export function findForEach(
   unit: Workflow.Unit,
-  rooms: readonly fleet.EndpointRoom[],
-  roomOf: RoomOf,
-): Places {
-  const fitting = rooms
-    .map((room) => ({ room, fits: room.fits(unit, roomOf(room)) }))
+  endpoints: readonly fleet.Endpoint[],
+  freeOf: FreeOf,
+): Placement {
+  const fitCounts = endpoints
+    .map((endpoint) => ({
+      endpoint,
+      fits: endpoint.fits(unit, freeOf(endpoint)),
+    }))
     .filter(({ fits }) => fits > 0);
-  if (fitting.length === 0) return [];
-  const rackFree = freeByRack(rooms, roomOf);
-  const slowness = slownessFor(unit);
-  const open = fitting.map(({ room, fits }) => ({
-    room,
+  if (fitCounts.length === 0) return [];
+  const rackFree = freeByRack(endpoints, freeOf);
+  const penalty = penaltyFor(unit);
+  const candidates = fitCounts.map(({ endpoint, fits }) => ({
+    endpoint,
     fits,
-    slowness: slowness(room),
-    rackFree: rackFree.get(room.worker.rack) ?? 0,
-    free: roomOf(room).accelerators,
+    penalty: penalty(endpoint),
+    rackFree: rackFree.get(endpoint.state.rack) ?? 0,
+    free: freeOf(endpoint).accelerators,
   }));
-  open.sort((a, b) =>
-    a.slowness - b.slowness || a.rackFree - b.rackFree ||
-    compareTexts(a.room.worker.rack, b.room.worker.rack) ||
-    a.free - b.free || roomOf(a.room).memoryMb - roomOf(b.room).memoryMb
+  candidates.sort((a, b) =>
+    a.penalty - b.penalty || a.rackFree - b.rackFree ||
+    compareStrings(a.endpoint.state.rack, b.endpoint.state.rack) ||
+    a.free - b.free ||
+    freeOf(a.endpoint).memoryMb - freeOf(b.endpoint).memoryMb
   );
-  return takePlaces(open, unit.tasks.length);
+  return takePlaces(candidates, unit.tasks.length);
 }
 
-function compareTexts(a: string, b: string): number {
+function compareStrings(a: string, b: string): number {
   if (a === b) return 0;
   return a < b ? -1 : 1;
 }
 
 /** The first places, in order, of rooms that each take some tasks. */
 function takePlaces(
-  open: readonly { readonly room: fleet.EndpointRoom; readonly fits: number }[],
-  most: number,
-): Places {
-  const places: fleet.EndpointRoom[] = [];
-  for (const { room, fits } of open) {
-    const count = Math.min(fits, most - places.length);
-    for (let i = 0; i < count; i++) places.push(room);
+  open: readonly { readonly endpoint: fleet.Endpoint; readonly fits: number }[],
+  maxPlaces: number,
+): Placement {
+  const places: fleet.Endpoint[] = [];
+  for (const { endpoint, fits } of open) {
+    const count = Math.min(fits, maxPlaces - places.length);
+    for (let i = 0; i < count; i++) places.push(endpoint);
   }
   return places;
 }
@@ -101,48 +111,49 @@
  * slow they are is not told; half puts them behind every warm one, whose speeds
  * differ by 0.3 at most, as far as measured.
  */
-const COLD_SPEED = 0.5;
+const COLD_SPEED_FACTOR = 0.5;
 
-/** Steps of slowness by which endpoints in doubt come after all others. */
-const IN_DOUBT = 1000;
+/** Steps of penalty by which endpoints in doubt come after all others. */
+const UNRELIABLE_PENALTY = 1000;
 /**
  * The same for endpoints on which nothing has run well lately, for work that has
  * failed before: the next failure may be its last.
  */
-const UNPROVEN = 100;
+const UNPROVEN_PENALTY = 100;
 
 /**
  * Urgent work takes the fast workers first and other work the slow ones, because
  * it has more time.
  */
-function slownessFor(
+function penaltyFor(
   unit: Workflow.Unit,
-): (room: fleet.EndpointRoom) => number {
+): (endpoint: fleet.Endpoint) => number {
   const isUrgent = unit.workflow.spec.policy.priority === 0;
   const sign = isUrgent ? -1 : 1;
   const hasFailed = unit.tasks.some(({ failures }) => failures > 0);
-  const doubtOf = ({ isDoubted, isProven }: fleet.WorkerState) => {
-    if (isDoubted === true) return IN_DOUBT;
-    return hasFailed && isProven !== true ? UNPROVEN : 0;
+  const reliabilityPenaltyOf = ({ isDoubted, isProven }: fleet.WorkerState) => {
+    if (isDoubted === true) return UNRELIABLE_PENALTY;
+    return hasFailed && isProven !== true ? UNPROVEN_PENALTY : 0;
   };
-  return ({ worker }) =>
-    doubtOf(worker) + sign * Math.round((speedNow(worker) - 1) / SPEED_STEP);
+  return ({ state }) =>
+    reliabilityPenaltyOf(state) +
+    sign * Math.round((currentSpeed(state) - 1) / SPEED_STEP);
 }
 
 /** Speed as it is now; one that has just come up is slower than it will be. */
-export function speedNow({ speed, isCold }: fleet.WorkerState): number {
-  return isCold === true ? speed * COLD_SPEED : speed;
+export function currentSpeed({ speed, isCold }: fleet.WorkerState): number {
+  return isCold === true ? speed * COLD_SPEED_FACTOR : speed;
 }
 
 /** Free accelerators of each rack. */
 function freeByRack(
-  rooms: readonly fleet.EndpointRoom[],
-  roomOf: RoomOf,
+  endpoints: readonly fleet.Endpoint[],
+  freeOf: FreeOf,
 ): Map<string, number> {
   const free = new Map<string, number>();
-  for (const room of rooms) {
-    const { rack } = room.worker;
-    free.set(rack, (free.get(rack) ?? 0) + roomOf(room).accelerators);
+  for (const endpoint of endpoints) {
+    const { rack } = endpoint.state;
+    free.set(rack, (free.get(rack) ?? 0) + freeOf(endpoint).accelerators);
   }
   return free;
 }
@@ -150,19 +161,20 @@
 /** Finds places within one rack: the wanted one, else the tightest. */
 export function findInOneRack(
   unit: Workflow.Unit,
-  rooms: readonly fleet.EndpointRoom[],
-  roomOf: RoomOf,
-): Places | null {
-  const slowness = slownessFor(unit);
-  let best: { places: Places; slowest: number; free: number } | null = null;
-  for (const rack of groupByRack(rooms).values()) {
-    const places = findAmong(unit, rack, roomOf);
+  endpoints: readonly fleet.Endpoint[],
+  freeOf: FreeOf,
+): Placement | null {
+  const penalty = penaltyFor(unit);
+  let best: { places: Placement; worstPenalty: number; free: number } | null =
+    null;
+  for (const rack of groupByRack(endpoints).values()) {
+    const places = findAmong(unit, rack, freeOf);
     if (places === null) continue;
-    const free = rack.reduce((sum, r) => sum + roomOf(r).accelerators, 0);
-    const slowest = Math.max(...places.map(slowness));
-    const isBetter = best === null || slowest < best.slowest ||
-      (slowest === best.slowest && free < best.free);
-    if (isBetter) best = { places, slowest, free };
+    const free = rack.reduce((sum, r) => sum + freeOf(r).accelerators, 0);
+    const worstPenalty = Math.max(...places.map(penalty));
+    const isBetter = best === null || worstPenalty < best.worstPenalty ||
+      (worstPenalty === best.worstPenalty && free < best.free);
+    if (isBetter) best = { places, worstPenalty, free };
   }
   return best?.places ?? null;
 }
@@ -173,44 +185,44 @@
 }
 
 /** Workers where a unit runs at full speed. */
-export function nearWorkers(
+export function endpointsNearData(
   unit: Workflow.Unit,
-  rooms: readonly fleet.EndpointRoom[],
-): readonly fleet.EndpointRoom[] {
+  endpoints: readonly fleet.Endpoint[],
+): readonly fleet.Endpoint[] {
   const { rack } = unit.step;
-  if (rack === null) return rooms;
-  return rooms.filter((room) => room.worker.rack === rack);
+  if (rack === null) return endpoints;
+  return endpoints.filter((endpoint) => endpoint.state.rack === rack);
 }
 
 /** Finds places where the unit runs at full speed. */
 export function findNear(
   unit: Workflow.Unit,
-  rooms: readonly fleet.EndpointRoom[],
-  roomOf: RoomOf,
-): Places | null {
-  const near = nearWorkers(unit, rooms);
+  endpoints: readonly fleet.Endpoint[],
+  freeOf: FreeOf,
+): Placement | null {
+  const near = endpointsNearData(unit, endpoints);
   return wantsOneRack(unit)
-    ? findInOneRack(unit, near, roomOf)
-    : findAmong(unit, near, roomOf);
+    ? findInOneRack(unit, near, freeOf)
+    : findAmong(unit, near, freeOf);
 }
 
 /** Whether the unit would run at full speed on empty workers. */
-export function couldBeNear(
+export function couldFitNear(
   unit: Workflow.Unit,
-  rooms: readonly fleet.EndpointRoom[],
+  endpoints: readonly fleet.Endpoint[],
 ): boolean {
-  return findNear(unit, rooms, (room) => room.worker.total) !== null;
+  return findNear(unit, endpoints, (endpoint) => endpoint.state.total) !== null;
 }
 
 /** Workers by rack. */
 export function groupByRack(
-  rooms: readonly fleet.EndpointRoom[],
-): Map<string, fleet.EndpointRoom[]> {
-  const racks = new Map<string, fleet.EndpointRoom[]>();
-  for (const room of rooms) {
-    const rack = racks.get(room.worker.rack);
-    if (rack === undefined) racks.set(room.worker.rack, [room]);
-    else rack.push(room);
+  endpoints: readonly fleet.Endpoint[],
+): Map<string, fleet.Endpoint[]> {
+  const racks = new Map<string, fleet.Endpoint[]>();
+  for (const endpoint of endpoints) {
+    const rack = racks.get(endpoint.state.rack);
+    if (rack === undefined) racks.set(endpoint.state.rack, [endpoint]);
+    else rack.push(endpoint);
   }
   return racks;
 }
--- a/packages/workflow-scheduler/src/plan_data.ts
+++ b/packages/workflow-scheduler/src/plan_data.ts
@@ -1,11 +1,11 @@
 /** What goes into a plan and what comes out of it, as plain data. */
 import type * as Workflow from "@cairngate/workflow";
-import type * as outlooks from "./expected_run.ts";
+import type * as estimates from "./expected_run.ts";
 import type * as fleet from "./fleet.ts";
 import type * as hardLoads from "./hard_load.ts";
 import type * as slowPlaces from "./slow_place.ts";
 import type * as teamShares from "./team_shares.ts";
-import type * as urgentRoom from "./urgent_room.ts";
+import type * as reserveSize from "./urgent_room.ts";
 import type * as waiting from "./wait_reason.ts";
 
 /** What a plan is made from. */
@@ -25,9 +25,9 @@
   /** Time that a stop takes at most, in ms; left out: none. */
   readonly stopMs?: number;
   /** Urgent work of a service as it came lately; left out: none. */
-  readonly urgentTraffic?: (service: string) => urgentRoom.UrgentTraffic;
+  readonly urgentTraffic?: (service: string) => reserveSize.UrgentTraffic;
   /** What runs of each queue took against their estimates; left out: as estimated. */
-  readonly corrections?: outlooks.Corrections;
+  readonly corrections?: estimates.Corrections;
   /** What teams have had; counts only where teams compete. Left out: not known. */
   readonly shares?: teamShares.TeamShares;
 }
--- a/packages/workflow-scheduler/src/plan_growth_test.ts
+++ b/packages/workflow-scheduler/src/plan_growth_test.ts
@@ -9,7 +9,7 @@
 /** Tasks of the step, one accelerator each: about what the users' batches have. */
 const TASKS = 40;
 /** Looks at each endpoint that a plan for one step may take. */
-const MOST_LOOKS = 4;
+const MAX_READS_PER_ENDPOINT = 4;
 
 function buildWorkflow(gang: boolean): Workflow.Workflow {
   const step = Workflow.createStep({
@@ -40,8 +40,8 @@
 }
 
 /** Looks at each endpoint, on average, while a plan is made. */
-function countLooks(gang: boolean): number {
-  let looks = 0;
+function countReads(gang: boolean): number {
+  let reads = 0;
   const workers = Array.from({ length: ENDPOINTS }, (_, i) => ({
     id: `i-${i}`,
     service: "analysis",
@@ -50,7 +50,7 @@
     labels: new Set(["a"]),
     total: { cpuMillis: 64_000, memoryMb: 64_000, accelerators: 8 },
     get usable(): boolean {
-      looks++;
+      reads++;
       return true;
     },
     speed: 1,
@@ -67,28 +67,30 @@
   });
   const started = plan.starts.flatMap((start) => start.workers);
   vitest.expect(started).toHaveLength(TASKS);
-  return looks / ENDPOINTS;
+  return reads / ENDPOINTS;
 }
 
 vitest.describe("a plan for many tasks of one step", () => {
   vitest.it("looks at each endpoint a few times for a gang", () => {
-    vitest.expect(countLooks(true)).toBeLessThanOrEqual(MOST_LOOKS);
+    vitest.expect(countReads(true)).toBeLessThanOrEqual(MAX_READS_PER_ENDPOINT);
   });
 
   vitest.it("looks at each endpoint a few times for single tasks", () => {
-    vitest.expect(countLooks(false)).toBeLessThanOrEqual(MOST_LOOKS);
+    vitest.expect(countReads(false)).toBeLessThanOrEqual(
+      MAX_READS_PER_ENDPOINT,
+    );
   });
 });
 
 /** Endpoints of one gang for which others yield. */
-const GANG = 32;
+const GANG_SIZE = 32;
 /** Looks at what runs on each endpoint that a plan for such a gang may take. */
-const MOST_VICTIM_LOOKS = 12;
+const MAX_VICTIM_READS_PER_ENDPOINT = 12;
 
 /** Looks at what runs on each endpoint while an urgent gang makes others yield. */
-function countVictimLooks(): number {
-  let looks = 0;
-  const lesser = Array.from({ length: ENDPOINTS }, (_, i) => {
+function countVictimReads(): number {
+  let reads = 0;
+  const ordinary = Array.from({ length: ENDPOINTS }, (_, i) => {
     const workflow = new Workflow.Workflow({
       ...buildWorkflow(false).spec,
       id: `lesser-${i}`,
@@ -99,7 +101,7 @@
     task.state = Workflow.TaskState.Running;
     return { workflow, task };
   });
-  const workers = lesser.map(({ task }, i) => ({
+  const workers = ordinary.map(({ task }, i) => ({
     id: `i-${i}`,
     service: "analysis",
     dataCentre: "dc-1",
@@ -109,7 +111,7 @@
     usable: true,
     speed: 1,
     get occupants() {
-      looks++;
+      reads++;
       return [task];
     },
   }));
@@ -117,23 +119,27 @@
   const urgent = new Workflow.Workflow({
     ...buildWorkflow(true).spec,
     policy,
-    steps: [TestUtils.buildStep({ count: GANG, gang: true, accelerators: 8 })],
+    steps: [
+      TestUtils.buildStep({ count: GANG_SIZE, gang: true, accelerators: 8 }),
+    ],
   });
   const plan = plans.makePlan({
     workers,
-    workflows: [...lesser.map(({ workflow }) => workflow), urgent],
+    workflows: [...ordinary.map(({ workflow }) => workflow), urgent],
     guarantees: new Map([["hana", 8 * ENDPOINTS]]),
     nowMs: 0,
     wallMs: 0,
     remotePenalty: 3,
     isAdvised: () => true,
   });
-  vitest.expect(plan.stops).toHaveLength(GANG);
-  return looks / ENDPOINTS;
+  vitest.expect(plan.stops).toHaveLength(GANG_SIZE);
+  return reads / ENDPOINTS;
 }
 
 vitest.describe("a plan for an urgent gang on a full fleet", () => {
   vitest.it("looks at what runs on each endpoint a few times", () => {
-    vitest.expect(countVictimLooks()).toBeLessThanOrEqual(MOST_VICTIM_LOOKS);
+    vitest.expect(countVictimReads()).toBeLessThanOrEqual(
+      MAX_VICTIM_READS_PER_ENDPOINT,
+    );
   });
 });
--- a/packages/workflow-scheduler/src/plan_speeds_test.ts
+++ b/packages/workflow-scheduler/src/plan_speeds_test.ts
@@ -40,23 +40,25 @@
   });
 }
 
-interface Given {
+interface EndpointOptions {
   readonly speed: number;
   /** Time since which ordinary work runs there; left out: it is free. */
-  readonly busyMs?: number;
+  readonly ranMs?: number;
   /** Time until that ends by its pace. */
-  readonly leftMs?: number;
+  readonly remainingMs?: number;
 }
 
 const NOW_MS = 10_000;
 
-function buildEndpoints(given: readonly Given[]): fleet.WorkerState[] {
-  return given.map(({ speed, busyMs, leftMs }, i) => {
-    const beside = buildWorkflow(2, { estimateMs: 20_000 });
-    for (const task of beside.tasks) {
-      task.place(`endpoint-${i}`, 1, NOW_MS - (busyMs ?? 0));
+function buildEndpoints(
+  endpointOptions: readonly EndpointOptions[],
+): fleet.WorkerState[] {
+  return endpointOptions.map(({ speed, ranMs, remainingMs }, i) => {
+    const ordinary = buildWorkflow(2, { estimateMs: 20_000 });
+    for (const task of ordinary.tasks) {
+      task.place(`endpoint-${i}`, 1, NOW_MS - (ranMs ?? 0));
       task.state = Workflow.TaskState.Running;
-      if (leftMs !== undefined) task.endsAtMs = NOW_MS + leftMs;
+      if (remainingMs !== undefined) task.endsAtMs = NOW_MS + remainingMs;
     }
     return {
       id: `endpoint-${i}`,
@@ -67,7 +69,7 @@
       total: { cpuMillis: 64_000, memoryMb: 64_000, accelerators: 1 },
       usable: true,
       speed,
-      occupants: busyMs === undefined ? [] : [...beside.tasks],
+      occupants: ranMs === undefined ? [] : [...ordinary.tasks],
     };
   });
 }
@@ -90,79 +92,87 @@
   });
 }
 
-const stopped = (made: plans.Plan) => made.stops.map(({ task }) => task.worker);
-const started = (made: plans.Plan) =>
-  made.starts.flatMap(({ workers }) => [...workers]).sort();
+const stoppedOn = (result: plans.Plan) =>
+  result.stops.map(({ task }) => task.worker);
+const startedOn = (result: plans.Plan) =>
+  result.starts.flatMap(({ workers }) => [...workers]).sort();
 
 vitest.describe("urgent work on uneven endpoints", () => {
   vitest.it("makes room where it ends in time, though that costs more", () => {
     const endpoints = buildEndpoints([
-      { speed: SLOW, busyMs: 100 },
-      { speed: FAST, busyMs: 900 },
+      { speed: SLOW, ranMs: 100 },
+      { speed: FAST, ranMs: 900 },
     ]);
     const urgent = buildWorkflow(0, {});
-    vitest.expect(stopped(plan(endpoints, urgent))).toEqual(["endpoint-1"]);
+    vitest.expect(stoppedOn(plan(endpoints, urgent))).toEqual(["endpoint-1"]);
     // Where endpoints are taken for alike, the cheapest room is made.
     const even = { hardLoad: hardLoads.NO_HARD_LOAD };
-    vitest.expect(stopped(plan(endpoints, urgent, even)))
+    vitest.expect(stoppedOn(plan(endpoints, urgent, even)))
       .toEqual(["endpoint-0"]);
   });
 
   vitest.it("makes room rather than start where it would be late", () => {
     const endpoints = buildEndpoints([
       { speed: SLOW },
-      { speed: FAST, busyMs: 100 },
+      { speed: FAST, ranMs: 100 },
     ]);
-    const made = plan(endpoints, buildWorkflow(0, {}));
-    vitest.expect(started(made)).toEqual([]);
-    vitest.expect(stopped(made)).toEqual(["endpoint-1"]);
+    const result = plan(endpoints, buildWorkflow(0, {}));
+    vitest.expect(startedOn(result)).toEqual([]);
+    vitest.expect(stoppedOn(result)).toEqual(["endpoint-1"]);
     // Others would lose more than the gang brings.
-    const dear = buildEndpoints([
+    const expensive = buildEndpoints([
       { speed: SLOW },
-      { speed: FAST, busyMs: 2000 },
+      { speed: FAST, ranMs: 2000 },
     ]);
-    const spared = plan(dear, buildWorkflow(0, {}));
-    vitest.expect([started(spared), stopped(spared)])
+    const spared = plan(expensive, buildWorkflow(0, {}));
+    vitest.expect([startedOn(spared), stoppedOn(spared)])
       .toEqual([["endpoint-0"], []]);
   });
 
   vitest.it("takes slow room if its guarantee has waited for stops", () => {
     const endpoints = buildEndpoints([
       { speed: SLOW },
-      { speed: FAST, busyMs: 100 },
+      { speed: FAST, ranMs: 100 },
     ]);
     const patient = () => buildWorkflow(0, { estimateMs: 20_000 });
     const soon = plan(endpoints, patient(), { wallMs: 900 });
-    vitest.expect(started(soon)).toEqual([]);
+    vitest.expect(startedOn(soon)).toEqual([]);
     const later = plan(endpoints, patient(), { wallMs: 1100 });
-    vitest.expect(started(later)).toEqual(["endpoint-0"]);
-    vitest.expect(stopped(later)).toEqual([]);
+    vitest.expect(startedOn(later)).toEqual(["endpoint-0"]);
+    vitest.expect(stoppedOn(later)).toEqual([]);
   });
 
   vitest.it("takes slow room where a clock says it is yet to come", () => {
     // The box that accepted it is ahead: a guarantee would hold out for that longer.
     const endpoints = buildEndpoints([
       { speed: SLOW },
-      { speed: FAST, busyMs: 100 },
+      { speed: FAST, ranMs: 100 },
     ]);
     const patient = buildWorkflow(0, { estimateMs: 20_000 });
-    const made = plan(endpoints, patient, { wallMs: -1000 });
-    vitest.expect(started(made)).toEqual(["endpoint-0"]);
+    const result = plan(endpoints, patient, { wallMs: -1000 });
+    vitest.expect(startedOn(result)).toEqual(["endpoint-0"]);
   });
 
   vitest.it("takes slow room where nothing faster is to be had", () => {
     const endpoints = buildEndpoints([{ speed: SLOW }]);
-    vitest.expect(started(plan(endpoints, buildWorkflow(0, {}))))
+    vitest.expect(startedOn(plan(endpoints, buildWorkflow(0, {}))))
       .toEqual(["endpoint-0"]);
   });
 
   vitest.it("is told of with the reason where it starts to be late", () => {
-    const reasonsOf = (given: readonly Given[], wallMs: number) => {
+    const reasonsOf = (
+      endpointOptions: readonly EndpointOptions[],
+      wallMs: number,
+    ) => {
       const options = { guarantees: new Map<string, number>(), wallMs };
-      const made = plan(buildEndpoints(given), buildWorkflow(0, {}), options);
-      return made.starts.map(({ slow }) => slow);
+      const result = plan(
+        buildEndpoints(endpointOptions),
+        buildWorkflow(0, {}),
+        options,
+      );
+      return result.starts.map(({ slow }) => slow);
     };
-    const taken = [{ speed: SLOW }, { speed: FAST, busyMs: 100 }];
+    const taken = [{ speed: SLOW }, { speed: FAST, ranMs: 100 }];
     vitest.expect(reasonsOf(taken, 2000)).toEqual(["taken"]);
     vitest.expect(reasonsOf([{ speed: FAST }], 20_000)).toEqual(["too-late"]);
     vitest.expect(reasonsOf([{ speed: FAST }], 0)).toEqual([undefined]);
@@ -171,24 +181,24 @@
   vitest.it("begins at once where no endpoint can be fast enough", () => {
     const endpoints = buildEndpoints([
       { speed: SLOW },
-      { speed: FAST, busyMs: 100 },
+      { speed: FAST, ranMs: 100 },
     ]);
     const late = { wallMs: 20_000 };
-    vitest.expect(started(plan(endpoints, buildWorkflow(0, {}), late)))
+    vitest.expect(startedOn(plan(endpoints, buildWorkflow(0, {}), late)))
       .toEqual(["endpoint-0"]);
   });
 
   vitest.it("waits for a fast endpoint that is free in time", () => {
     const endpoints = buildEndpoints([
       { speed: SLOW },
-      { speed: FAST, busyMs: 5000, leftMs: 300 },
+      { speed: FAST, ranMs: 5000, remainingMs: 300 },
     ]);
     const noGuarantee = { guarantees: new Map<string, number>() };
-    const made = plan(endpoints, buildWorkflow(0, {}), noGuarantee);
-    vitest.expect([started(made), stopped(made)]).toEqual([[], []]);
+    const result = plan(endpoints, buildWorkflow(0, {}), noGuarantee);
+    vitest.expect([startedOn(result), stoppedOn(result)]).toEqual([[], []]);
     // A guarantee is for room at once.
     const guaranteed = plan(endpoints, buildWorkflow(0, {}));
-    vitest.expect(started(guaranteed)).toEqual(["endpoint-0"]);
+    vitest.expect(startedOn(guaranteed)).toEqual(["endpoint-0"]);
   });
 });
 
@@ -196,7 +206,7 @@
   vitest.it("keep fast endpoints out of the company of slow ones", () => {
     const speeds = [FAST, 1, FAST, 1, 1].map((speed) => ({ speed }));
     const gang = buildWorkflow(0, { count: 3, gang: true });
-    vitest.expect(started(plan(buildEndpoints(speeds), gang)))
+    vitest.expect(startedOn(plan(buildEndpoints(speeds), gang)))
       .toEqual(["endpoint-1", "endpoint-3", "endpoint-4"]);
   });
 
@@ -204,13 +214,13 @@
     const speeds = [FAST, SLOW, FAST, SLOW, FAST].map((speed) => ({ speed }));
     const patient = { count: 2, gang: true, estimateMs: 100 };
     vitest.expect(
-      started(plan(buildEndpoints(speeds), buildWorkflow(1, patient))),
+      startedOn(plan(buildEndpoints(speeds), buildWorkflow(1, patient))),
     )
       .toEqual(["endpoint-1", "endpoint-3"]);
     // What would end late there goes to faster ones.
     const pressed = { count: 2, gang: true, estimateMs: 10_000 };
     vitest.expect(
-      started(plan(buildEndpoints(speeds), buildWorkflow(1, pressed))),
+      startedOn(plan(buildEndpoints(speeds), buildWorkflow(1, pressed))),
     )
       .toEqual(["endpoint-0", "endpoint-2"]);
   });
@@ -239,13 +249,15 @@
   vitest.it("count as alike where the load does not call for more", () => {
     fc.assert(fc.property(speeds, fc.integer({ min: 0, max: 2 }), (all, p) => {
       const endpoints = buildEndpoints(all.map((speed) => ({ speed })));
-      const tell = (options: Partial<plans.PlanInput>) => {
-        const made = plan(endpoints, buildWorkflow(p, { count: 2 }), options);
-        return [started(made), stopped(made)];
+      const decisionsOf = (options: Partial<plans.PlanInput>) => {
+        const result = plan(endpoints, buildWorkflow(p, { count: 2 }), options);
+        return [startedOn(result), stoppedOn(result)];
       };
       const corrections = new Map([["analysis", 2]]);
-      vitest.expect(tell({ hardLoad: hardLoads.NO_HARD_LOAD, corrections }))
-        .toEqual(tell({ hardLoad: undefined }));
+      vitest.expect(
+        decisionsOf({ hardLoad: hardLoads.NO_HARD_LOAD, corrections }),
+      )
+        .toEqual(decisionsOf({ hardLoad: undefined }));
     }));
   });
 });
--- a/packages/workflow-scheduler/src/plan_test.ts
+++ b/packages/workflow-scheduler/src/plan_test.ts
@@ -126,13 +126,13 @@
 
   vitest.it("lets urgent work make other work yield, cheapest first", () => {
     const cheap = buildWorkflow({ priority: 2, step: { checkpoints: true } });
-    const dear = buildWorkflow({ priority: 2 });
+    const expensive = buildWorkflow({ priority: 2 });
     const workers = buildWorkers([1, 1], {
-      0: run(dear, "worker-0"),
+      0: run(expensive, "worker-0"),
       1: run(cheap, "worker-1"),
     });
     const urgent = buildWorkflow({ priority: 0 });
-    const { starts, stops } = plan(workers, [dear, cheap, urgent]);
+    const { starts, stops } = plan(workers, [expensive, cheap, urgent]);
     vitest.expect(starts).toEqual([]);
     vitest.expect(stops.map(({ task }) => task)).toEqual(cheap.rounds[0][0]);
     vitest.expect(stops[0].claimant.workflow).toBe(urgent);
@@ -229,8 +229,8 @@
   vitest.it("holds to labels and to limits per worker", () => {
     const labelled = buildWorkflow({ step: { label: "b" } });
     vitest.expect(plan(buildWorkers([4]), [labelled]).starts).toEqual([]);
-    const apart = buildWorkflow({ step: { count: 3, perWorker: 1 } });
-    const { starts } = plan(buildWorkers([4, 4]), [apart]);
+    const spread = buildWorkflow({ step: { count: 3, perWorker: 1 } });
+    const { starts } = plan(buildWorkers([4, 4]), [spread]);
     vitest.expect(starts.length).toBe(2);
   });
 
--- a/packages/workflow-scheduler/src/rank.ts
+++ b/packages/workflow-scheduler/src/rank.ts
@@ -50,8 +50,10 @@
 
 /** Most accelerators that one step of a workflow uses at once. */
 export function acceleratorsOf(workflow: Workflow.Workflow): number {
-  const needs = workflow.spec.steps.map((s) => s.count * s.accelerators);
-  return Math.max(0, ...needs);
+  const acceleratorCounts = workflow.spec.steps.map((s) =>
+    s.count * s.accelerators
+  );
+  return Math.max(0, ...acceleratorCounts);
 }
 
 /** What a unit that starts now can still reach. */
@@ -80,15 +82,15 @@
 }
 
 /** Time that is left until a unit has to have ended to reach so much, in ms. */
-export function leftMs(
+export function timeToDeadlineMs(
   unit: Workflow.Unit,
   wallMs: number,
-  hope: Hope,
+  outcome: Hope,
 ): number {
   const { spec } = unit.workflow;
   const dueMs = Workflow.dueAtMs(spec, unit.round);
   const allowedMs = Workflow.objectiveAtMs(spec, unit.round) - dueMs;
-  const factor = hope === Hope.InTime ? 1 : LATE_FACTOR;
+  const factor = outcome === Hope.InTime ? 1 : LATE_FACTOR;
   return dueMs + allowedMs * factor - wallMs;
 }
 
@@ -96,7 +98,7 @@
  * Time that a unit may still wait without reaching less: until it would miss its
  * objective, or, where it has, the time after which its end is of no use.
  */
-export function spareMs(unit: Workflow.Unit, wallMs: number): number {
+export function slackMs(unit: Workflow.Unit, wallMs: number): number {
   const { spec } = unit.workflow;
   const dueMs = Workflow.dueAtMs(spec, unit.round);
   const allowedMs = Workflow.objectiveAtMs(spec, unit.round) - dueMs;
@@ -106,7 +108,7 @@
 }
 
 /** Units in the order in which they are decided for. */
-export interface Sorted {
+export interface SortedUnits {
   readonly units: readonly Workflow.Unit[];
   /** Those behind others with a later objective, as their teams have had more. */
   readonly passedOver: ReadonlySet<Workflow.Unit>;
@@ -128,23 +130,23 @@
 export function sortUnits(
   units: readonly Workflow.Unit[],
   ranks: Ranks,
-  now: SortContext,
-): Sorted {
-  const { wallMs, shares } = now;
-  const reaches = now.hopeOf ?? ((unit) => hopeOf(unit, wallMs));
+  context: SortContext,
+): SortedUnits {
+  const { wallMs, shares } = context;
+  const outcomeOf = context.hopeOf ?? ((unit) => hopeOf(unit, wallMs));
   const keyed = units.map((unit) => ({
     unit,
     rank: ranks.of(unit.workflow),
-    hope: reaches(unit),
-    turn: shares === null ? 0 : shareOrder.turnOf(unit, wallMs, shares),
+    outcome: outcomeOf(unit),
+    level: shares === null ? 0 : shareOrder.shareLevelOf(unit, wallMs, shares),
     objectiveMs: Workflow.objectiveAtMs(unit.workflow.spec, unit.round),
   }));
   keyed.sort((a, b) =>
-    a.rank - b.rank || a.hope - b.hope || a.turn - b.turn ||
+    a.rank - b.rank || a.outcome - b.outcome || a.level - b.level ||
     a.objectiveMs - b.objectiveMs || a.unit.stepIndex - b.unit.stepIndex
   );
   return {
     units: keyed.map(({ unit }) => unit),
-    passedOver: shares === null ? new Set() : shareOrder.passedOver(keyed),
+    passedOver: shares === null ? new Set() : shareOrder.findPassedOver(keyed),
   };
 }
--- a/packages/workflow-scheduler/src/reservation.ts
+++ b/packages/workflow-scheduler/src/reservation.ts
@@ -7,22 +7,22 @@
 import * as placement from "./placement.ts";
 
 /** A run that is late by its estimate ends, we guess, after this time. */
-const OVERDUE_MS = 500;
+const OVERDUE_ALLOWANCE_MS = 500;
 
-interface Ending {
-  readonly room: fleet.EndpointRoom;
+interface RunEnd {
+  readonly endpoint: fleet.Endpoint;
   readonly task: Workflow.Task;
   readonly atMs: number;
 }
 
 /** Places and when they are free. */
 export interface Reservation {
-  readonly places: placement.Places;
+  readonly places: placement.Placement;
   readonly atMs: number;
 }
 
 /** What the ends of runs are guessed by. */
-export interface EndingContext {
+export interface RunEndContext {
   readonly nowMs: number;
   /** Time that a run takes, as far as it is not told by its pace. */
   readonly runMs: (task: Workflow.Task) => number;
@@ -31,10 +31,10 @@
 /** The places that are free first; null where the unit fits nowhere. */
 export function findEarliest(
   unit: Workflow.Unit,
-  rooms: readonly fleet.EndpointRoom[],
-  context: EndingContext,
+  endpoints: readonly fleet.Endpoint[],
+  context: RunEndContext,
 ): Reservation | null {
-  const near = placement.nearWorkers(unit, rooms);
+  const near = placement.endpointsNearData(unit, endpoints);
   if (!placement.wantsOneRack(unit)) {
     return searchAmong(unit, near, context);
   }
@@ -50,43 +50,49 @@
 /** Lets runs end one after another until the unit fits. */
 function searchAmong(
   unit: Workflow.Unit,
-  rooms: readonly fleet.EndpointRoom[],
-  context: EndingContext,
+  endpoints: readonly fleet.Endpoint[],
+  context: RunEndContext,
 ): Reservation | null {
-  if (placement.findAmong(unit, rooms, (r) => r.worker.total) === null) {
+  if (placement.findAmong(unit, endpoints, (r) => r.state.total) === null) {
     return null;
   }
-  const amounts = new Map(rooms.map((room) => [room, { ...room.soon }]));
-  const roomOf = (room: fleet.EndpointRoom) => amounts.get(room) ?? room.soon;
-  for (const { room, task, atMs } of listEndings(rooms, context)) {
-    const amount = amounts.get(room);
-    if (amount !== undefined) fleet.give(amount, task.step);
-    const places = placement.findAmong(unit, rooms, roomOf);
+  const freeByEndpoint = new Map(
+    endpoints.map((endpoint) => [endpoint, { ...endpoint.freeAfterStops }]),
+  );
+  const freeOf = (endpoint: fleet.Endpoint) =>
+    freeByEndpoint.get(endpoint) ?? endpoint.freeAfterStops;
+  for (const { endpoint, task, atMs } of listRunEnds(endpoints, context)) {
+    const free = freeByEndpoint.get(endpoint);
+    if (free !== undefined) fleet.addTask(free, task.step);
+    const places = placement.findAmong(unit, endpoints, freeOf);
     if (places !== null) return { places, atMs };
   }
   return null;
 }
 
 /** When a run ends by its pace, or else by the time that runs take. */
-function endOf(task: Workflow.Task, { nowMs, runMs }: EndingContext): number {
+function expectedEndMs(
+  task: Workflow.Task,
+  { nowMs, runMs }: RunEndContext,
+): number {
   if (task.endsAtMs !== null) return Math.max(task.endsAtMs, nowMs);
-  const expectedMs = task.startedAtMs + runMs(task);
-  return Math.max(expectedMs, nowMs + OVERDUE_MS);
+  const estimatedEndMs = task.startedAtMs + runMs(task);
+  return Math.max(estimatedEndMs, nowMs + OVERDUE_ALLOWANCE_MS);
 }
 
-function listEndings(
-  rooms: readonly fleet.EndpointRoom[],
-  context: EndingContext,
-): Ending[] {
-  const endings: Ending[] = [];
-  for (const room of rooms) {
-    for (const task of room.worker.occupants) {
+function listRunEnds(
+  endpoints: readonly fleet.Endpoint[],
+  context: RunEndContext,
+): RunEnd[] {
+  const runEnds: RunEnd[] = [];
+  for (const endpoint of endpoints) {
+    for (const task of endpoint.state.occupants) {
       if (task.state === Workflow.TaskState.Stopping) continue;
       // The members of a gang end together.
       const group = task.step.gang ? task.workflow.siblings(task) : [task];
-      const ends = group.map((member) => endOf(member, context));
-      endings.push({ room, task, atMs: Math.max(...ends) });
+      const endTimesMs = group.map((member) => expectedEndMs(member, context));
+      runEnds.push({ endpoint, task, atMs: Math.max(...endTimesMs) });
     }
   }
-  return endings.sort((a, b) => a.atMs - b.atMs);
+  return runEnds.sort((a, b) => a.atMs - b.atMs);
 }
--- a/packages/workflow-scheduler/src/retry_pause_test.ts
+++ b/packages/workflow-scheduler/src/retry_pause_test.ts
@@ -29,9 +29,11 @@
   return workflow.readyUnits(0)[0];
 }
 
-function buildRooms(doubted: readonly boolean[]): fleet.EndpointRoom[] {
-  return doubted.map((isDoubted, i) =>
-    new fleet.EndpointRoom({
+function buildEndpoints(
+  unreliable: readonly boolean[],
+): fleet.Endpoint[] {
+  return unreliable.map((isDoubted, i) =>
+    new fleet.Endpoint({
       id: `worker-${i}`,
       service: "analysis",
       dataCentre: "dc-1",
@@ -78,19 +80,21 @@
 });
 
 vitest.describe("endpoints in doubt", () => {
-  const rooms = buildRooms([true, false, false]);
+  const endpoints = buildEndpoints([true, false, false]);
   const idsFor = (unit: Workflow.Unit, nowMs: number) =>
-    retry.roomsWithoutDoubt(unit, rooms, nowMs).map(({ worker }) => worker.id);
+    retry.withoutUnreliable(unit, endpoints, nowMs).map(({ state }) =>
+      state.id
+    );
 
   vitest.it("are open to work that has not failed, for one run each", () => {
     const unit = buildUnit({ failures: 0, failedAtMs: -Infinity });
     vitest.expect(idsFor(unit, 0)).toContain("worker-0");
-    const [room] = rooms;
+    const [endpoint] = endpoints;
     const wide = {
       ...unit,
       tasks: Array.from({ length: 8 }, () => unit.tasks[0]),
     };
-    vitest.expect(room.fits(wide, room.free)).toBe(1);
+    vitest.expect(endpoint.fits(wide, endpoint.free)).toBe(1);
   });
 
   vitest.it("get no work for 2.5 s after it has failed", () => {
@@ -107,7 +111,7 @@
 
   vitest.it("get it after 2.5 s where most of the fleet is in doubt", () => {
     const unit = buildUnit({ failures: 2, failedAtMs: 0 });
-    const most = buildRooms([true, true, false]);
-    vitest.expect(retry.roomsWithoutDoubt(unit, most, 2600)).toHaveLength(3);
+    const most = buildEndpoints([true, true, false]);
+    vitest.expect(retry.withoutUnreliable(unit, most, 2600)).toHaveLength(3);
   });
 });
--- a/packages/workflow-scheduler/src/share_order_test.ts
+++ b/packages/workflow-scheduler/src/share_order_test.ts
@@ -11,9 +11,9 @@
 
 const { ShareLevel } = teamShares;
 const TEAMS = ["a", "b", "c"];
-const COMPETING = { teamsCompete: true, endpointsDiffer: false };
+const TEAMS_COMPETE = { teamsCompete: true, endpointsDiffer: false };
 
-interface Asked {
+interface WorkflowOptions {
   readonly tenant: string;
   readonly priority: number;
   readonly acceptedAtMs: number;
@@ -22,15 +22,15 @@
 
 let ids = 0;
 
-function buildWorkflow(asked: Partial<Asked>): Workflow.Workflow {
+function buildWorkflow(options: Partial<WorkflowOptions>): Workflow.Workflow {
   return new Workflow.Workflow({
     id: `workflow-${ids++}`,
-    tenant: asked.tenant ?? "a",
-    policy: TestUtils.buildAccess().queues[asked.priority ?? 1],
+    tenant: options.tenant ?? "a",
+    policy: TestUtils.buildAccess().queues[options.priority ?? 1],
     payload: "",
-    steps: [TestUtils.buildStep({ estimateMs: asked.estimateMs ?? 1000 })],
+    steps: [TestUtils.buildStep({ estimateMs: options.estimateMs ?? 1000 })],
     schedule: null,
-    acceptedAtMs: asked.acceptedAtMs ?? 0,
+    acceptedAtMs: options.acceptedAtMs ?? 0,
   });
 }
 
@@ -81,12 +81,12 @@
     wallMs: 0,
     remotePenalty: 3,
     isAdvised: () => true,
-    hardLoad: COMPETING,
+    hardLoad: TEAMS_COMPETE,
     ...changes,
   };
 }
 
-const anyAsked = fastCheck.record({
+const anyOptions = fastCheck.record({
   tenant: fastCheck.constantFrom(...TEAMS),
   priority: fastCheck.nat({ max: 2 }),
   acceptedAtMs: fastCheck.integer({ min: -8000, max: 0 }),
@@ -97,13 +97,13 @@
   b: fastCheck.nat({ max: 2 }),
   c: fastCheck.nat({ max: 2 }),
 });
-const manyAsked = fastCheck.array(anyAsked, { maxLength: 12 });
+const manyOptions = fastCheck.array(anyOptions, { maxLength: 12 });
 
 function sort(
-  asked: readonly Asked[],
+  options: readonly WorkflowOptions[],
   shares: teamShares.TeamShares | null,
 ) {
-  const workflows = asked.map((one) => buildWorkflow(one));
+  const workflows = options.map((one) => buildWorkflow(one));
   const ranks = new rank.Ranks(workflows, new Map([["a", 1], ["b", 1]]));
   const units = workflows.flatMap((one) => one.readyUnits(0));
   const sorted = rank.sortUnits(units, ranks, { wallMs: 0, shares });
@@ -113,12 +113,12 @@
 vitest.describe("the order of waiting work", () => {
   vitest.it("has no team above its share before one below", () => {
     fastCheck.assert(
-      fastCheck.property(manyAsked, anyLevels, (asked, levels) => {
+      fastCheck.property(manyOptions, anyLevels, (options, levels) => {
         const shares = sharesOf(levels);
-        const { units, ranks } = sort(asked, shares);
+        const { units, ranks } = sort(options, shares);
         for (const [i, later] of units.entries()) {
           for (const earlier of units.slice(0, i)) {
-            vitest.expect(comesWrongly(earlier, later, { shares, ranks }))
+            vitest.expect(isOutOfOrder(earlier, later, { shares, ranks }))
               .toBe(false);
           }
         }
@@ -128,9 +128,9 @@
 
   vitest.it("is total and stable: what is sorted stays as it is", () => {
     fastCheck.assert(
-      fastCheck.property(manyAsked, anyLevels, (asked, levels) => {
+      fastCheck.property(manyOptions, anyLevels, (options, levels) => {
         const shares = sharesOf(levels);
-        const { units, ranks, given } = sort(asked, shares);
+        const { units, ranks, given } = sort(options, shares);
         const now = { wallMs: 0, shares };
         const again = rank.sortUnits(units, ranks, now);
         vitest.expect(again.units).toEqual(units);
@@ -142,15 +142,15 @@
   vitest.it("is the former one where all teams fare alike", () => {
     const anyLevel = fastCheck.nat({ max: 2 });
     fastCheck.assert(
-      fastCheck.property(manyAsked, anyLevel, (asked, level) => {
+      fastCheck.property(manyOptions, anyLevel, (options, level) => {
         const shares = sharesOf({ a: level, b: level, c: level });
-        const { units, ranks, given } = sort(asked, null);
+        const { units, ranks, given } = sort(options, null);
         // One that may not be passed over any more goes before those that may.
-        const patient = given.filter((unit) => !isDue(unit));
+        const patient = given.filter((unit) => !isPastHalfSlack(unit));
         const now = { wallMs: 0, shares };
         const ordered = rank.sortUnits(patient, ranks, now);
         vitest.expect(ordered.units)
-          .toEqual(units.filter((unit) => !isDue(unit)));
+          .toEqual(units.filter((unit) => !isPastHalfSlack(unit)));
         vitest.expect(ordered.passedOver.size).toBe(0);
       }),
     );
@@ -186,22 +186,22 @@
   vitest.it("is the same whatever teams have had", () => {
     fastCheck.assert(
       fastCheck.property(
-        manyAsked,
+        manyOptions,
         anyLevels,
         fastCheck.boolean(),
-        (asked, levels, endpointsDiffer) => {
+        (options, levels, endpointsDiffer) => {
           const runs = ["a", "b"].map((tenant) =>
             runOn(buildWorkflow({ tenant, priority: 2 }))
           );
-          const workflows = asked.map((one) => buildWorkflow(one));
+          const workflows = options.map((one) => buildWorkflow(one));
           const input = inputOf(workflows, {
             workers: [buildEndpoint(runs, 2)],
             hardLoad: { teamsCompete: false, endpointsDiffer },
           });
           const withShares = { ...input, shares: sharesOf(levels) };
-          const { hardLoad: _, ...former } = input;
+          const { hardLoad: _, ...withoutHardLoad } = input;
           vitest.expect(plans.makePlan(withShares))
-            .toEqual(plans.makePlan(endpointsDiffer ? input : former));
+            .toEqual(plans.makePlan(endpointsDiffer ? input : withoutHardLoad));
         },
       ),
     );
@@ -211,11 +211,11 @@
 vitest.describe("a plan where all teams have had little", () => {
   vitest.it("is the same as where shares are not known", () => {
     fastCheck.assert(
-      fastCheck.property(manyAsked, (asked) => {
+      fastCheck.property(manyOptions, (options) => {
         const runs = ["a", "b"].map((tenant) =>
           runOn(buildWorkflow({ tenant, priority: 2 }))
         );
-        const workflows = asked.map((one) => buildWorkflow(one));
+        const workflows = options.map((one) => buildWorkflow(one));
         const input = inputOf(workflows, {
           workers: [buildEndpoint(runs, 2)],
         });
@@ -288,7 +288,7 @@
 });
 
 /** Whether a unit that may wait comes before one of a lower level. */
-function comesWrongly(
+function isOutOfOrder(
   earlier: Workflow.Unit,
   later: Workflow.Unit,
   by: { shares: teamShares.TeamShares; ranks: rank.Ranks },
@@ -297,12 +297,13 @@
   const isAlike = ranks.of(earlier.workflow) === ranks.of(later.workflow) &&
     rank.hopeOf(earlier, 0) === rank.hopeOf(later, 0);
   const levelOf = ({ workflow }: Workflow.Unit) =>
-    teamShares.levelIn(shares, workflow.spec.tenant);
-  return isAlike && !isDue(earlier) && levelOf(earlier) > levelOf(later);
+    teamShares.levelOfTeam(shares, workflow.spec.tenant);
+  return isAlike && !isPastHalfSlack(earlier) &&
+    levelOf(earlier) > levelOf(later);
 }
 
 /** Whether half of the time is gone that its objective leaves beside its run. */
-function isDue({ workflow: { spec }, step }: Workflow.Unit): boolean {
+function isPastHalfSlack({ workflow: { spec }, step }: Workflow.Unit): boolean {
   const objectiveMs = Workflow.objectiveAtMs(spec, 0);
   const spareMs = objectiveMs - spec.acceptedAtMs - step.estimateMs;
   return -spec.acceptedAtMs * 2 >= Math.max(0, spareMs);
--- a/packages/workflow-scheduler/src/slow_place.ts
+++ b/packages/workflow-scheduler/src/slow_place.ts
@@ -1,6 +1,6 @@
 /** Why urgent work starts on endpoints on which it will be late, for operators. */
 import type * as Workflow from "@cairngate/workflow";
-import type * as outlooks from "./expected_run.ts";
+import type * as estimates from "./expected_run.ts";
 import type * as placement from "./placement.ts";
 import * as rank from "./rank.ts";
 import * as bands from "./speed_bands.ts";
@@ -16,13 +16,14 @@
 /** Why a unit starts where it will be late; null where it is not urgent or in time. */
 export function slowReason(
   unit: Workflow.Unit,
-  places: placement.Places,
-  at: { readonly outlook: outlooks.RunOutlook; readonly wallMs: number },
+  places: placement.Placement,
+  now: { readonly estimator: estimates.RunEstimator; readonly wallMs: number },
 ): SlowReason | null {
-  const { outlook, wallMs } = at;
+  const { estimator, wallMs } = now;
   if (unit.workflow.spec.policy.priority > 0) return null;
-  const slowest = bands.slowestOf(places);
-  if (outlook.endsInTime(unit, { wallMs, slowest })) return null;
-  const isHopeful = outlook.hopeOf(unit, wallMs) === rank.Hope.InTime;
-  return isHopeful ? SlowReason.Taken : SlowReason.TooLate;
+  const slowestSpeed = bands.slowestOf(places);
+  if (estimator.canEndInTime(unit, { wallMs, slowestSpeed })) return null;
+  const couldEndInTime =
+    estimator.bestOutcomeOf(unit, wallMs) === rank.Hope.InTime;
+  return couldEndInTime ? SlowReason.Taken : SlowReason.TooLate;
 }
--- a/packages/workflow-scheduler/src/speed_claims.ts
+++ b/packages/workflow-scheduler/src/speed_claims.ts
@@ -4,36 +4,36 @@
  */
 import type * as Workflow from "@cairngate/workflow";
 import * as eviction from "./eviction.ts";
-import type * as outlooks from "./expected_run.ts";
+import type * as estimates from "./expected_run.ts";
 import type * as fleet from "./fleet.ts";
 import * as placement from "./placement.ts";
 import * as reservation from "./reservation.ts";
 import * as bands from "./speed_bands.ts";
 
 /** How a unit gets room that is fast enough. */
-export enum Way {
+export enum How {
   /** The room is free. */
   Free,
   /** It is being freed. */
-  Soon,
+  Freeing,
   /** Others have to stop. */
-  Stops,
+  Eviction,
   /** Runs there end early enough by themselves. */
   Ends,
 }
 
 /** Room that is fast enough. */
 export type Claim =
-  | { readonly way: Way.Free | Way.Soon | Way.Ends; readonly places: Places }
-  | { readonly way: Way.Stops; readonly found: eviction.Eviction };
+  | { readonly how: How.Free | How.Freeing | How.Ends; readonly places: Places }
+  | { readonly how: How.Eviction; readonly eviction: eviction.Eviction };
 
-type Places = placement.Places;
+type Places = placement.Placement;
 
 /** What a claim works with. */
 export interface ClaimContext {
-  readonly outlook: outlooks.RunOutlook;
-  readonly evictions: eviction.EvictionContext;
-  readonly endings: reservation.EndingContext;
+  readonly estimator: estimates.RunEstimator;
+  readonly evictionContext: eviction.EvictionContext;
+  readonly runEndContext: reservation.RunEndContext;
   /** Whether the unit may claim room while slower room is to be had at once. */
   readonly mayClaim: boolean;
   /** Whether it may wait for an end while slower room is to be had at once. */
@@ -46,60 +46,70 @@
  * Whether stops on fast endpoints cost others no more than the unit brings, beyond the
  * stops that it would cause on slower ones: a guarantee is for room, not for speed.
  */
-export function isWorthSpeed(
+export function isSpeedWorthLoss(
   unit: Workflow.Unit,
   { loss }: eviction.Eviction,
-  lossAnyhow: number,
+  lossAtAnySpeed: number,
 ): boolean {
-  return loss - lossAnyhow <= eviction.workOf(unit);
+  return loss - lossAtAnySpeed <= eviction.coreSecondsOf(unit);
 }
 
 /** Finds room on endpoints that are fast enough; null where there is none. */
-export function findFast(
+export function findFastEnough(
   unit: Workflow.Unit,
-  rooms: readonly fleet.EndpointRoom[],
+  endpoints: readonly fleet.Endpoint[],
   context: ClaimContext,
 ): Claim | null {
-  const { outlook, evictions: { wallMs } } = context;
-  const fast = bands.fastRooms(rooms, outlook.neededSpeed(unit, wallMs));
+  const { estimator, evictionContext: { wallMs } } = context;
+  const fast = bands.fastEndpoints(
+    endpoints,
+    estimator.neededSpeed(unit, wallMs),
+  );
   if (fast.length === 0) return null;
-  const free = bands.findAlike(unit, fast, placement.freeNow);
-  if (free !== null) return { way: Way.Free, places: free };
+  const free = bands.findSimilarSpeed(unit, fast, placement.freeNow);
+  if (free !== null) return { how: How.Free, places: free };
   const isUrgent = unit.workflow.spec.policy.priority === 0;
   // Where every endpoint will do, room is made where it costs least, as elsewhere.
-  if (!isUrgent || fast.length === rooms.length) return null;
-  return findByStops(unit, fast, context) ?? findByEnds(unit, fast, context);
+  if (!isUrgent || fast.length === endpoints.length) return null;
+  return findByStops(unit, fast, context) ?? findByRunEnds(unit, fast, context);
 }
 
 function findByStops(
   unit: Workflow.Unit,
-  fast: readonly fleet.EndpointRoom[],
+  fast: readonly fleet.Endpoint[],
   context: ClaimContext,
 ): Claim | null {
   if (!context.mayClaim) return null;
-  const soon = bands.findAlike(unit, fast, placement.freeSoon);
-  if (soon !== null) return { way: Way.Soon, places: soon };
-  const { outlook, evictions } = context;
-  const needed = outlook.neededSpeedAfterStops(unit, evictions.wallMs);
-  const rooms = bands.fastRooms(fast, needed);
-  const found = eviction.findEviction(unit, rooms, evictions);
+  const beingFreed = bands.findSimilarSpeed(
+    unit,
+    fast,
+    placement.freeAfterStops,
+  );
+  if (beingFreed !== null) return { how: How.Freeing, places: beingFreed };
+  const { estimator, evictionContext } = context;
+  const neededSpeed = estimator.neededSpeedAfterStops(
+    unit,
+    evictionContext.wallMs,
+  );
+  const endpoints = bands.fastEndpoints(fast, neededSpeed);
+  const found = eviction.findEviction(unit, endpoints, evictionContext);
   if (found === null || !context.isWorth(found)) return null;
-  return { way: Way.Stops, found };
+  return { how: How.Eviction, eviction: found };
 }
 
-function findByEnds(
+function findByRunEnds(
   unit: Workflow.Unit,
-  fast: readonly fleet.EndpointRoom[],
+  fast: readonly fleet.Endpoint[],
   context: ClaimContext,
 ): Claim | null {
   if (!context.mayWait()) return null;
-  const { outlook, endings, evictions: { wallMs } } = context;
-  const found = reservation.findEarliest(unit, fast, endings);
+  const { estimator, runEndContext, evictionContext: { wallMs } } = context;
+  const found = reservation.findEarliest(unit, fast, runEndContext);
   if (found === null) return null;
   const start = {
-    wallMs: wallMs + found.atMs - endings.nowMs,
-    slowest: bands.slowestOf(found.places),
+    wallMs: wallMs + found.atMs - runEndContext.nowMs,
+    slowestSpeed: bands.slowestOf(found.places),
   };
-  if (!outlook.endsInTime(unit, start)) return null;
-  return { way: Way.Ends, places: found.places };
+  if (!estimator.canEndInTime(unit, start)) return null;
+  return { how: How.Ends, places: found.places };
 }
--- a/packages/workflow-scheduler/src/stop_rules.ts
+++ b/packages/workflow-scheduler/src/stop_rules.ts
@@ -6,29 +6,32 @@
 import * as rank from "./rank.ts";
 
 /** The moment of a decision. */
-export interface StopMoment {
+export interface StopContext {
   readonly wallMs: number;
   /** Time that a stop takes at most, in ms. */
   readonly stopMs: number;
   /** What a unit can still reach if it starts some time later. */
-  readonly hopeAfter: (unit: Workflow.Unit, laterMs: number) => rank.Hope;
+  readonly bestOutcomeAfter: (
+    unit: Workflow.Unit,
+    delayMs: number,
+  ) => rank.Hope;
 }
 
 /**
  * Stops of one task for others after which it is spared. Callers give ordinary work
  * about three times its length: a task that has lost three runs is late by that alone.
  */
-export const MOST_STOPS = 3;
+export const MAX_STOPS = 3;
 
 /** Whether a task, or its gang, has been stopped for others as often as it may be. */
 export function isSpared(group: readonly Workflow.Task[]): boolean {
-  return group.some(({ stopsForOthers }) => stopsForOthers >= MOST_STOPS);
+  return group.some(({ stopsForOthers }) => stopsForOthers >= MAX_STOPS);
 }
 
 /** Whether a unit can still end in time if it starts only once others have stopped. */
-export function helpsInTime(
+export function canEndInTimeAfterStops(
   unit: Workflow.Unit,
-  { stopMs, hopeAfter }: StopMoment,
+  { stopMs, bestOutcomeAfter }: StopContext,
 ): boolean {
-  return hopeAfter(unit, stopMs) === rank.Hope.InTime;
+  return bestOutcomeAfter(unit, stopMs) === rank.Hope.InTime;
 }
--- a/packages/workflow-scheduler/src/stop_rules_test.ts
+++ b/packages/workflow-scheduler/src/stop_rules_test.ts
@@ -7,10 +7,10 @@
 
 const STOP_MS = 200;
 
-function momentAt(wallMs: number): stopRules.StopMoment {
-  const hopeAfter = (unit: Workflow.Unit, laterMs: number) =>
-    rank.hopeOf(unit, wallMs + laterMs);
-  return { wallMs, stopMs: STOP_MS, hopeAfter };
+function contextAt(wallMs: number): stopRules.StopContext {
+  const bestOutcomeAfter = (unit: Workflow.Unit, delayMs: number) =>
+    rank.hopeOf(unit, wallMs + delayMs);
+  return { wallMs, stopMs: STOP_MS, bestOutcomeAfter };
 }
 
 function buildUnit(estimateMs: number): Workflow.Unit {
@@ -29,15 +29,15 @@
 vitest.describe("a stop for urgent work", () => {
   vitest.it("helps while the work ends in time after it", () => {
     const unit = buildUnit(1000);
-    const helpsAt = (wallMs: number) =>
-      stopRules.helpsInTime(unit, momentAt(wallMs));
-    vitest.expect(helpsAt(800)).toBe(true);
-    vitest.expect(helpsAt(801)).toBe(false);
+    const canEndAt = (wallMs: number) =>
+      stopRules.canEndInTimeAfterStops(unit, contextAt(wallMs));
+    vitest.expect(canEndAt(800)).toBe(true);
+    vitest.expect(canEndAt(801)).toBe(false);
   });
 
   vitest.it("spares a task, and its gang, that was stopped often", () => {
     const { tasks } = buildUnit(1000);
-    tasks[0].stopsForOthers = stopRules.MOST_STOPS - 1;
+    tasks[0].stopsForOthers = stopRules.MAX_STOPS - 1;
     vitest.expect(stopRules.isSpared(tasks)).toBe(false);
     tasks[0].stopsForOthers++;
     vitest.expect(stopRules.isSpared(tasks)).toBe(true);
--- a/packages/workflow-scheduler/src/stops_property_test.ts
+++ b/packages/workflow-scheduler/src/stops_property_test.ts
@@ -15,13 +15,13 @@
 const ACCELERATORS = 4;
 const NOW_MS = 20_000;
 /** Kinds of hard load with competing teams, each with the speeds of endpoints that it has. */
-const KINDS = [
+const LOAD_KINDS = [
   { teamsCompete: true, endpointsDiffer: false, speeds: [1] },
   { teamsCompete: true, endpointsDiffer: true, speeds: [0.6, 1, 1.6] },
 ];
 
 /** One workflow, drawn at random. */
-interface Drawn {
+interface WorkflowDraw {
   readonly priority: number;
   readonly count: number;
   readonly accelerators: number;
@@ -34,7 +34,7 @@
   readonly endpoint: number;
 }
 
-const drawn: fastCheck.Arbitrary<Drawn> = fastCheck.record({
+const anyWorkflow: fastCheck.Arbitrary<WorkflowDraw> = fastCheck.record({
   priority: fastCheck.nat(2),
   count: fastCheck.integer({ min: 1, max: 4 }),
   accelerators: fastCheck.integer({ min: 1, max: ACCELERATORS }),
@@ -46,17 +46,17 @@
   endpoint: fastCheck.nat(ENDPOINTS - 1),
 });
 
-const worlds = fastCheck.record({
-  running: fastCheck.array(drawn, { maxLength: 14 }),
-  waiting: fastCheck.array(drawn, { minLength: 1, maxLength: 6 }),
+const fleets = fastCheck.record({
+  running: fastCheck.array(anyWorkflow, { maxLength: 14 }),
+  waiting: fastCheck.array(anyWorkflow, { minLength: 1, maxLength: 6 }),
   guaranteed: fastCheck.nat(24),
-  kind: fastCheck.constantFrom(...KINDS),
+  kind: fastCheck.constantFrom(...LOAD_KINDS),
   acceleratorsPerSecond: fastCheck.nat(20),
 });
 
-type World = typeof worlds extends fastCheck.Arbitrary<infer W> ? W : never;
+type FleetDraw = typeof fleets extends fastCheck.Arbitrary<infer W> ? W : never;
 
-function buildWorkflow(one: Drawn, id: string): Workflow.Workflow {
+function buildWorkflow(one: WorkflowDraw, id: string): Workflow.Workflow {
   const { count, accelerators, gang, checkpoints, estimateMs } = one;
   const step = { count, accelerators, gang, checkpoints, estimateMs };
   const workflow = new Workflow.Workflow({
@@ -77,16 +77,19 @@
   readonly workers: readonly fleet.WorkerState[];
 }
 
-function build(world: World, hardLoad?: hardLoads.HardLoad): Built {
-  const held = Array.from({ length: ENDPOINTS }, (): Workflow.Task[] => []);
-  const running = world.running.flatMap((one, i) => {
+function build(drawnFleet: FleetDraw, hardLoad?: hardLoads.HardLoad): Built {
+  const tasksByEndpoint = Array.from(
+    { length: ENDPOINTS },
+    (): Workflow.Task[] => [],
+  );
+  const running = drawnFleet.running.flatMap((one, i) => {
     const workflow = buildWorkflow(one, `running-${i}`);
-    return placeAll(workflow, one, held) ? [workflow] : [];
+    return placeAll(workflow, one, tasksByEndpoint) ? [workflow] : [];
   });
-  const waitingWork = world.waiting.map((one, i) =>
+  const waitingWork = drawnFleet.waiting.map((one, i) =>
     buildWorkflow(one, `waiting-${i}`)
   );
-  const workers = held.map((occupants, i) => ({
+  const workers = tasksByEndpoint.map((occupants, i) => ({
     id: `worker-${i}`,
     service: "analysis",
     dataCentre: "dc-1",
@@ -98,14 +101,14 @@
       accelerators: ACCELERATORS,
     },
     usable: true,
-    speed: world.kind.speeds[i % world.kind.speeds.length],
+    speed: drawnFleet.kind.speeds[i % drawnFleet.kind.speeds.length],
     occupants,
   }));
-  const { acceleratorsPerSecond } = world;
+  const { acceleratorsPerSecond } = drawnFleet;
   const input = {
     workers,
     workflows: [...running, ...waitingWork],
-    guarantees: new Map([["hana", world.guaranteed]]),
+    guarantees: new Map([["hana", drawnFleet.guaranteed]]),
     nowMs: NOW_MS,
     wallMs: NOW_MS,
     remotePenalty: 3,
@@ -120,33 +123,33 @@
 /** Places all tasks of a workflow where there is room; false where there is not. */
 function placeAll(
   workflow: Workflow.Workflow,
-  { endpoint, ageMs }: Drawn,
-  held: readonly Workflow.Task[][],
+  { endpoint, ageMs }: WorkflowDraw,
+  tasksByEndpoint: readonly Workflow.Task[][],
 ): boolean {
-  const used = held.map((tasks) =>
+  const used = tasksByEndpoint.map((tasks) =>
     tasks.reduce((sum, { step }) => sum + step.accelerators, 0)
   );
   const tasks = [...workflow.tasks];
   const places: number[] = [];
   for (const { step } of tasks) {
-    const at = held.findIndex((_, i) =>
+    const offset = tasksByEndpoint.findIndex((_, i) =>
       used[(endpoint + i) % ENDPOINTS] + step.accelerators <= ACCELERATORS
     );
-    if (at < 0) return false;
-    const place = (endpoint + at) % ENDPOINTS;
+    if (offset < 0) return false;
+    const place = (endpoint + offset) % ENDPOINTS;
     used[place] += step.accelerators;
     places.push(place);
   }
   tasks.forEach((task, i) => {
     task.place(`worker-${places[i]}`, 1, NOW_MS - ageMs);
     task.state = Workflow.TaskState.Running;
-    held[places[i]].push(task);
+    tasksByEndpoint[places[i]].push(task);
   });
   return true;
 }
 
 /** A plan in words that can be compared. */
-function tell({ starts, stops, waits }: plans.Plan) {
+function describePlan({ starts, stops, waits }: plans.Plan) {
   const nameOf = (unit: Workflow.Unit) => unit.tasks[0].name;
   return {
     starts: starts.map(({ unit, workers }) => [nameOf(unit), ...workers]),
@@ -159,15 +162,15 @@
 function fitsWithout(
   unit: Workflow.Unit,
   { workers }: Built,
-  gone: ReadonlySet<Workflow.Task>,
+  stoppedTasks: ReadonlySet<Workflow.Task>,
 ): boolean {
-  const rooms = workers.map((worker) =>
-    new fleet.EndpointRoom({
-      ...worker,
-      occupants: worker.occupants.filter((task) => !gone.has(task)),
+  const endpoints = workers.map((state) =>
+    new fleet.Endpoint({
+      ...state,
+      occupants: state.occupants.filter((task) => !stoppedTasks.has(task)),
     })
   );
-  return placement.findAmong(unit, rooms, placement.freeNow) !== null;
+  return placement.findAmong(unit, endpoints, placement.freeNow) !== null;
 }
 
 const isSpared = (task: Workflow.Task) =>
@@ -177,25 +180,25 @@
 
 vitest.describe("stops of a plan under hard load", () => {
   vitest.it("come with a place for their claimant, in the same plan", () => {
-    fastCheck.assert(fastCheck.property(worlds, (world) => {
-      const built = build(world, world.kind);
+    fastCheck.assert(fastCheck.property(fleets, (drawnFleet) => {
+      const built = build(drawnFleet, drawnFleet.kind);
       const { stops, waits } = plans.makePlan(built.input);
-      const gone = new Set(stops.map(({ task }) => task));
+      const stoppedTasks = new Set(stops.map(({ task }) => task));
       for (const { claimant } of stops) {
         const wait = waits.find(({ unit }) => unit === claimant);
         vitest.expect(wait?.reason).toBe(waiting.WaitReason.Stops);
-        vitest.expect(fitsWithout(claimant, built, gone)).toBe(true);
+        vitest.expect(fitsWithout(claimant, built, stoppedTasks)).toBe(true);
       }
     }));
   });
 
   vitest.it("make room for all claimants and starts together", () => {
-    fastCheck.assert(fastCheck.property(worlds, (world) => {
-      const built = build(world, world.kind);
+    fastCheck.assert(fastCheck.property(fleets, (drawnFleet) => {
+      const built = build(drawnFleet, drawnFleet.kind);
       const { starts, stops, waits } = plans.makePlan(built.input);
-      const gone = new Set(stops.map(({ task }) => task));
+      const stoppedTasks = new Set(stops.map(({ task }) => task));
       const left = built.workers.flatMap(({ occupants }) => occupants)
-        .filter((task) => !gone.has(task));
+        .filter((task) => !stoppedTasks.has(task));
       const claimants = waits
         .filter(({ reason }) => reason === waiting.WaitReason.Stops)
         .map(({ unit }) => unit);
@@ -210,8 +213,8 @@
   });
 
   vitest.it("spare a task that was stopped often, but for guarantees", () => {
-    fastCheck.assert(fastCheck.property(worlds, (world) => {
-      const built = build({ ...world, guaranteed: 0 }, world.kind);
+    fastCheck.assert(fastCheck.property(fleets, (drawnFleet) => {
+      const built = build({ ...drawnFleet, guaranteed: 0 }, drawnFleet.kind);
       const { stops } = plans.makePlan(built.input);
       vitest.expect(stops.filter(({ task }) => isSpared(task))).toEqual([]);
     }));
@@ -221,16 +224,16 @@
     "strike such a task for a guarantee that finds nothing else",
     () => {
       // One unit that is guaranteed: nothing else is planned before it.
-      const alone = worlds.map((world) => ({
-        ...world,
-        waiting: world.waiting.slice(0, 1).map((one) => ({
+      const oneGuaranteed = fleets.map((drawnFleet) => ({
+        ...drawnFleet,
+        waiting: drawnFleet.waiting.slice(0, 1).map((one) => ({
           ...one,
           gang: true,
         })),
         guaranteed: 1000,
       }));
-      fastCheck.assert(fastCheck.property(alone, (world) => {
-        const built = build(world, world.kind);
+      fastCheck.assert(fastCheck.property(oneGuaranteed, (drawnFleet) => {
+        const built = build(drawnFleet, drawnFleet.kind);
         const { stops } = plans.makePlan(built.input);
         if (!stops.some(({ task }) => isSpared(task))) return;
         const others = built.workers.flatMap(({ occupants }) => occupants)
@@ -253,16 +256,17 @@
   );
 
   vitest.it("does not hang on what is known of stops and arrivals", () => {
-    fastCheck.assert(fastCheck.property(worlds, loads, (world, load) => {
-      const known = build(world, load).input;
-      const forgetful = build({
-        ...world,
-        running: world.running.map((one) => ({ ...one, stops: 0 })),
-        waiting: world.waiting.map((one) => ({ ...one, stops: 0 })),
+    fastCheck.assert(fastCheck.property(fleets, loads, (drawnFleet, load) => {
+      const known = build(drawnFleet, load).input;
+      const withoutStops = build({
+        ...drawnFleet,
+        running: drawnFleet.running.map((one) => ({ ...one, stops: 0 })),
+        waiting: drawnFleet.waiting.map((one) => ({ ...one, stops: 0 })),
       }, load.endpointsDiffer ? load : undefined).input;
-      const { stopMs: _, urgentTraffic: __, ...former } = forgetful;
-      vitest.expect(tell(plans.makePlan(known)))
-        .toEqual(tell(plans.makePlan(former)));
+      const { stopMs: _, urgentTraffic: __, ...withoutStopSettings } =
+        withoutStops;
+      vitest.expect(describePlan(plans.makePlan(known)))
+        .toEqual(describePlan(plans.makePlan(withoutStopSettings)));
     }));
   });
 });
--- a/packages/workflow-scheduler/src/team_shares.ts
+++ b/packages/workflow-scheduler/src/team_shares.ts
@@ -38,36 +38,39 @@
  * Beside an entitlement of 1. Levels begin a quarter away from it, which one workflow
  * more or less does not make up, and end at it.
  */
-const ABOVE_BEGINS = 1.25;
-const BELOW_BEGINS = 0.75;
-const ENDS = 1;
+const ABOVE_FROM_RATIO = 1.25;
+const BELOW_UNDER_RATIO = 0.75;
+const ENDS_RATIO = 1;
 
 /** A use below it is forgotten: a team that is gone would else be kept for ever. */
-const FORGOTTEN = 1e-6;
+const MIN_USE = 1e-6;
 
 /** Shares that teams are entitled to; their sum is 1. */
 export function weightsOf(guarantees: ReadonlyMap<string, number>): Amounts {
   const paid = [...guarantees.values()].filter((one) => one > 0);
   // A team without a guarantee is entitled to as little as the smallest one.
-  const least = Math.min(...paid, Number.MAX_VALUE);
+  const smallestWeight = Math.min(...paid, Number.MAX_VALUE);
   const weights = [...guarantees].map(([team, guaranteed]) =>
-    [team, paid.length === 0 ? 1 : Math.max(guaranteed, least)] as const
+    [
+      team,
+      paid.length === 0 ? 1 : Math.max(guaranteed, smallestWeight),
+    ] as const
   );
   const all = weights.reduce((sum, [, weight]) => sum + weight, 0);
   return new Map(weights.map(([team, weight]) => [team, weight / all]));
 }
 
 /** Share of the fleet that each team holds now, by the resource it holds most of. */
-export function sharesHeld(workers: readonly fleet.WorkerState[]): Amounts {
+export function sharesHeld(endpoints: readonly fleet.WorkerState[]): Amounts {
   const all = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
   const byTeam = new Map<string, typeof all>();
-  for (const { total, occupants } of workers) {
-    add(all, total, true);
+  for (const { total, occupants } of endpoints) {
+    addResources(all, total, true);
     for (const { step, workflow } of occupants) {
       const team = workflow.spec.tenant;
       const held = byTeam.get(team) ??
         { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
-      add(held, step, !step.fills);
+      addResources(held, step, !step.fills);
       byTeam.set(team, held);
     }
   }
@@ -84,7 +87,7 @@
   );
 }
 
-function add(
+function addResources(
   sum: { -readonly [K in keyof Workflow.Resources]: number },
   amounts: Workflow.Resources,
   countsCpu: boolean,
@@ -100,14 +103,14 @@
   held: Amounts,
   elapsedMs: number,
 ): Amounts {
-  const kept = 0.5 ** (Math.max(0, elapsedMs) / HALF_LIFE_MS);
+  const decay = 0.5 ** (Math.max(0, elapsedMs) / HALF_LIFE_MS);
   const teams = new Set([...before.keys(), ...held.keys()]);
   const use = new Map<string, number>();
   for (const team of teams) {
     const earlier = before.get(team) ?? 0;
     const now = held.get(team) ?? 0;
-    const sum = earlier * kept + now * (1 - kept);
-    if (sum > FORGOTTEN) use.set(team, sum);
+    const sum = earlier * decay + now * (1 - decay);
+    if (sum > MIN_USE) use.set(team, sum);
   }
   return use;
 }
@@ -119,35 +122,37 @@
   before: TeamShares,
 ): TeamShares {
   const teams = new Set([...weights.keys(), ...use.keys()]);
-  const least = Math.min(...weights.values(), 1);
+  const smallestWeight = Math.min(...weights.values(), 1);
   const shares = new Map<string, TeamShare>();
   for (const team of teams) {
-    const weight = weights.get(team) ?? least;
+    const weight = weights.get(team) ?? smallestWeight;
     const used = use.get(team) ?? 0;
-    const former = before.get(team)?.level ?? ShareLevel.Below;
-    const judged = levelOf(used / weight, former);
+    const previous = before.get(team)?.level ?? ShareLevel.Below;
+    const rawLevel = levelOf(used / weight, previous);
     // Who has less than an equal part of the fleet floods nobody.
-    const isSmall = used * teams.size < 1;
-    const level = isSmall ? Math.min(judged, ShareLevel.Within) : judged;
+    const hasLessThanEqualPart = used * teams.size < 1;
+    const level = hasLessThanEqualPart
+      ? Math.min(rawLevel, ShareLevel.Within)
+      : rawLevel;
     shares.set(team, { weight, use: used, level });
   }
   return shares;
 }
 
-function levelOf(ratio: number, former: ShareLevel): ShareLevel {
-  if (ratio >= ABOVE_BEGINS) return ShareLevel.Above;
-  if (ratio < BELOW_BEGINS) return ShareLevel.Below;
-  if (former === ShareLevel.Above && ratio > ENDS) return former;
-  if (former === ShareLevel.Below && ratio < ENDS) return former;
+function levelOf(ratio: number, previous: ShareLevel): ShareLevel {
+  if (ratio >= ABOVE_FROM_RATIO) return ShareLevel.Above;
+  if (ratio < BELOW_UNDER_RATIO) return ShareLevel.Below;
+  if (previous === ShareLevel.Above && ratio > ENDS_RATIO) return previous;
+  if (previous === ShareLevel.Below && ratio < ENDS_RATIO) return previous;
   return ShareLevel.Within;
 }
 
 /** Level of a team; one of which nothing is known has had nothing. */
-export function levelIn(shares: TeamShares, team: string): ShareLevel {
+export function levelOfTeam(shares: TeamShares, team: string): ShareLevel {
   return shares.get(team)?.level ?? ShareLevel.Below;
 }
 
 /** Whether a team has had clearly less than it is entitled to. */
 export function isBelowShare(shares: TeamShares, team: string): boolean {
-  return levelIn(shares, team) === ShareLevel.Below;
+  return levelOfTeam(shares, team) === ShareLevel.Below;
 }
--- a/packages/workflow-scheduler/src/team_shares_test.ts
+++ b/packages/workflow-scheduler/src/team_shares_test.ts
@@ -48,10 +48,10 @@
 
 function levelOf(used: number, before: teamShares.ShareLevel) {
   const weights = new Map([["a", 0.5], ["b", 0.5]]);
-  const former = new Map([["a", { weight: 0.5, use: 0, level: before }]]);
+  const previous = new Map([["a", { weight: 0.5, use: 0, level: before }]]);
   const use = new Map([["a", used]]);
-  const shares = teamShares.judgeShares(weights, use, former);
-  return teamShares.levelIn(shares, "a");
+  const shares = teamShares.judgeShares(weights, use, previous);
+  return teamShares.levelOfTeam(shares, "a");
 }
 
 vitest.describe("weights", () => {
--- a/packages/workflow-scheduler/src/urgent_arrivals.ts
+++ b/packages/workflow-scheduler/src/urgent_arrivals.ts
@@ -1,7 +1,7 @@
 /** Remembers what urgent work came lately, to tell what will come. */
 import type * as Workflow from "@cairngate/workflow";
 import * as rank from "./rank.ts";
-import type * as urgentRoom from "./urgent_room.ts";
+import type * as reserveSize from "./urgent_room.ts";
 
 interface Arrival {
   readonly service: string;
@@ -15,9 +15,9 @@
  */
 const WINDOW_MS = 8000;
 /** Arrivals that are remembered at most; older ones go first. */
-const MOST_ARRIVALS = 1000;
+const MAX_ARRIVALS = 1000;
 /** Share of the arrivals that are at most as wide as a wide one. */
-const WIDE_SHARE = 0.9;
+const WIDE_QUANTILE = 0.9;
 
 /** Urgent arrivals of the last seconds. */
 export class UrgentArrivals {
@@ -32,23 +32,24 @@
       this.#seen.add(workflow);
       this.#arrivals.push(arrivalOf(workflow));
     }
-    if (this.#arrivals.length <= MOST_ARRIVALS) return;
-    this.#arrivals = this.#arrivals.slice(-MOST_ARRIVALS);
+    if (this.#arrivals.length <= MAX_ARRIVALS) return;
+    this.#arrivals = this.#arrivals.slice(-MAX_ARRIVALS);
   }
 
   /** Urgent work of a service as it came lately. */
-  of(service: string, wallMs: number): urgentRoom.UrgentTraffic {
+  of(service: string, wallMs: number): reserveSize.UrgentTraffic {
     this.#arrivals = this.#arrivals.filter(({ atWallMs }) =>
       atWallMs > wallMs - WINDOW_MS
     );
-    const own = this.#arrivals.filter((one) => one.service === service);
-    const widths = own.map(({ accelerators }) => accelerators)
+    const ofService = this.#arrivals.filter((one) => one.service === service);
+    const widths = ofService.map(({ accelerators }) => accelerators)
       .sort((a, b) => a - b);
     const sum = widths.reduce((total, one) => total + one, 0);
     return {
       acceleratorsPerSecond: sum * 1000 / WINDOW_MS,
-      wideAccelerators: widths[Math.floor((widths.length - 1) * WIDE_SHARE)] ??
-        0,
+      wideAccelerators:
+        widths[Math.floor((widths.length - 1) * WIDE_QUANTILE)] ??
+          0,
     };
   }
 }
--- a/packages/workflow-scheduler/src/urgent_room.ts
+++ b/packages/workflow-scheduler/src/urgent_room.ts
@@ -23,82 +23,89 @@
  * Largest share of all accelerators that is left free. Ordinary work must go on
  * whatever comes: beyond this share urgent work makes others stop.
  */
-const MOST_SHARE = 0.15;
+const MAX_RESERVED_SHARE = 0.15;
 
 /**
  * Nothing is left free while less than this share is in use: users allow no work to
  * stand still for seconds while under half of the fleet is.
  */
-const LEAST_USED = 0.6;
+const MIN_UTILIZATION = 0.6;
 
 /** Accelerators to leave free: what comes while a stop takes place, and one wide unit. */
-export function wantedRoom(
+export function targetAccelerators(
   traffic: UrgentTraffic,
-  now: { readonly all: number; readonly stopMs: number },
+  fleetState: { readonly total: number; readonly stopMs: number },
 ): number {
   const { acceleratorsPerSecond, wideAccelerators } = traffic;
   if (acceleratorsPerSecond === 0) return 0;
-  const coming = acceleratorsPerSecond * now.stopMs / 1000;
-  return Math.min(coming + wideAccelerators, now.all * MOST_SHARE);
+  const arrivingDuringStop = acceleratorsPerSecond * fleetState.stopMs / 1000;
+  return Math.min(
+    arrivingDuringStop + wideAccelerators,
+    fleetState.total * MAX_RESERVED_SHARE,
+  );
 }
 
 /**
  * The endpoints of one service to leave free: those of one rack after another, the
  * emptiest first, as wide gangs want whole endpoints of one rack.
  */
-export function chooseRooms(
-  rooms: readonly fleet.EndpointRoom[],
+export function chooseReserved(
+  endpoints: readonly fleet.Endpoint[],
   traffic: UrgentTraffic,
   stopMs: number,
-): ReadonlySet<fleet.EndpointRoom> {
-  const chosen = new Set<fleet.EndpointRoom>();
-  if (usedShare(rooms) < LEAST_USED) return chosen;
-  const all = sumOf(rooms, ({ worker }) => worker.total.accelerators);
-  let left = wantedRoom(traffic, { all, stopMs });
-  for (const { room, open } of byRackAndOpen(rooms)) {
-    if (left <= 0) break;
-    chosen.add(room);
-    left -= open;
+): ReadonlySet<fleet.Endpoint> {
+  const chosen = new Set<fleet.Endpoint>();
+  if (utilization(endpoints) < MIN_UTILIZATION) return chosen;
+  const total = sumOf(endpoints, ({ state }) => state.total.accelerators);
+  let remaining = targetAccelerators(traffic, { total, stopMs });
+  for (const { endpoint, reservable } of orderByRack(endpoints)) {
+    if (remaining <= 0) break;
+    chosen.add(endpoint);
+    remaining -= reservable;
   }
   return chosen;
 }
 
 /** Whether a unit may take room that is left free for urgent work. */
-export function mayUse({ step, workflow }: Workflow.Unit): boolean {
+export function mayUseReserve({ step, workflow }: Workflow.Unit): boolean {
   const isOrdinary = workflow.spec.policy.priority > 0;
   return !isOrdinary || step.checkpoints || step.lasting;
 }
 
-interface OpenRoom {
-  readonly room: fleet.EndpointRoom;
+interface ReservableEndpoint {
+  readonly endpoint: fleet.Endpoint;
   /** Accelerators that are free, or held by work that stops cheaply. */
-  readonly open: number;
+  readonly reservable: number;
 }
 
-function byRackAndOpen(rooms: readonly fleet.EndpointRoom[]): OpenRoom[] {
-  const racks = new Map<string, OpenRoom[]>();
-  for (const room of rooms) {
-    const open = openFor(room);
-    if (open <= 0) continue;
-    const rack = racks.get(room.worker.rack) ?? [];
-    rack.push({ room, open });
-    racks.set(room.worker.rack, rack);
+function orderByRack(
+  endpoints: readonly fleet.Endpoint[],
+): ReservableEndpoint[] {
+  const racks = new Map<string, ReservableEndpoint[]>();
+  for (const endpoint of endpoints) {
+    const reservable = reservableAccelerators(endpoint);
+    if (reservable <= 0) continue;
+    const rack = racks.get(endpoint.state.rack) ?? [];
+    rack.push({ endpoint, reservable });
+    racks.set(endpoint.state.rack, rack);
   }
   const sorted = [...racks.values()].map((rack) => ({
-    rack: rack.sort((a, b) => b.open - a.open),
-    open: rack.reduce((sum, { open }) => sum + open, 0),
+    rack: rack.sort((a, b) => b.reservable - a.reservable),
+    reservable: rack.reduce((sum, { reservable }) => sum + reservable, 0),
   }));
-  sorted.sort((a, b) => b.open - a.open);
+  sorted.sort((a, b) => b.reservable - a.reservable);
   return sorted.flatMap(({ rack }) => rack);
 }
 
-function openFor({ soon, worker }: fleet.EndpointRoom): number {
-  const cheap = worker.occupants.filter(stopsCheaply);
-  return cheap.reduce((sum, { step }) => sum + step.accelerators, 0) +
-    soon.accelerators;
+function reservableAccelerators(
+  { freeAfterStops, state }: fleet.Endpoint,
+): number {
+  const cheapToStop = state.occupants.filter(isCheapToStop);
+  return cheapToStop.reduce((sum, { step }) => sum + step.accelerators, 0) +
+    freeAfterStops.accelerators;
 }
 
-function stopsCheaply({ step, workflow }: Workflow.Task): boolean {
+function isCheapToStop({ step, workflow }: Workflow.Task): boolean {
   return step.checkpoints && !step.lasting &&
     workflow.spec.policy.priority > 0;
 }
@@ -107,20 +114,23 @@
 const ACCELERATOR_WEIGHT = 8;
 
 /** Share in use: of the accelerators, or of them and the cores, whichever is less. */
-function usedShare(rooms: readonly fleet.EndpointRoom[]): number {
-  const weigh = ({ cpuMillis, accelerators }: Workflow.Resources) =>
+function utilization(endpoints: readonly fleet.Endpoint[]): number {
+  const coreEquivalentsOf = ({ cpuMillis, accelerators }: Workflow.Resources) =>
     cpuMillis / 1000 + ACCELERATOR_WEIGHT * accelerators;
-  const usedOf = (measure: (one: Workflow.Resources) => number) => {
-    const all = sumOf(rooms, ({ worker }) => measure(worker.total));
-    const free = sumOf(rooms, ({ before }) => measure(before));
-    return all === 0 ? 0 : 1 - free / all;
+  const utilizationOf = (measure: (one: Workflow.Resources) => number) => {
+    const total = sumOf(endpoints, ({ state }) => measure(state.total));
+    const free = sumOf(endpoints, ({ freeAtStart }) => measure(freeAtStart));
+    return total === 0 ? 0 : 1 - free / total;
   };
-  return Math.min(usedOf(({ accelerators }) => accelerators), usedOf(weigh));
+  return Math.min(
+    utilizationOf(({ accelerators }) => accelerators),
+    utilizationOf(coreEquivalentsOf),
+  );
 }
 
 function sumOf(
-  rooms: readonly fleet.EndpointRoom[],
-  of: (room: fleet.EndpointRoom) => number,
+  endpoints: readonly fleet.Endpoint[],
+  of: (endpoint: fleet.Endpoint) => number,
 ): number {
-  return rooms.reduce((sum, room) => sum + of(room), 0);
+  return endpoints.reduce((sum, endpoint) => sum + of(endpoint), 0);
 }
--- a/packages/workflow-scheduler/src/urgent_room_test.ts
+++ b/packages/workflow-scheduler/src/urgent_room_test.ts
@@ -3,8 +3,8 @@
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
 import * as fleet from "./fleet.ts";
-import * as arrivals from "./urgent_arrivals.ts";
-import * as urgentRoom from "./urgent_room.ts";
+import * as urgentArrivals from "./urgent_arrivals.ts";
+import * as reserveSize from "./urgent_room.ts";
 
 const ACCELERATORS = 8;
 /** Cores beside each accelerator. */
@@ -29,16 +29,16 @@
 }
 
 /** Ten endpoints in racks of two, each with work on some of its accelerators. */
-function buildRooms(
-  held: readonly (readonly [number, boolean])[],
-): fleet.EndpointRoom[] {
-  return held.map(([accelerators, checkpoints], i) => {
+function buildEndpoints(
+  occupancy: readonly (readonly [number, boolean])[],
+): fleet.Endpoint[] {
+  return occupancy.map(([accelerators, checkpoints], i) => {
     const cpuMillis = accelerators * CORES_EACH * 1000;
     const step = { cpuMillis, accelerators, checkpoints };
     const workflow = buildWorkflow(2, step);
     const [task] = workflow.tasks;
     task.place(`worker-${i}`, 1, 0);
-    return new fleet.EndpointRoom({
+    return new fleet.Endpoint({
       id: `worker-${i}`,
       service: "analysis",
       dataCentre: "dc-1",
@@ -52,62 +52,71 @@
   });
 }
 
-const FULL: readonly (readonly [number, boolean])[] = Array.from(
+const FULLY_OCCUPIED: readonly (readonly [number, boolean])[] = Array.from(
   { length: 10 },
   () => [ACCELERATORS, false] as const,
 );
 
-function idsOf(rooms: ReadonlySet<fleet.EndpointRoom>): string[] {
-  return [...rooms].map(({ worker }) => worker.id);
+function idsOf(endpoints: ReadonlySet<fleet.Endpoint>): string[] {
+  return [...endpoints].map(({ state }) => state.id);
 }
 
 vitest.describe("room for urgent work", () => {
   vitest.it(
     "is what comes during a stop and one wide unit, up to a share",
     () => {
-      const wanted = (all: number) =>
-        urgentRoom.wantedRoom(TRAFFIC, { all, stopMs: 200 });
-      vitest.expect(wanted(1000)).toBe(10);
-      vitest.expect(wanted(20)).toBe(3);
+      const targetFor = (all: number) =>
+        reserveSize.targetAccelerators(TRAFFIC, { total: all, stopMs: 200 });
+      vitest.expect(targetFor(1000)).toBe(10);
+      vitest.expect(targetFor(20)).toBe(3);
     },
   );
 
   vitest.it("is none without urgent traffic", () => {
-    const now = { all: 1000, stopMs: 200 };
-    const { NO_URGENT_TRAFFIC } = urgentRoom;
-    vitest.expect(urgentRoom.wantedRoom(NO_URGENT_TRAFFIC, now)).toBe(0);
+    const now = { total: 1000, stopMs: 200 };
+    const { NO_URGENT_TRAFFIC } = reserveSize;
+    vitest.expect(reserveSize.targetAccelerators(NO_URGENT_TRAFFIC, now)).toBe(
+      0,
+    );
   });
 
   vitest.it("is that of the emptiest rack, cheap work counted as gone", () => {
-    const rooms = buildRooms([
-      ...FULL.slice(0, 4),
+    const endpoints = buildEndpoints([
+      ...FULLY_OCCUPIED.slice(0, 4),
       [8, true],
       [8, true],
-      ...FULL.slice(0, 3),
+      ...FULLY_OCCUPIED.slice(0, 3),
       [0, false],
     ]);
-    const kept = urgentRoom.chooseRooms(rooms, TRAFFIC, 200);
+    const kept = reserveSize.chooseReserved(endpoints, TRAFFIC, 200);
     vitest.expect(idsOf(kept)).toEqual(["worker-4", "worker-5"]);
   });
 
   vitest.it("is none while much of the fleet is free", () => {
-    const rooms = buildRooms(FULL.map(([, ck], i) => [i < 5 ? 8 : 0, ck]));
-    vitest.expect(urgentRoom.chooseRooms(rooms, TRAFFIC, 200).size).toBe(0);
+    const endpoints = buildEndpoints(
+      FULLY_OCCUPIED.map(([, ck], i) => [i < 5 ? 8 : 0, ck]),
+    );
+    vitest.expect(reserveSize.chooseReserved(endpoints, TRAFFIC, 200).size)
+      .toBe(0);
   });
 
   vitest.it("is none while much of the cores is free", () => {
-    const rooms = buildRooms(FULL.map(([, ck], i) => [i < 6 ? 8 : 0, ck]));
-    vitest.expect(urgentRoom.chooseRooms(rooms, TRAFFIC, 200).size).toBe(2);
-    for (const { before } of rooms) {
+    const endpoints = buildEndpoints(
+      FULLY_OCCUPIED.map(([, ck], i) => [i < 6 ? 8 : 0, ck]),
+    );
+    vitest.expect(reserveSize.chooseReserved(endpoints, TRAFFIC, 200).size)
+      .toBe(2);
+    for (const { freeAtStart: before } of endpoints) {
       Object.assign(before, { cpuMillis: 64_000 });
     }
-    vitest.expect(urgentRoom.chooseRooms(rooms, TRAFFIC, 200).size).toBe(0);
+    vitest.expect(reserveSize.chooseReserved(endpoints, TRAFFIC, 200).size)
+      .toBe(0);
   });
 
   vitest.it("may be used by work that is urgent, or that stops cheaply", () => {
     const mayUse = (priority: number, checkpoints: boolean) => {
       const workflow = buildWorkflow(priority, { checkpoints });
-      return urgentRoom.mayUse(workflow.readyUnits(0)[0]);
+      return reserveSize.mayUseReserve(workflow.readyUnits(0)[0]);
     };
     vitest.expect(mayUse(0, false)).toBe(true);
     vitest.expect(mayUse(2, true)).toBe(true);
@@ -117,24 +126,24 @@
 
 vitest.describe("urgent arrivals", () => {
   vitest.it("are counted once each, and only the urgent ones", () => {
-    const seen = new arrivals.UrgentArrivals();
+    const arrivals = new urgentArrivals.UrgentArrivals();
     const urgent = buildWorkflow(0, { accelerators: 4, count: 2 });
-    seen.note([urgent, buildWorkflow(1)]);
-    seen.note([urgent]);
+    arrivals.note([urgent, buildWorkflow(1)]);
+    arrivals.note([urgent]);
     const { service } = urgent.spec.policy;
-    vitest.expect(seen.of(service, 1000)).toEqual({
+    vitest.expect(arrivals.of(service, 1000)).toEqual({
       acceleratorsPerSecond: 1,
       wideAccelerators: 8,
     });
-    vitest.expect(seen.of("another", 1000))
-      .toEqual(urgentRoom.NO_URGENT_TRAFFIC);
+    vitest.expect(arrivals.of("another", 1000))
+      .toEqual(reserveSize.NO_URGENT_TRAFFIC);
   });
 
   vitest.it("are known at once after a takeover, by their acceptance", () => {
-    const seen = new arrivals.UrgentArrivals();
+    const arrivals = new urgentArrivals.UrgentArrivals();
     const urgent = buildWorkflow(0, { accelerators: 8 }, 5000);
-    seen.note([urgent, buildWorkflow(0, { accelerators: 8 }, -9000)]);
-    const { acceleratorsPerSecond } = seen.of(
+    arrivals.note([urgent, buildWorkflow(0, { accelerators: 8 }, -9000)]);
+    const { acceleratorsPerSecond } = arrivals.of(
       urgent.spec.policy.service,
       6000,
     );
@@ -142,10 +151,10 @@
   });
 
   vitest.it("are forgotten", () => {
-    const seen = new arrivals.UrgentArrivals();
+    const arrivals = new urgentArrivals.UrgentArrivals();
     const urgent = buildWorkflow(0);
-    seen.note([urgent]);
-    vitest.expect(seen.of(urgent.spec.policy.service, 8000))
-      .toEqual(urgentRoom.NO_URGENT_TRAFFIC);
+    arrivals.note([urgent]);
+    vitest.expect(arrivals.of(urgent.spec.policy.service, 8000))
+      .toEqual(reserveSize.NO_URGENT_TRAFFIC);
   });
 });
--- a/packages/workflow-scheduler/src/victim_cost.ts
+++ b/packages/workflow-scheduler/src/victim_cost.ts
@@ -10,7 +10,7 @@
 }
 
 /** Where one victim costs up to twice what another does, shares decide. */
-const ABOVE_FACTOR = 0.5;
+const ABOVE_SHARE_FACTOR = 0.5;
 
 /**
  * Cost by which a victim is chosen: less where its team has had more than its share.
@@ -21,6 +21,8 @@
   shares: teamShares.TeamShares | null,
 ): number {
   if (shares === null) return loss;
-  const level = teamShares.levelIn(shares, task.workflow.spec.tenant);
-  return level === teamShares.ShareLevel.Above ? loss * ABOVE_FACTOR : loss;
+  const level = teamShares.levelOfTeam(shares, task.workflow.spec.tenant);
+  return level === teamShares.ShareLevel.Above
+    ? loss * ABOVE_SHARE_FACTOR
+    : loss;
 }
--- a/packages/workflow-scheduler/src/wait_reason.ts
+++ b/packages/workflow-scheduler/src/wait_reason.ts
@@ -18,9 +18,9 @@
   /** It has failed, and the next try comes a little later. */
   Pause = "pause",
   /** It has failed, and free endpoints may fail whatever they start. */
-  Doubt = "doubt",
+  UnreliableEndpoints = "doubt",
   /** So many endpoints may have crashed under it that it is held back. */
-  Hold = "hold",
+  CrashBackoff = "hold",
   /** An endpoint has crashed under it, and none is free for it alone. */
   OwnEndpoint = "own-endpoint",
   /** No endpoint of its service and kind may be given work. */
--- a/packages/workflow-scheduler/src/wait_reason_test.ts
+++ b/packages/workflow-scheduler/src/wait_reason_test.ts
@@ -80,7 +80,7 @@
       task.waitingSinceMs = NOW_MS - 1;
     }
     vitest.expect(reasonsOf([buildWorker()], [held]))
-      .toEqual([`w: ${WaitReason.Hold}`]);
+      .toEqual([`w: ${WaitReason.CrashBackoff}`]);
   });
 
   vitest.it("waits where only endpoints in doubt are free", () => {
@@ -91,7 +91,7 @@
       task.failedAfterMs = 10;
     }
     vitest.expect(reasonsOf([buildWorker({ isDoubted: true })], [failed]))
-      .toEqual([`w: ${WaitReason.Doubt}`]);
+      .toEqual([`w: ${WaitReason.UnreliableEndpoints}`]);
   });
 
   vitest.it("waits for its turn where others take what is free", () => {
--- a/packages/workflow-scheduler/src/why_waiting.ts
+++ b/packages/workflow-scheduler/src/why_waiting.ts
@@ -9,12 +9,12 @@
 const { WaitReason } = waiting;
 
 /** What the reason is judged by. */
-export interface Waited {
+export interface WaitContext {
   readonly unit: Workflow.Unit;
   /** Rooms that it could have used. */
-  readonly rooms: readonly fleet.EndpointRoom[];
+  readonly endpoints: readonly fleet.Endpoint[];
   /** All rooms of the plan. */
-  readonly all: readonly fleet.EndpointRoom[];
+  readonly all: readonly fleet.Endpoint[];
   readonly nowMs: number;
   /** Most of the fleet is free. */
   readonly isIdle: boolean;
@@ -26,27 +26,27 @@
  * Why a unit found no place. On a fleet that is mostly in use the answer is room; to
  * look further for each waiting step would cost a search of all endpoints.
  */
-export function whyWaiting(waited: Waited): waiting.WaitReason {
-  const { unit, rooms, nowMs, isIdle, isPassedOver } = waited;
+export function waitReasonOf(context: WaitContext): waiting.WaitReason {
+  const { unit, endpoints, nowMs, isIdle, isPassedOver } = context;
   if (unit.workflow.spec.policy.advice !== null) return WaitReason.Advice;
-  const isHeld = isolation.isSuspect(unit) &&
-    isolation.isHeldBack(unit, nowMs);
-  if (isHeld) return WaitReason.Hold;
-  const eligible = waited.all.filter(({ worker }) =>
-    fleet.isEligible(worker, unit)
+  const isInBackoff = isolation.isSuspect(unit) &&
+    isolation.isInCrashBackoff(unit, nowMs);
+  if (isInBackoff) return WaitReason.CrashBackoff;
+  const eligible = context.all.filter(({ state }) =>
+    fleet.isEligible(state, unit)
   );
   if (eligible.length === 0) return WaitReason.Endpoints;
   if (!isIdle) return isPassedOver ? WaitReason.Share : WaitReason.Room;
-  const fitsAmong = (
-    some: readonly fleet.EndpointRoom[],
-    roomOf: placement.RoomOf,
-  ) => placement.findAmong(unit, some, roomOf) !== null;
-  if (fitsAmong(rooms, placement.freeNow)) return WaitReason.NearData;
-  const steady = retry.roomsWithoutDoubt(unit, eligible, nowMs);
-  if (fitsAmong(steady, placement.freeNow)) return WaitReason.OwnEndpoint;
-  if (fitsAmong(eligible, placement.freeNow)) return WaitReason.Doubt;
+  const fits = (
+    among: readonly fleet.Endpoint[],
+    freeOf: placement.FreeOf,
+  ) => placement.findAmong(unit, among, freeOf) !== null;
+  if (fits(endpoints, placement.freeNow)) return WaitReason.NearData;
+  const reliable = retry.withoutUnreliable(unit, eligible, nowMs);
+  if (fits(reliable, placement.freeNow)) return WaitReason.OwnEndpoint;
+  if (fits(eligible, placement.freeNow)) return WaitReason.UnreliableEndpoints;
   if (isPassedOver) return WaitReason.Share;
-  return fitsAmong(eligible, placement.freeBefore)
+  return fits(eligible, placement.freeAtStart)
     ? WaitReason.Reserved
     : WaitReason.Room;
 }
