--- a/packages/workflow-scheduler/mod.ts
+++ b/packages/workflow-scheduler/mod.ts
@@ -1,4 +1,4 @@
-/** Decisions about workflows as plain data. */
+/** Computes scheduling plans for workflows, from plain data to plain data. */
 export {
   doEndpointsDiffer,
   type HardLoad,
--- a/packages/workflow-scheduler/src/claimants_test.ts
+++ b/packages/workflow-scheduler/src/claimants_test.ts
@@ -37,7 +37,7 @@
 vitest.describe("two urgent units on two full endpoints", () => {
   vitest.it("are each given a victim of their own", () => {
     const low = ["low-0", "low-1"].map((id) => buildWorkflow(id, LOW_PRIORITY));
-    const workers = low.map((workflow, i) => {
+    const endpoints = low.map((workflow, i) => {
       const [task] = workflow.rounds[0][0];
       task.place(`endpoint-${i}`, 1, 0);
       task.state = Workflow.TaskState.Running;
@@ -46,7 +46,7 @@
     const urgent = ["urgent-0", "urgent-1"]
       .map((id) => buildWorkflow(id, URGENT_PRIORITY));
     const plan = plans.makePlan({
-      workers,
+      workers: endpoints,
       workflows: [...low, ...urgent],
       guarantees: new Map([["hana", 2]]),
       nowMs: 500,
--- a/packages/workflow-scheduler/src/count_room.ts
+++ b/packages/workflow-scheduler/src/count_room.ts
@@ -1,17 +1,18 @@
-/** Counts the endpoints that could hold a unit, whether or not they may be used. */
+/** Counts the endpoints that have capacity for a unit, usable or not. */
 import type * as Workflow from "@cairngate/workflow";
 import * as fleet from "./fleet.ts";
 
-/** Endpoints of a unit's service and kind. */
+/** Numbers of endpoints that have the service and label of a unit. */
 export interface RoomCount {
+  /** All endpoints with the service and label. */
   readonly known: number;
-  /** Those that may be given work now. */
+  /** Endpoints that accept new runs now. */
   readonly usable: number;
-  /** Those with free room for a task of the unit, usable or not. */
+  /** Endpoints with free capacity for at least one task of the unit, usable or not. */
   readonly couldHold: number;
 }
 
-/** Counts them. */
+/** Counts the endpoints that match a unit. */
 export function countRoom(
   unit: Workflow.Unit,
   states: readonly fleet.WorkerState[],
--- a/packages/workflow-scheduler/src/estimate_book.ts
+++ b/packages/workflow-scheduler/src/estimate_book.ts
@@ -1,31 +1,31 @@
 /**
- * What estimates are worth: runs of a queue beside what their callers guessed. A gang
- * lasts as long as its longest task, so its runs take longer than the guess for one.
+ * Corrects the callers' estimates by the run times observed in each queue. A gang
+ * lasts as long as its longest task, so its runs exceed the estimate for one task.
  */
 import type * as estimates from "./expected_run.ts";
 
-/** A run that has ended well. */
+/** A run that has completed successfully. */
 export interface EndedRun {
   readonly queue: string;
   readonly estimateMs: number;
   readonly tookMs: number;
-  /** Speed of its endpoint, or of the slowest that its gang ran on. */
+  /** Relative speed of its endpoint; for a gang, of the slowest endpoint. */
   readonly speed: number;
 }
 
-/** Runs of a queue that are remembered: newer ones take the place of older ones. */
+/** Most recent runs that are kept for each queue. */
 const MAX_RUNS_PER_QUEUE = 60;
-/** Runs that speak for a true estimate from the start. */
+/** Accurate runs assumed at the start, so that a few outliers change little. */
 const PRIOR_RUN_COUNT = 5;
-/** Bounds of a correction: beyond them a queue has work of several kinds. */
+/** Bounds of a correction: beyond them, a queue mixes work of several kinds. */
 const MIN_CORRECTION = 0.5;
 const MAX_CORRECTION = 2.5;
-/** Shares of the runs that are shorter than the low, the usual and the high ones. */
+/** Quantiles that are reported as low, usual and high. */
 const LOW_QUANTILE = 0.25;
 const USUAL_QUANTILE = 0.5;
 const HIGH_QUANTILE = 0.75;
 
-/** What the runs of one queue took, as multiples of their estimates. */
+/** Run times of one queue, as multiples of their estimates. */
 export interface EstimateWorth {
   readonly queue: string;
   readonly runs: number;
@@ -34,12 +34,12 @@
   readonly high: number;
 }
 
-/** Corrections of estimates by queue, learned from runs that have ended. */
+/** Computes a correction of the estimates of each queue from completed runs. */
 export class EstimateBook {
   readonly #ratios = new Map<string, number[]>();
   #corrections: Map<string, number> | null = null;
 
-  /** Takes in a run that has ended well. */
+  /** Records a run that has completed successfully. */
   note({ queue, estimateMs, tookMs, speed }: EndedRun): void {
     const ratio = tookMs * speed / estimateMs;
     if (!Number.isFinite(ratio) || ratio <= 0) return;
@@ -50,7 +50,7 @@
     this.#corrections = null;
   }
 
-  /** Corrections by queue, within bounds. */
+  /** Factors by which estimates are multiplied, by queue. */
   get corrections(): estimates.Corrections {
     this.#corrections ??= new Map(
       this.describe().map(({ queue, usual }) => [queue, usual]),
@@ -58,7 +58,7 @@
     return this.#corrections;
   }
 
-  /** What is known of each queue, for people. */
+  /** Run times of each queue, for operators. */
   describe(): readonly EstimateWorth[] {
     return [...this.#ratios].map(([queue, ratios]) => {
       const prior = Array.from({ length: PRIOR_RUN_COUNT }, () => 1);
--- a/packages/workflow-scheduler/src/eviction.ts
+++ b/packages/workflow-scheduler/src/eviction.ts
@@ -1,4 +1,4 @@
-/** Chooses what has to yield so that urgent work fits. */
+/** Chooses the tasks to stop so that an urgent unit can be placed. */
 import * as Workflow from "@cairngate/workflow";
 import * as fleet from "./fleet.ts";
 import * as placement from "./placement.ts";
@@ -7,62 +7,63 @@
 import type * as teamShares from "./team_shares.ts";
 import * as victimCost from "./victim_cost.ts";
 
-/** Places for a unit and the tasks that have to stop first. */
+/** A placement of a unit and the tasks that have to stop before it can start. */
 export interface Eviction {
   readonly places: placement.Placement;
   readonly victims: ReadonlySet<Workflow.Task>;
-  /** By which the victims were chosen. */
+  /** Sum of the weighted costs by which the victims were chosen. */
   readonly cost: number;
-  /** What is lost with them, in core-seconds, whoever they are. */
+  /** Work that is lost with the victims, in core-seconds, without weights. */
   readonly loss: number;
 }
 
-/** What an eviction needs to know. */
+/** Inputs of the search for victims. */
 export interface EvictionContext {
   readonly ranks: rank.Ranks;
   readonly nowMs: number;
   readonly wallMs: number;
-  /** What stopping each task costs, as far as this plan has worked it out. */
+  /** Cached loss of stopping a task, in core-seconds; valid within one plan. */
   readonly losses: Map<Workflow.Task, number>;
-  /** Whether tasks that were stopped for others often enough are spared. */
+  /** Whether to exclude tasks that were stopped for others too often. */
   readonly sparesOftenStopped: boolean;
-  /** Whether a task stops for another unit already; its room is given away. */
+  /** Whether this plan already stops a task for another unit, which takes its place. */
   readonly isAlreadyVictim: (task: Workflow.Task) => boolean;
-  /** Time until the run of a task ends that has run for some time, in ms. */
+  /** Expected remaining time of a task that has run for `ranMs`, in ms. */
   readonly remainingMs: (task: Workflow.Task, ranMs: number) => number;
-  /** What teams have had; null where that does not count. */
+  /** Recent use by team; null unless teams compete. */
   readonly shares: teamShares.TeamShares | null;
 }
 
-/** Core-seconds that one accelerator-second counts for. */
+/** Core-seconds that are equivalent to one accelerator-second. */
 const ACCELERATOR_WEIGHT = 8;
-/** Time for which a place is of no use around any stop and restart, in ms. */
+/** Time for which capacity is unused around a stop and a restart, in ms. */
 const RESTART_OVERHEAD_MS = 1000;
 /**
- * Cost of a start of a task that has few left, in core-seconds: more than all that an
- * endpoint runs. Such a task yields only where nothing else can.
+ * Loss for stopping a task that has few starts left, in core-seconds. It exceeds the
+ * loss of everything else on an endpoint, so such a task is chosen last.
  */
 const FEW_STARTS_LOSS = 1e9;
 /**
- * Such a task does not yield at all for this time from its start, in ms: if it ends its
- * endpoint, it mostly does so by then (after 10 ms in the users' record), and a start
- * that is cut short tells nothing. A guarantee waits for it no longer.
+ * Time after its start in which a task with few starts left is never stopped, in ms.
+ * A task that crashes its endpoint mostly does so by then (after 10 ms in the users'
+ * records), and a start that is stopped earlier does not show whether it would. The
+ * limit bounds how long a guarantee waits for such a task.
  */
 const FEW_STARTS_PROTECTED_MS = 2000;
-/** Work that a task with checkpoints loses at most, in ms. */
+/** Most work that a task with checkpoints loses, in ms. */
 const MAX_CHECKPOINT_LOSS_MS = 100;
 
-/** Core-seconds of one second of a task; accelerators count as cores. */
+/** Cores that a task of a step uses, with accelerators converted to cores. */
 function coreEquivalentsOf(step: Workflow.StepSpec): number {
   return step.cpuMillis / 1000 + ACCELERATOR_WEIGHT * step.accelerators;
 }
 
-/** Core-seconds that a unit brings, by its estimate. */
+/** Estimated work of a unit, in core-seconds. */
 export function coreSecondsOf({ step, tasks }: Workflow.Unit): number {
   return tasks.length * coreEquivalentsOf(step) * step.estimateMs / 1000;
 }
 
-/** Finds the cheapest set of victims; null where even that is not enough. */
+/** Finds the cheapest set of victims; null if no set makes the unit fit. */
 export function findEviction(
   unit: Workflow.Unit,
   endpoints: readonly fleet.Endpoint[],
@@ -81,9 +82,9 @@
 }
 
 /**
- * Frees one task's room after another, each where it costs least. What a room costs
- * is worked out once, and again only where a choice has changed it: a gang of 32 on
- * 3,000 endpoints would else look at each of them 32 times
+ * Frees capacity for one task after another, each on the cheapest endpoint. The cost
+ * of an endpoint is computed once and again only after a choice has changed it;
+ * otherwise a gang of 32 on 3,000 endpoints would evaluate each endpoint 32 times
  * (`npm run measure -- --plans`).
  */
 export function evictAmong(
@@ -125,7 +126,7 @@
   return { places, victims: chosen, cost, loss };
 }
 
-/** The first of the rooms that cost least; null where none can be freed. */
+/** First endpoint of the lowest cost; null if none can be freed. */
 function findCheapest(
   options: ReadonlyMap<fleet.Endpoint, Victims | null>,
 ): { readonly endpoint: fleet.Endpoint; readonly more: Victims } | null {
@@ -144,7 +145,7 @@
   readonly loss: number;
 }
 
-/** Cheapest further victims on one worker so that `count` tasks fit. */
+/** Cheapest further victims on one endpoint so that `need` tasks fit. */
 function findVictims(
   search: {
     unit: Workflow.Unit;
@@ -200,11 +201,11 @@
 }
 
 /**
- * What is lost when a task, and with it its gang, is stopped: the work since its
- * last checkpoint, and all of its work once more where it would have met its
- * objective and can not any more. Against counting lateness for urgent work alone,
- * plays of two heavy loads on 245 endpoints and one on 33 (tools/decisions, 12
- * seeds) earned 0.013, 0.000 and 0.005 more of what was owed.
+ * Loss of stopping a task and, with it, its gang, in core-seconds: the work since the
+ * last checkpoint, plus the whole estimated work if the stop makes it miss its
+ * objective. Counting a missed objective for all work, not only for urgent work, earned
+ * 0.013, 0.000 and 0.005 more of the value due, in simulations of two heavy loads on
+ * 245 endpoints and one on 33 (tools/decisions, 12 seeds).
  */
 function lossOf(task: Workflow.Task, context: EvictionContext): number {
   const { step } = task;
@@ -226,7 +227,7 @@
       (weight * (lostMs + RESTART_OVERHEAD_MS) / 1000 + missedWork);
 }
 
-/** Whether a task would end in time, as expected, unless it is stopped now. */
+/** Whether a stop makes a task miss an objective that it would otherwise meet. */
 function wouldMissByStop(
   task: Workflow.Task,
   timing: { remainingMs: number; lostMs: number; wallMs: number },
@@ -245,18 +246,18 @@
     task.state === Workflow.TaskState.Running);
 }
 
-/** Whether a task has few starts left, and has not shown that it needs no more. */
+/** Whether a task has few starts left; long-running lasting tasks are exempt. */
 function mayCrashEndpoint(task: Workflow.Task, nowMs: number): boolean {
   return task.hasFewStarts &&
     !Workflow.isProvenLasting(task.step, nowMs - task.startedAtMs);
 }
 
-/** What stops with a task. */
+/** Tasks that stop together with a task. */
 function groupOf(task: Workflow.Task): readonly Workflow.Task[] {
   return task.step.gang ? task.workflow.siblings(task) : [task];
 }
 
-/** Whether a lasting step can not miss one more of its tasks. */
+/** Whether a lasting step would lack too many tasks if this one stopped too. */
 function isStepAtMinimum(
   task: Workflow.Task,
   chosen: readonly Workflow.Task[],
--- a/packages/workflow-scheduler/src/expected_run.ts
+++ b/packages/workflow-scheduler/src/expected_run.ts
@@ -1,24 +1,24 @@
 /**
- * How long runs take where endpoints differ in speed and estimates are rough: a gang
- * that needs 2 s on usual endpoints needs 3.3 s on slow ones, which may be more than
- * its objective allows.
+ * Estimates run times where endpoints differ in speed and callers' estimates are rough.
+ * A gang that needs 2 s on endpoints of normal speed needs 3.3 s on slow ones, which
+ * may exceed its objective.
  */
 import * as Workflow from "@cairngate/workflow";
 import * as rank from "./rank.ts";
 
-/** What a queue's runs took against their estimates; 1 where they were true. */
+/** Ratio of run time to estimate, by queue; 1 where estimates are accurate. */
 export type Corrections = ReadonlyMap<string, number>;
 
-/** Share of the endpoints that are faster than what counts as the best speed. */
+/** Share of the endpoints that are faster than `bestSpeed`. */
 const BEST_SPEED_QUANTILE = 0.1;
-/** Stands for no speed at all. */
+/** Lower bound of speeds, so that divisions stay finite. */
 const MIN_SPEED = 0.05;
-/** Time that an endpoint needs to be free for another run once one has to stop, in ms. */
+/** Time from the decision to stop a run until its capacity is free, in ms. */
 export const STOP_ALLOWANCE_MS = 1000;
 
-/** Expects runs by the speeds of endpoints and what estimates were worth. */
+/** Estimates run times from endpoint speeds and corrected estimates. */
 export class RunEstimator {
-  /** Speed that one endpoint in ten reaches. */
+  /** Speed that one endpoint in ten reaches or exceeds. */
   readonly bestSpeed: number;
   readonly #corrections: Corrections;
 
@@ -30,7 +30,7 @@
     this.#corrections = corrections;
   }
 
-  /** Time of a run on endpoints of which the slowest has this speed, in ms. */
+  /** Expected run time if the slowest endpoint has the given speed, in ms. */
   expectedMs(
     unit: Pick<Workflow.Unit, "step" | "workflow">,
     slowestSpeed: number,
@@ -41,21 +41,21 @@
       Math.max(slowestSpeed, MIN_SPEED);
   }
 
-  /** What a unit can still reach on the best endpoints. */
+  /** Best outcome of a unit that starts now at `bestSpeed`. */
   bestOutcomeOf(unit: Workflow.Unit, wallMs: number): rank.Hope {
     return rank.hopeOf(unit, wallMs, this.expectedMs(unit, this.bestSpeed));
   }
 
   /**
-   * Speed that endpoints need so that the unit reaches what it still can: an end by
-   * its objective, else an end that is late and of use. Infinite where it can't.
+   * Lowest speed at which the unit still reaches its best outcome: it ends by its
+   * objective, or late but while the result still counts. Infinite if neither is left.
    */
   neededSpeed(unit: Workflow.Unit, wallMs: number): number {
     const outcome = this.bestOutcomeOf(unit, wallMs);
     return this.#speedFor(unit, rank.timeToDeadlineMs(unit, wallMs, outcome));
   }
 
-  /** The same, if others have to stop there first; infinite if that is too late. */
+  /** Needed speed if other tasks have to stop first; infinite if that is too late. */
   neededSpeedAfterStops(unit: Workflow.Unit, wallMs: number): number {
     const outcome = this.bestOutcomeOf(unit, wallMs);
     return this.#speedFor(
@@ -64,7 +64,7 @@
     );
   }
 
-  /** Whether a unit that starts after some time still ends by its objective. */
+  /** Whether a unit that starts at `start.wallMs` ends by its objective. */
   canEndInTime(
     unit: Workflow.Unit,
     start: { readonly wallMs: number; readonly slowestSpeed: number },
--- a/packages/workflow-scheduler/src/expected_run_test.ts
+++ b/packages/workflow-scheduler/src/expected_run_test.ts
@@ -1,4 +1,4 @@
-/** Expected times of runs, and what estimates turn out to be worth. */
+/** Tests expected run times and the correction of estimates. */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as fc from "fast-check";
@@ -20,7 +20,7 @@
 }
 
 vitest.describe("the expected time of a run", () => {
-  vitest.it("grows as the slowest endpoint is slower", () => {
+  vitest.it("grows as the speed of the slowest endpoint falls", () => {
     const speed = fc.double({ min: 0.1, max: 4, noNaN: true });
     fc.assert(fc.property(speed, speed, (one, other) => {
       const estimator = new estimates.RunEstimator([1], new Map());
@@ -31,7 +31,7 @@
     }));
   });
 
-  vitest.it("grows with what runs of the queue took", () => {
+  vitest.it("grows with the correction of the queue", () => {
     const { queue } = TestUtils.buildAccess().queues[0];
     const estimator = new estimates.RunEstimator(
       [1],
@@ -42,16 +42,19 @@
 });
 
 vitest.describe("the speed that a unit needs", () => {
-  vitest.it("grows while it waits, and stops take longer still", () => {
-    const estimator = new estimates.RunEstimator([1.6], new Map());
-    const unit = buildUnit(2000);
-    const atOnce = estimator.neededSpeed(unit, 0);
-    vitest.expect(estimator.neededSpeed(unit, 500)).toBeGreaterThan(atOnce);
-    vitest.expect(estimator.neededSpeedAfterStops(unit, 0))
-      .toBeGreaterThan(estimator.neededSpeed(unit, 500));
-  });
+  vitest.it(
+    "grows while it waits, and further if other tasks have to stop",
+    () => {
+      const estimator = new estimates.RunEstimator([1.6], new Map());
+      const unit = buildUnit(2000);
+      const atOnce = estimator.neededSpeed(unit, 0);
+      vitest.expect(estimator.neededSpeed(unit, 500)).toBeGreaterThan(atOnce);
+      vitest.expect(estimator.neededSpeedAfterStops(unit, 0))
+        .toBeGreaterThan(estimator.neededSpeed(unit, 500));
+    },
+  );
 
-  vitest.it("is infinite once its end is of no use any more", () => {
+  vitest.it("is infinite once the unit would end too late to count", () => {
     const estimator = new estimates.RunEstimator([1.6], new Map());
     vitest.expect(estimator.neededSpeed(buildUnit(2000), 1e6))
       .toBe(Number.POSITIVE_INFINITY);
@@ -59,7 +62,7 @@
 });
 
 vitest.describe("a correction", () => {
-  vitest.it("stays within its bounds whatever runs are fed", () => {
+  vitest.it("stays within its bounds for arbitrary runs", () => {
     const run = fc.record({
       queue: fc.constantFrom("a", "b"),
       estimateMs: fc.double(),
@@ -76,7 +79,7 @@
     }));
   });
 
-  vitest.it("follows what runs took, at the speed of their endpoint", () => {
+  vitest.it("follows run times scaled by the speed of the endpoint", () => {
     const book = new estimateBook.EstimateBook();
     const ended = { queue: "a", estimateMs: 1000, tookMs: 3000, speed: 0.5 };
     for (let i = 0; i < 4; i++) book.note(ended);
@@ -85,7 +88,7 @@
     vitest.expect(book.corrections.get("a")).toBe(1.5);
   });
 
-  vitest.it("forgets what runs took long ago", () => {
+  vitest.it("forgets old runs", () => {
     const book = new estimateBook.EstimateBook();
     const ended = { queue: "a", estimateMs: 1000, tookMs: 2000, speed: 1 };
     for (let i = 0; i < 60; i++) book.note(ended);
--- a/packages/workflow-scheduler/src/fleet.ts
+++ b/packages/workflow-scheduler/src/fleet.ts
@@ -1,7 +1,7 @@
-/** Room on the workers, as one plan sees and changes it. */
+/** Free capacity of the endpoints, as one plan reads and changes it. */
 import * as Workflow from "@cairngate/workflow";
 
-/** A worker as the coordinator knows it. */
+/** State of an endpoint when a plan starts. */
 export interface WorkerState {
   readonly id: string;
   readonly service: string;
@@ -9,39 +9,39 @@
   readonly rack: string;
   readonly labels: ReadonlySet<string>;
   readonly total: Workflow.Resources;
-  /** False while it drains, cannot be reached, is put aside or evacuated. */
+  /** False while it drains, is unreachable, on probation or evacuated. */
   readonly usable: boolean;
-  /** An endpoint at its address has crashed in the last seconds. */
+  /** Whether an endpoint at this address crashed in the last seconds. */
   readonly hasCrashedLately?: boolean;
-  /** It has failed lately: it may fail whatever it starts. */
+  /** Whether recent failures suggest that it fails every run. */
   readonly isDoubted?: boolean;
-  /** Something has lately run well there. */
+  /** Whether a run has recently succeeded or survived its start on it. */
   readonly isProven?: boolean;
-  /** It has just come up and runs slowly for a while. */
+  /** Whether it has just started up and runs slowly for a while. */
   readonly isCold?: boolean;
-  /** Speed beside the other workers; 1 is the usual one. */
+  /** Speed relative to the other endpoints; 1 is normal. */
   readonly speed: number;
-  /** Tasks that it holds or may hold. */
+  /** Tasks that run on it or may run on it. */
   readonly occupants: readonly Workflow.Task[];
 }
 
-/** Amounts that change while a plan is made. */
+/** Resources that change while a plan is made. */
 interface MutableResources {
   cpuMillis: number;
   memoryMb: number;
   accelerators: number;
 }
 
-/** Room of one worker during a plan. */
+/** An endpoint and its free resources during one plan. */
 export class Endpoint {
   readonly state: WorkerState;
-  /** Free when the plan began. */
+  /** Resources that were free when the plan started. */
   readonly freeAtStart: Workflow.Resources;
-  /** Free now. */
+  /** Resources that are free now. */
   readonly free: MutableResources;
-  /** Free once all that is being stopped has ended. */
+  /** Resources that are free once all tasks that are being stopped have ended. */
   readonly freeAfterStops: MutableResources;
-  /** Tasks of each step that it holds, for limits per worker. */
+  /** Number of tasks of each step on it, for the `perWorker` limit. */
   readonly #tasksPerStep = new Map<readonly Workflow.Task[], number>();
   #hasAllocation = false;
 
@@ -59,7 +59,7 @@
     this.freeAtStart = { ...this.free };
   }
 
-  /** Tasks of a unit's step that fit into an amount of room. */
+  /** Number of the unit's tasks that fit into the given resources. */
   fits(unit: Workflow.Unit, amounts: Workflow.Resources): number {
     const { step } = unit;
     const maxTasks = Math.min(
@@ -75,18 +75,18 @@
     return Math.max(0, Math.min(maxTasks, step.perWorker - placed));
   }
 
-  /** One run at a time tells whether an endpoint in doubt still fails. */
+  /** An unreliable endpoint gets one run at a time, to test whether it still fails. */
   get #maxConcurrentStarts(): number {
     if (this.state.isDoubted !== true) return Number.POSITIVE_INFINITY;
     return this.isEmpty ? 1 : 0;
   }
 
-  /** Whether nothing runs there, and nothing is planned to. */
+  /** Whether it has no tasks and the plan starts none on it. */
   get isEmpty(): boolean {
     return this.state.occupants.length === 0 && !this.#hasAllocation;
   }
 
-  /** Takes room for tasks of a step, now and later. */
+  /** Allocates resources to tasks of a unit, now and after all stops. */
   allocate(unit: Workflow.Unit, count: number): void {
     this.#hasAllocation = true;
     subtractTasks(this.free, unit.step, count);
@@ -94,14 +94,14 @@
     this.#countForStep(unit.tasks[0], count);
   }
 
-  /** Keeps all of the room from others. */
+  /** Withholds all free resources from other units. */
   withholdAll(): void {
     this.free.accelerators = -1;
     this.free.memoryMb = -1;
     this.free.cpuMillis = -1;
   }
 
-  /** Counts a task that is going to be stopped. */
+  /** Counts the resources of a task that this plan stops as free after stops. */
   countStop(task: Workflow.Task): void {
     addTask(this.freeAfterStops, task.step);
   }
@@ -116,7 +116,7 @@
   }
 }
 
-/** Takes resources of a step from an amount. */
+/** Subtracts the resources of `count` tasks of a step. */
 export function subtractTasks(
   amounts: MutableResources,
   step: Workflow.StepSpec,
@@ -127,7 +127,7 @@
   amounts.accelerators -= step.accelerators * count;
 }
 
-/** Whether these tasks fit into a worker's room together. */
+/** Whether tasks fit into the given resources together. */
 export function fitTogether(
   tasks: Iterable<Workflow.Task>,
   total: Workflow.Resources,
@@ -138,7 +138,7 @@
     remaining.accelerators >= 0;
 }
 
-/** Gives the resources of one task of a step back. */
+/** Adds the resources of one task of a step. */
 export function addTask(
   amounts: MutableResources,
   step: Workflow.StepSpec,
@@ -153,7 +153,7 @@
     : Math.floor(available / needed);
 }
 
-/** Share of the fleet's capacity that is taken, by the scarcest resource. */
+/** Utilization of the fleet by its scarcest resource, 0 to 1. */
 export function peakUtilization(endpoints: readonly Endpoint[]): number {
   const total = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
   const free = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
@@ -176,7 +176,7 @@
   sum.accelerators += amounts.accelerators;
 }
 
-/** Whether a worker may run a step now. */
+/** Whether an endpoint may run a unit now. */
 export function isEligible(
   state: WorkerState,
   unit: Workflow.Unit,
@@ -184,7 +184,7 @@
   return state.usable && isOfKind(state, unit);
 }
 
-/** Whether a worker is of the service and the kind that a step needs. */
+/** Whether an endpoint has the service and the label that a unit needs. */
 export function isOfKind(state: WorkerState, unit: Workflow.Unit): boolean {
   const { step, workflow } = unit;
   return state.service === workflow.spec.policy.service &&
--- a/packages/workflow-scheduler/src/hard_load.ts
+++ b/packages/workflow-scheduler/src/hard_load.ts
@@ -1,13 +1,13 @@
 /**
- * Which kinds of hard load a deployment has. The decisions for them are made only
- * there; everywhere else work is planned as if they did not exist.
+ * Detects hard load: competing teams and endpoints of uneven speed. The planner applies
+ * the rules for a kind of hard load only in deployments that have it.
  */
 
-/** Kinds of hard load. */
+/** Kinds of hard load that a deployment has. */
 export interface HardLoad {
-  /** Teams of very different size compete for the same room. */
+  /** Teams of very different size compete for the same capacity. */
   readonly teamsCompete: boolean;
-  /** Endpoints differ so much in speed that the same work takes far longer on some. */
+  /** Endpoint speeds differ so much that the same work takes far longer on some. */
   readonly endpointsDiffer: boolean;
 }
 
@@ -18,13 +18,12 @@
 };
 
 /**
- * The largest team has paid for this many times what teams pay for on average: with
- * that much more work in the queue it can push all others back, although each of them
- * asks for little.
+ * Teams compete if the largest has paid for this many times the average: its queued
+ * work can then delay all other teams, although each of them asks for little.
  */
 const LARGE_TEAM_FACTOR = 2;
 
-/** Whether some team has paid for so much more than the others that they compete. */
+/** Whether one team has paid for so much more than the others that they compete. */
 export function haveLargeTeam(
   guarantees: ReadonlyMap<string, number>,
 ): boolean {
@@ -34,10 +33,10 @@
   return Math.max(...paid) >= LARGE_TEAM_FACTOR * mean;
 }
 
-/** Shares of the endpoints that are left out as the fastest and the slowest ones. */
+/** Share of the endpoints that is ignored at either end of the speeds. */
 const OUTLIER_SHARE = 0.1;
 
-/** How many times as fast the fast endpoints are as the slow ones. */
+/** Ratio of the speeds of fast and slow endpoints, without outliers. */
 export function speedSpread(speeds: readonly number[]): number {
   if (speeds.length === 0) return 1;
   const sorted = [...speeds].sort((a, b) => a - b);
@@ -46,12 +45,12 @@
     Math.max(sorted[outlierCount], 1e-3);
 }
 
-/** Endpoints differ from this spread on; work then misses its objective by its place. */
+/** From this spread on, work can miss its objective because of where it runs. */
 const UNEVEN_FROM_SPREAD = 1.5;
-/** Hysteresis: learned speeds vary a little, and decisions must not change with them. */
+/** Lower than the start, so that noise in measured speeds does not flip decisions. */
 const EVEN_BELOW_SPREAD = 1.35;
 
-/** Whether endpoints differ in speed, after a time in which they did or did not. */
+/** Whether endpoints differ in speed, with hysteresis on the previous answer. */
 export function doEndpointsDiffer(spread: number, didDiffer: boolean): boolean {
   return spread >= (didDiffer ? EVEN_BELOW_SPREAD : UNEVEN_FROM_SPREAD);
 }
--- a/packages/workflow-scheduler/src/isolation_test.ts
+++ b/packages/workflow-scheduler/src/isolation_test.ts
@@ -1,4 +1,4 @@
-/** Tasks under which endpoints have crashed run by themselves, if that is cheap. */
+/** Tests that tasks whose endpoints crashed run alone where that is cheap. */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
@@ -29,8 +29,8 @@
   return workflow;
 }
 
-/** Endpoints of two accelerators; those named are half full. */
-function buildWorkers(
+/** Endpoints with two accelerators; those in `halfFull` run one task. */
+function buildEndpoints(
   count: number,
   halfFull: readonly number[],
   crashedLately: readonly number[] = [],
@@ -53,13 +53,13 @@
   });
 }
 
-/** Endpoints on which the plan starts the tasks of each workflow, by id. */
+/** Endpoints on which the plan starts tasks, by workflow id. */
 function plan(
-  workers: readonly fleet.WorkerState[],
+  endpoints: readonly fleet.WorkerState[],
   workflows: readonly Workflow.Workflow[],
 ): Record<string, string[]> {
   const { starts } = plans.makePlan({
-    workers,
+    workers: endpoints,
     workflows,
     guarantees: new Map(),
     nowMs: NOW_MS,
@@ -75,85 +75,85 @@
   return places;
 }
 
-vitest.describe("a task under which an endpoint has crashed", () => {
-  vitest.it("starts on an empty endpoint, and nothing beside it", () => {
-    const workers = buildWorkers(3, [0, 1]);
+vitest.describe("a task whose endpoint has crashed", () => {
+  vitest.it("starts on an empty endpoint and gets no neighbours", () => {
+    const endpoints = buildEndpoints(3, [0, 1]);
     const suspect = buildWorkflow("suspect", {}, 1);
     const other = buildWorkflow("other", {});
-    const places = plan(workers, [suspect, other]);
+    const places = plan(endpoints, [suspect, other]);
     vitest.expect(places["suspect"]).toEqual(["worker-2"]);
     vitest.expect(places["other"]).not.toEqual(["worker-2"]);
   });
 
-  vitest.it("takes one that has not crashed lately first", () => {
+  vitest.it("prefers an endpoint that has not crashed lately", () => {
     const suspect = buildWorkflow("suspect", {}, 1);
-    const workers = buildWorkers(4, [], [0, 1, 3]);
-    vitest.expect(plan(workers, [suspect])["suspect"]).toEqual(["worker-2"]);
+    const endpoints = buildEndpoints(4, [], [0, 1, 3]);
+    vitest.expect(plan(endpoints, [suspect])["suspect"]).toEqual(["worker-2"]);
   });
 
-  vitest.it("starts beside others where none is empty", () => {
+  vitest.it("starts beside other tasks if no endpoint is empty", () => {
     const suspect = buildWorkflow("suspect", {}, 1);
-    const places = plan(buildWorkers(2, [0, 1]), [suspect]);
+    const places = plan(buildEndpoints(2, [0, 1]), [suspect]);
     vitest.expect(places["suspect"]).toHaveLength(1);
   });
 
-  vitest.it("waits for one after two crashes", () => {
+  vitest.it("waits for an empty endpoint after two crashes", () => {
     const suspect = buildWorkflow("suspect", {}, 2);
-    const workers = buildWorkers(2, [0, 1]);
-    vitest.expect(plan(workers, [suspect])).toEqual({});
+    const endpoints = buildEndpoints(2, [0, 1]);
+    vitest.expect(plan(endpoints, [suspect])).toEqual({});
     const [task] = suspect.tasks;
     task.waitingSinceMs = 0;
-    vitest.expect(plan(workers, [suspect])["suspect"]).toHaveLength(1);
+    vitest.expect(plan(endpoints, [suspect])["suspect"]).toHaveLength(1);
   });
 
-  vitest.it("does not hold up its siblings", () => {
+  vitest.it("does not delay the other tasks of its step", () => {
     const step = buildWorkflow("step", { count: 2 });
     const [suspect] = step.tasks;
     suspect.crashes = { laid: 2, excused: 0, presence: 4, unseen: 0 };
-    const places = plan(buildWorkers(2, [0, 1]), [step]);
+    const places = plan(buildEndpoints(2, [0, 1]), [step]);
     vitest.expect(places["step"]).toHaveLength(1);
   });
 
-  vitest.it("stays on one rack as a gang, rather than alone on several", () => {
+  vitest.it("stays on one rack as a gang rather than alone on several", () => {
     const step = { count: 3, gang: true, sameRack: true };
     const suspect = buildWorkflow("suspect", step, 1);
-    // One empty endpoint a rack; the gang fits beside others within one.
-    const places = plan(buildWorkers(4, [0, 2]), [suspect]);
+    // Each rack has one empty endpoint; the gang fits one rack beside other tasks.
+    const places = plan(buildEndpoints(4, [0, 2]), [suspect]);
     const racks = new Set(
       places["suspect"].map((id) => Math.floor(Number(id.slice(-1)) / 2)),
     );
     vitest.expect(racks.size).toBe(1);
   });
 
-  vitest.it("stays near its data, rather than alone elsewhere", () => {
+  vitest.it("stays near its data rather than alone elsewhere", () => {
     const suspect = buildWorkflow("suspect", { rack: "rack-0" }, 1);
-    const places = plan(buildWorkers(4, [0, 1]), [suspect]);
+    const places = plan(buildEndpoints(4, [0, 1]), [suspect]);
     vitest.expect(["worker-0", "worker-1"]).toContain(places["suspect"][0]);
   });
 });
 
 /**
- * Work that crashes its endpoints was started three times after its third crash: one of
- * the two starts that are allowed was stopped after a second, before it could tell, for
- * urgent work. The evidence: a random play (rebirths, seed 122).
+ * Guards against an extra start after the third crash of a task. Only two are allowed,
+ * but one that is stopped for urgent work after a second does not show whether the task
+ * crashes its endpoint. Seen with random endpoint restarts, seed 122.
  */
-vitest.describe("a task under which three endpoints have crashed", () => {
+vitest.describe("a task whose endpoints have crashed three times", () => {
   const RAN_MS = { young: 500, old: 5000 };
 
-  /** What has to yield to guaranteed work where these tasks fill all endpoints. */
+  /** Workflows stopped for guaranteed work if the running ones fill all endpoints. */
   function findVictims(running: readonly Workflow.Workflow[]): string[] {
     const claim = new Workflow.Workflow({
       ...buildWorkflow("claim", {}).spec,
       policy: TestUtils.buildAccess().queues[0],
     });
-    const empty = buildWorkers(running.length, []);
-    const workers = empty.map((state, i) => ({
+    const empty = buildEndpoints(running.length, []);
+    const endpoints = empty.map((state, i) => ({
       ...state,
       total: { ...state.total, accelerators: 1 },
       occupants: [...running[i].tasks],
     }));
     const { stops } = plans.makePlan({
-      workers,
+      workers: endpoints,
       workflows: [...running, claim],
       guarantees: new Map([["hana", 1]]),
       nowMs: NOW_MS,
@@ -166,21 +166,21 @@
 
   function startOn(
     workflow: Workflow.Workflow,
-    worker: string,
+    endpoint: string,
     ranMs: number,
   ): Workflow.Workflow {
     for (const task of workflow.tasks) {
-      task.place(worker, 1, NOW_MS - ranMs);
+      task.place(endpoint, 1, NOW_MS - ranMs);
       task.state = Workflow.TaskState.Running;
     }
     return workflow;
   }
 
-  function suspectOn(worker: string, ranMs: number, crashes = 3) {
-    return startOn(buildWorkflow("suspect", {}, crashes), worker, ranMs);
+  function suspectOn(endpoint: string, ranMs: number, crashes = 3) {
+    return startOn(buildWorkflow("suspect", {}, crashes), endpoint, ranMs);
   }
 
-  vitest.it("does not yield before it had the time to tell", () => {
+  vitest.it("is not stopped before it has run long enough", () => {
     const { young, old } = RAN_MS;
     vitest.expect(findVictims([suspectOn("worker-0", young, 2)]))
       .toEqual(["suspect"]);
@@ -189,7 +189,7 @@
       .toEqual(["suspect"]);
   });
 
-  vitest.it("yields after all others", () => {
+  vitest.it("is stopped only after all other tasks", () => {
     const other = startOn(buildWorkflow("other", {}), "worker-1", 50_000);
     const suspect = suspectOn("worker-0", RAN_MS.old);
     vitest.expect(findVictims([suspect, other])).toEqual(["other"]);
--- a/packages/workflow-scheduler/src/kept_rooms.ts
+++ b/packages/workflow-scheduler/src/kept_rooms.ts
@@ -1,25 +1,25 @@
-/** Which endpoints one plan leaves free for urgent work, and who may use them. */
+/** Reserves endpoints for urgent work during one plan. */
 import type * as Workflow from "@cairngate/workflow";
 import type * as fleet from "./fleet.ts";
 import * as placement from "./placement.ts";
 import * as reserveSize from "./urgent_room.ts";
 
-/** Finds places among some rooms for as many tasks of a unit as there is room for. */
+/** Places as many tasks of a unit as fit on the given endpoints. */
 export type FindPlaces = (
   unit: Workflow.Unit,
   endpoints: readonly fleet.Endpoint[],
 ) => placement.Placement;
 
-/** What the choice is made from. */
+/** Options of an urgent reserve. */
 export interface UrgentReserveOptions {
   readonly endpoints: readonly fleet.Endpoint[];
-  /** Urgent work of a service as it came lately. */
+  /** Recent urgent traffic of a service. */
   readonly trafficOf: (service: string) => reserveSize.UrgentTraffic;
-  /** Time that a stop takes at most, in ms. */
+  /** Longest time that a stop takes, in ms. */
   readonly stopMs: number;
 }
 
-/** Endpoints that are left free, by service; chosen once in a plan. */
+/** Endpoints reserved for urgent work, chosen once per service and plan. */
 export class UrgentReserve {
   readonly #options: UrgentReserveOptions;
   readonly #reservedByService = new Map<
@@ -31,7 +31,7 @@
     this.#options = options;
   }
 
-  /** Endpoints that are left free, as far as units have asked. */
+  /** Number of reserved endpoints of the services queried so far. */
   get size(): number {
     return [...this.#reservedByService.values()].reduce(
       (sum, reserved) => sum + reserved.size,
@@ -39,7 +39,7 @@
     );
   }
 
-  /** Those of the rooms that a unit may take. */
+  /** Endpoints that a unit may use. */
   allowedFor(
     unit: Workflow.Unit,
     endpoints: readonly fleet.Endpoint[],
@@ -52,9 +52,8 @@
   }
 
   /**
-   * Places for as many tasks as there is room for. Ordinary work that stops cheaply
-   * fills the room for urgent work first: a stop that must be strikes it, and not
-   * work that would lose all.
+   * Places as many tasks of a unit as fit. Ordinary work with checkpoints fills the
+   * reserve first, so that later stops lose little work.
    */
   findPlaces(
     unit: Workflow.Unit,
--- a/packages/workflow-scheduler/src/placement.ts
+++ b/packages/workflow-scheduler/src/placement.ts
@@ -1,25 +1,25 @@
-/** Finds places for a unit within some amount of room on each worker. */
+/** Places units on endpoints within the resources available on each. */
 import type * as Workflow from "@cairngate/workflow";
 import * as fleet from "./fleet.ts";
 
-/** Workers of a unit's tasks, in the order of the tasks. */
+/** Endpoint of each task of a unit, in the order of the tasks. */
 export type Placement = readonly fleet.Endpoint[];
 
-/** Tells the room of a worker that a search may use. */
+/** Returns the resources of an endpoint that a search may use. */
 export type FreeOf = (
   endpoint: fleet.Endpoint,
 ) => Workflow.Resources;
 
-/** Room that is free now. */
+/** Resources that are free now. */
 export const freeNow: FreeOf = (endpoint) => endpoint.free;
 
-/** Room that is free once all stops have ended. */
+/** Resources that are free once all stops are done. */
 export const freeAfterStops: FreeOf = (endpoint) => endpoint.freeAfterStops;
 
-/** Room that was free before this plan gave any of it away. */
+/** Resources that were free before this plan allocated any. */
 export const freeAtStart: FreeOf = (endpoint) => endpoint.freeAtStart;
 
-/** Finds the tightest places among some workers; null where there are none. */
+/** Places a unit by best fit on some endpoints; null if it does not fit. */
 export function findAmong(
   unit: Workflow.Unit,
   endpoints: readonly fleet.Endpoint[],
@@ -37,7 +37,7 @@
   const acceleratorsLeft = ({ endpoint, fits }: typeof candidates[number]) =>
     freeOf(endpoint).accelerators - fits * unit.step.accelerators;
   const penalty = penaltyFor(unit);
-  // Racks are filled one after another, so that whole ones stay free.
+  // Fills one rack after another, so that whole racks stay free.
   candidates.sort((a, b) =>
     penalty(a.endpoint) - penalty(b.endpoint) ||
     (rackFree.get(a.endpoint.state.rack) ?? 0) -
@@ -51,9 +51,8 @@
 }
 
 /**
- * Finds places for as many tasks of a unit as there is room for, each by itself.
- * One search does for all what one after another would find: the tightest worker
- * of the fullest rack is filled first.
+ * Places as many independent tasks of a unit as fit. One search gives the result of a
+ * search for each task: it fills the fullest endpoint of the fullest rack first.
  */
 export function findForEach(
   unit: Workflow.Unit,
@@ -90,7 +89,7 @@
   return a < b ? -1 : 1;
 }
 
-/** The first places, in order, of rooms that each take some tasks. */
+/** Fills the candidates in order with at most `maxPlaces` tasks. */
 function takePlaces(
   open: readonly { readonly endpoint: fleet.Endpoint; readonly fits: number }[],
   maxPlaces: number,
@@ -103,27 +102,28 @@
   return places;
 }
 
-/** Workers whose speeds differ by less count as equally fast. */
+/** Speed difference below which endpoints count as equally fast. */
 const SPEED_STEP = 0.12;
 
 /**
- * Endpoints that have just come up count as this much as fast as they will be. How
- * slow they are is not told; half puts them behind every warm one, whose speeds
- * differ by 0.3 at most, as far as measured.
+ * Factor on the speed of an endpoint that has just started up. Endpoints do not report
+ * how slow they are at first; half places them behind every warm endpoint, whose speeds
+ * differ by at most 0.3.
  */
 const COLD_SPEED_FACTOR = 0.5;
 
-/** Steps of penalty by which endpoints in doubt come after all others. */
+/** Penalty that orders unreliable endpoints after all others, in speed steps. */
 const UNRELIABLE_PENALTY = 1000;
 /**
- * The same for endpoints on which nothing has run well lately, for work that has
- * failed before: the next failure may be its last.
+ * Penalty of endpoints on which no run has recently succeeded or survived its start, in
+ * speed steps. It applies to work that has failed before, since its next failure may
+ * use up its attempts.
  */
 const UNPROVEN_PENALTY = 100;
 
 /**
- * Urgent work takes the fast workers first and other work the slow ones, because
- * it has more time.
+ * Orders endpoints for a unit: urgent work takes the fastest first, other work the
+ * slowest, because it has more time.
  */
 function penaltyFor(
   unit: Workflow.Unit,
@@ -140,7 +140,7 @@
     sign * Math.round((currentSpeed(state) - 1) / SPEED_STEP);
 }
 
-/** Speed as it is now; one that has just come up is slower than it will be. */
+/** Current speed, reduced for an endpoint that has just started up. */
 export function currentSpeed({ speed, isCold }: fleet.WorkerState): number {
   return isCold === true ? speed * COLD_SPEED_FACTOR : speed;
 }
@@ -158,7 +158,7 @@
   return free;
 }
 
-/** Finds places within one rack: the wanted one, else the tightest. */
+/** Places a unit within one rack, preferring the fastest and then the fullest one. */
 export function findInOneRack(
   unit: Workflow.Unit,
   endpoints: readonly fleet.Endpoint[],
@@ -179,12 +179,12 @@
   return best?.places ?? null;
 }
 
-/** Whether tasks of a unit run at full speed only within one rack. */
+/** Whether the tasks of a unit run at full speed only within one rack. */
 export function wantsOneRack(unit: Workflow.Unit): boolean {
   return unit.step.gang && unit.step.sameRack && unit.tasks.length > 1;
 }
 
-/** Workers where a unit runs at full speed. */
+/** Endpoints near the data of a unit, where it runs at full speed. */
 export function endpointsNearData(
   unit: Workflow.Unit,
   endpoints: readonly fleet.Endpoint[],
@@ -194,7 +194,7 @@
   return endpoints.filter((endpoint) => endpoint.state.rack === rack);
 }
 
-/** Finds places where the unit runs at full speed. */
+/** Places a unit where it runs at full speed; null if it does not fit there. */
 export function findNear(
   unit: Workflow.Unit,
   endpoints: readonly fleet.Endpoint[],
@@ -206,7 +206,7 @@
     : findAmong(unit, near, freeOf);
 }
 
-/** Whether the unit would run at full speed on empty workers. */
+/** Whether a unit would fit where it runs at full speed if endpoints were empty. */
 export function couldFitNear(
   unit: Workflow.Unit,
   endpoints: readonly fleet.Endpoint[],
@@ -214,7 +214,7 @@
   return findNear(unit, endpoints, (endpoint) => endpoint.state.total) !== null;
 }
 
-/** Workers by rack. */
+/** Groups endpoints by rack. */
 export function groupByRack(
   endpoints: readonly fleet.Endpoint[],
 ): Map<string, fleet.Endpoint[]> {
--- a/packages/workflow-scheduler/src/plan.ts
+++ b/packages/workflow-scheduler/src/plan.ts
@@ -1,4 +1,4 @@
-/** Makes a plan: which units start where, and which tasks stop for them. */
+/** Plans which units start on which endpoints and which tasks stop for them. */
 import * as Workflow from "@cairngate/workflow";
 import * as eviction from "./eviction.ts";
 import * as estimates from "./expected_run.ts";
@@ -30,15 +30,15 @@
   StopDecision,
 } from "./plan_data.ts";
 
-/** Decides for all units that are ready. */
+/** Decides which ready units start, wait or make other tasks stop. */
 export function makePlan(input: planData.PlanInput): planData.Plan {
   return new Planner(input).run();
 }
 
-/** Gangs for which room is kept in one plan. */
+/** Most waiting gangs that get a reservation, and searches for run ends, per plan. */
 const MAX_RESERVATIONS = 4;
 
-/** Below this share in use, work waits only briefly for a better place. */
+/** Fleet utilization below which work waits only briefly for a better place. */
 const IDLE_UTILIZATION = 0.55;
 const IDLE_WAIT_MS = 2000;
 
@@ -50,22 +50,22 @@
   readonly #starts: planData.StartDecision[] = [];
   readonly #stops = new Map<Workflow.Task, planData.StopDecision>();
   readonly #waits: waiting.WaitDecision[] = [];
-  /** Most of the fleet is free: nothing should wait for a better place. */
+  /** Whether most of the fleet is free; work then hardly waits for a better place. */
   readonly #isIdle: boolean;
   readonly #evictionContext: eviction.EvictionContext;
-  /** Whether stops are weighed, and room is kept: only where teams compete. */
+  /** Whether teams compete; stops are then limited and endpoints reserved. */
   readonly #teamsCompete: boolean;
   readonly #urgentReserve: urgentReserve.UrgentReserve;
   readonly #endContext: reservation.RunEndContext;
   readonly #runTimes: runTimes.RunTimes;
-  /** Null where shares do not count. */
+  /** Recent use by team; null unless teams compete. */
   readonly #shares: teamShares.TeamShares | null;
-  /** Units behind others that come later by their objectives. */
+  /** Units ordered behind units of other teams that have later objectives. */
   #passedOver: ReadonlySet<Workflow.Unit> = new Set();
   #reservationCount = 0;
-  /** Searches for ends that come in time; each looks at all runs. */
+  /** Searches for run ends so far; each one scans all runs. */
   #runEndSearchCount = 0;
-  /** Steps of which a task found no room; its siblings find none either. */
+  /** Steps with a task that could not be placed; their other tasks can't be either. */
   readonly #blocked = new Set<readonly Workflow.Task[]>();
 
   constructor(input: planData.PlanInput) {
@@ -101,7 +101,7 @@
     });
   }
 
-  /** Time that stops are reckoned to take, in ms; none where they are not weighed. */
+  /** Time that a stop is expected to take, in ms; 0 unless teams compete. */
   get #stopMs(): number {
     return this.#teamsCompete ? this.#input.stopMs ?? 0 : 0;
   }
@@ -136,8 +136,8 @@
   }
 
   /**
-   * One search finds places for all single tasks of a step that fit: a search for
-   * each of 40 tasks looked at each endpoint 40 times (plan_growth_test.ts).
+   * Places all single tasks of a step in one search: a search for each of 40 tasks
+   * would read each endpoint 40 times (plan_growth_test.ts).
    */
   #decideGroup(units: readonly Workflow.Unit[]): void {
     const [first] = units;
@@ -157,7 +157,7 @@
     }
   }
 
-  /** Near their data first; elsewhere only where waiting does not pay. */
+  /** Places tasks near their data first, elsewhere only if waiting costs more. */
   #placeEach(
     combined: Workflow.Unit,
     endpoints: readonly fleet.Endpoint[],
@@ -177,7 +177,7 @@
     return [...places, ...this.#urgentReserve.findPlaces(remaining, farther)];
   }
 
-  /** Where speeds differ, endpoints on which the tasks end in time come first. */
+  /** Prefers endpoints on which the tasks end in time, where speeds differ. */
   #placeEachNear(
     combined: Workflow.Unit,
     near: readonly fleet.Endpoint[],
@@ -194,7 +194,7 @@
     );
   }
 
-  /** Places a unit on endpoints that are fast enough, or gets them for it. */
+  /** Places a unit on endpoints that are fast enough, or claims such endpoints. */
   #claimFastEndpoints(
     unit: Workflow.Unit,
     endpoints: readonly fleet.Endpoint[],
@@ -208,7 +208,7 @@
       runEndContext: this.#endContext,
       mayClaim: this.#mayClaim(unit) &&
         (!isGuaranteed || this.#mayWaitForSpeed(unit)),
-      // A guarantee is for room at once, whatever its speed.
+      // A guarantee entitles a unit to capacity at once, whatever its speed.
       mayWait: () =>
         !isGuaranteed && this.#runEndSearchCount++ < MAX_RESERVATIONS,
       isWorth: (found) =>
@@ -224,7 +224,7 @@
     return true;
   }
 
-  /** What others lose where a unit takes room at any speed. */
+  /** Loss of other work if the unit takes endpoints of any speed, in core-seconds. */
   #lossAtAnySpeed(
     unit: Workflow.Unit,
     endpoints: readonly fleet.Endpoint[],
@@ -238,9 +238,11 @@
   }
 
   /**
-   * A guarantee holds out for fast room no longer than stops take: what is being freed
-   * may never come, as where an endpoint has fallen silent. Where the clock of the box
-   * that accepted it is ahead, nobody knows how long it has waited.
+   * Whether a guaranteed unit may still wait for fast endpoints. It waits no longer
+   * than stops take, since capacity that is being freed may never become free, for
+   * example when an endpoint stops responding. A negative waiting time means that the
+   * clock of the box that accepted the work is ahead, so the real waiting time is
+   * unknown.
    */
   #mayWaitForSpeed({ workflow, round }: Workflow.Unit): boolean {
     const dueMs = Workflow.dueAtMs(workflow.spec, round);
@@ -270,14 +272,14 @@
     this.#decideWithoutPlace(unit, endpoints);
   }
 
-  /** A unit for which nothing is free makes others yield, or waits. */
+  /** Stops other tasks for a unit that could not be placed, or lets it wait. */
   #decideWithoutPlace(
     unit: Workflow.Unit,
     endpoints: readonly fleet.Endpoint[],
   ): void {
     if (this.#mayClaim(unit) && this.#claim(unit, endpoints)) return;
     this.#reserveAhead(unit, this.#urgentReserve.allowedFor(unit, endpoints));
-    // Its siblings need no endpoint of their own, and may find room.
+    // Other tasks of the step need no empty endpoint, so they may still be placed.
     if (!isolation.isSuspect(unit)) {
       this.#blocked.add(unit.workflow.siblings(unit.tasks[0]));
     }
@@ -292,14 +294,14 @@
     this.#waits.push({ unit, reason });
   }
 
-  /** Urgent work beyond a guarantee claims only while that is of use. */
+  /** Whether a unit may claim busy endpoints: guaranteed, or urgent and in time. */
   #mayClaim(unit: Workflow.Unit): boolean {
     if (unit.workflow.spec.policy.priority > 0) return false;
     return this.#isGuaranteed(unit) ||
       this.#runTimes.bestOutcomeOf(unit) === rank.Hope.InTime;
   }
 
-  /** Whether others may stop now; those that are stopping already end sooner. */
+  /** Whether a unit may stop more tasks, given that a new stop takes its full time. */
   #mayStopOthers(unit: Workflow.Unit): boolean {
     return this.#isGuaranteed(unit) ||
       stopRules.canEndInTimeAfterStops(unit, this.#stopContext);
@@ -318,7 +320,7 @@
     };
   }
 
-  /** Keeps the room that a waiting gang will get first from later units. */
+  /** Reserves the capacity that becomes free first for a waiting gang. */
   #reserveAhead(
     unit: Workflow.Unit,
     endpoints: readonly fleet.Endpoint[],
@@ -359,7 +361,7 @@
     return placement.findAmong(unit, endpoints, placement.freeNow);
   }
 
-  /** Waiting pays while the unit would still end earlier near its data. */
+  /** Whether a unit ends earlier if it waits for capacity near its data. */
   #shouldStayNear(
     unit: Workflow.Unit,
     endpoints: readonly fleet.Endpoint[],
@@ -374,13 +376,17 @@
   }
 
   #start(unit: Workflow.Unit, places: placement.Placement): void {
-    const workers = places.map((endpoint) => endpoint.state.id);
+    const endpointIds = places.map((endpoint) => endpoint.state.id);
     for (const endpoint of places) endpoint.allocate(unit, 1);
     if (isolation.isSuspect(unit)) {
       for (const endpoint of places) endpoint.withholdAll();
     }
     const slow = this.#slowReason(unit, places);
-    this.#starts.push({ unit, workers, ...(slow === null ? {} : { slow }) });
+    this.#starts.push({
+      unit,
+      workers: endpointIds,
+      ...(slow === null ? {} : { slow }),
+    });
   }
 
   #slowReason(
@@ -393,7 +399,7 @@
     return slowPlaces.slowReason(unit, places, { estimator, wallMs });
   }
 
-  /** Keeps room that is being freed, or makes others yield. */
+  /** Reserves capacity that is being freed, or stops other tasks. */
   #claim(
     unit: Workflow.Unit,
     endpoints: readonly fleet.Endpoint[],
@@ -419,7 +425,7 @@
     this.#reserve(unit, found.places);
   }
 
-  /** Work that was stopped often is spared, unless a guarantee finds nothing else. */
+  /** Spares tasks that were stopped often unless a guarantee has no other way. */
   #findEviction(
     unit: Workflow.Unit,
     endpoints: readonly fleet.Endpoint[],
@@ -434,7 +440,7 @@
     return find({ ...this.#evictionContext, sparesOftenStopped: false });
   }
 
-  /** Beyond a guarantee nobody makes others lose more work than it brings. */
+  /** Whether stops are justified: guaranteed work, or no more work lost than gained. */
   #isWorth(unit: Workflow.Unit, found: eviction.Eviction): boolean {
     return this.#isGuaranteed(unit) ||
       found.loss <= eviction.coreSecondsOf(unit);
--- a/packages/workflow-scheduler/src/plan_data.ts
+++ b/packages/workflow-scheduler/src/plan_data.ts
@@ -1,4 +1,4 @@
-/** What goes into a plan and what comes out of it, as plain data. */
+/** Inputs and results of a plan, as plain data. */
 import type * as Workflow from "@cairngate/workflow";
 import type * as estimates from "./expected_run.ts";
 import type * as fleet from "./fleet.ts";
@@ -8,40 +8,40 @@
 import type * as reserveSize from "./urgent_room.ts";
 import type * as waiting from "./wait_reason.ts";
 
-/** What a plan is made from. */
+/** Inputs of a plan. */
 export interface PlanInput {
   readonly workers: readonly fleet.WorkerState[];
   readonly workflows: Iterable<Workflow.Workflow>;
-  /** Accelerators that each tenant has paid for. */
+  /** Accelerators that each team has paid for. */
   readonly guarantees: ReadonlyMap<string, number>;
   readonly nowMs: number;
   readonly wallMs: number;
-  /** How much slower work runs away from its rack. */
+  /** Factor by which work runs longer away from its rack. */
   readonly remotePenalty: number;
-  /** Whether the advice for a step lets it run on a worker now. */
+  /** Whether the advice for a unit allows it to run on an endpoint now. */
   readonly isAdvised: (unit: Workflow.Unit, worker: string) => boolean;
-  /** Kinds of hard load that the deployment has; left out: none. */
+  /** Kinds of hard load in the deployment; defaults to none. */
   readonly hardLoad?: hardLoads.HardLoad;
-  /** Time that a stop takes at most, in ms; left out: none. */
+  /** Longest time that a stop takes, in ms; defaults to 0. */
   readonly stopMs?: number;
-  /** Urgent work of a service as it came lately; left out: none. */
+  /** Recent urgent traffic of a service; defaults to none. */
   readonly urgentTraffic?: (service: string) => reserveSize.UrgentTraffic;
-  /** What runs of each queue took against their estimates; left out: as estimated. */
+  /** Ratio of run time to estimate, by queue; defaults to 1. */
   readonly corrections?: estimates.Corrections;
-  /** What teams have had; counts only where teams compete. Left out: not known. */
+  /** Recent use by team; applies only if teams compete. Left out if unknown. */
   readonly shares?: teamShares.TeamShares;
 }
 
-/** Start these tasks on these workers. */
+/** Starts the tasks of a unit on endpoints. */
 export interface StartDecision {
   readonly unit: Workflow.Unit;
-  /** Worker of each task, in the order of the tasks. */
+  /** Endpoint id of each task, in the order of the tasks. */
   readonly workers: readonly string[];
-  /** Why urgent work starts where it will be late; left out: it does not. */
+  /** Why urgent work starts on endpoints where it will be late; left out otherwise. */
   readonly slow?: slowPlaces.SlowReason;
 }
 
-/** Stop this task so that a more urgent unit fits. */
+/** Stops a task so that a more urgent unit can be placed. */
 export interface StopDecision {
   readonly task: Workflow.Task;
   readonly claimant: Workflow.Unit;
@@ -52,6 +52,6 @@
   readonly starts: readonly StartDecision[];
   readonly stops: readonly StopDecision[];
   readonly waits: readonly waiting.WaitDecision[];
-  /** Endpoints that were left free for urgent work. */
+  /** Number of endpoints reserved for urgent work. */
   readonly kept: number;
 }
--- a/packages/workflow-scheduler/src/plan_growth_test.ts
+++ b/packages/workflow-scheduler/src/plan_growth_test.ts
@@ -1,14 +1,14 @@
-/** How often a plan looks at each endpoint, for many tasks of one step. */
+/** Guards against plans that read each endpoint once per task of a step. */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
 import * as plans from "./plan.ts";
 
-/** Endpoints of the fleet, with eight accelerators each: all are free. */
+/** Free endpoints of the fleet, with eight accelerators each. */
 const ENDPOINTS = 200;
-/** Tasks of the step, one accelerator each: about what the users' batches have. */
+/** Tasks of the step, one accelerator each; about the size of the users' batches. */
 const TASKS = 40;
-/** Looks at each endpoint that a plan for one step may take. */
+/** Most reads of each endpoint by a plan for one step, on average. */
 const MAX_READS_PER_ENDPOINT = 4;
 
 function buildWorkflow(gang: boolean): Workflow.Workflow {
@@ -39,10 +39,10 @@
   });
 }
 
-/** Looks at each endpoint, on average, while a plan is made. */
+/** Counts the reads of each endpoint by a plan, on average. */
 function countReads(gang: boolean): number {
   let reads = 0;
-  const workers = Array.from({ length: ENDPOINTS }, (_, i) => ({
+  const endpoints = Array.from({ length: ENDPOINTS }, (_, i) => ({
     id: `i-${i}`,
     service: "analysis",
     dataCentre: "dc-1",
@@ -57,7 +57,7 @@
     occupants: [],
   }));
   const plan = plans.makePlan({
-    workers,
+    workers: endpoints,
     workflows: [buildWorkflow(gang)],
     guarantees: new Map(),
     nowMs: 0,
@@ -71,23 +71,23 @@
 }
 
 vitest.describe("a plan for many tasks of one step", () => {
-  vitest.it("looks at each endpoint a few times for a gang", () => {
+  vitest.it("reads each endpoint a few times for a gang", () => {
     vitest.expect(countReads(true)).toBeLessThanOrEqual(MAX_READS_PER_ENDPOINT);
   });
 
-  vitest.it("looks at each endpoint a few times for single tasks", () => {
+  vitest.it("reads each endpoint a few times for single tasks", () => {
     vitest.expect(countReads(false)).toBeLessThanOrEqual(
       MAX_READS_PER_ENDPOINT,
     );
   });
 });
 
-/** Endpoints of one gang for which others yield. */
+/** Tasks of the gang, each of which needs a whole endpoint. */
 const GANG_SIZE = 32;
-/** Looks at what runs on each endpoint that a plan for such a gang may take. */
+/** Most reads of the tasks of each endpoint by a plan for such a gang, on average. */
 const MAX_VICTIM_READS_PER_ENDPOINT = 12;
 
-/** Looks at what runs on each endpoint while an urgent gang makes others yield. */
+/** Counts the reads of the tasks of each endpoint while an urgent gang evicts them. */
 function countVictimReads(): number {
   let reads = 0;
   const ordinary = Array.from({ length: ENDPOINTS }, (_, i) => {
@@ -101,7 +101,7 @@
     task.state = Workflow.TaskState.Running;
     return { workflow, task };
   });
-  const workers = ordinary.map(({ task }, i) => ({
+  const endpoints = ordinary.map(({ task }, i) => ({
     id: `i-${i}`,
     service: "analysis",
     dataCentre: "dc-1",
@@ -124,7 +124,7 @@
     ],
   });
   const plan = plans.makePlan({
-    workers,
+    workers: endpoints,
     workflows: [...ordinary.map(({ workflow }) => workflow), urgent],
     guarantees: new Map([["hana", 8 * ENDPOINTS]]),
     nowMs: 0,
@@ -137,7 +137,7 @@
 }
 
 vitest.describe("a plan for an urgent gang on a full fleet", () => {
-  vitest.it("looks at what runs on each endpoint a few times", () => {
+  vitest.it("reads the tasks of each endpoint a few times", () => {
     vitest.expect(countVictimReads()).toBeLessThanOrEqual(
       MAX_VICTIM_READS_PER_ENDPOINT,
     );
--- a/packages/workflow-scheduler/src/plan_speeds_test.ts
+++ b/packages/workflow-scheduler/src/plan_speeds_test.ts
@@ -1,9 +1,9 @@
 /**
- * Plans over endpoints of different speeds.
+ * Tests plans over endpoints of different speeds.
  *
- * The failure: an urgent gang of 2.1 s, to be done within 3.4 s, was late though
- * endpoints were there that could have ended it in time. It was placed on endpoints
- * of speed 0.6, because room was made where that cost least, and needed 3.5 s there.
+ * Guards against late urgent work although fast enough endpoints exist: evicting where
+ * that is cheapest placed an urgent gang of 2.1 s with an objective of 3.4 s on
+ * endpoints of speed 0.6, where it took 3.5 s.
  */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
@@ -42,9 +42,9 @@
 
 interface EndpointOptions {
   readonly speed: number;
-  /** Time since which ordinary work runs there; left out: it is free. */
+  /** Time for which ordinary work has run on it, in ms; left out if it is free. */
   readonly ranMs?: number;
-  /** Time until that ends by its pace. */
+  /** Predicted remaining time of that work, in ms. */
   readonly remainingMs?: number;
 }
 
@@ -75,12 +75,12 @@
 }
 
 function plan(
-  workers: readonly fleet.WorkerState[],
+  endpoints: readonly fleet.WorkerState[],
   workflow: Workflow.Workflow,
   options: Partial<plans.PlanInput> = {},
 ): plans.Plan {
   return plans.makePlan({
-    workers,
+    workers: endpoints,
     workflows: [workflow],
     guarantees: GUARANTEES,
     nowMs: NOW_MS,
@@ -98,20 +98,20 @@
   result.starts.flatMap(({ workers }) => [...workers]).sort();
 
 vitest.describe("urgent work on uneven endpoints", () => {
-  vitest.it("makes room where it ends in time, though that costs more", () => {
+  vitest.it("evicts where it ends in time although that costs more", () => {
     const endpoints = buildEndpoints([
       { speed: SLOW, ranMs: 100 },
       { speed: FAST, ranMs: 900 },
     ]);
     const urgent = buildWorkflow(0, {});
     vitest.expect(stoppedOn(plan(endpoints, urgent))).toEqual(["endpoint-1"]);
-    // Where endpoints are taken for alike, the cheapest room is made.
+    // Without hard load, the plan evicts where that is cheapest.
     const even = { hardLoad: hardLoads.NO_HARD_LOAD };
     vitest.expect(stoppedOn(plan(endpoints, urgent, even)))
       .toEqual(["endpoint-0"]);
   });
 
-  vitest.it("makes room rather than start where it would be late", () => {
+  vitest.it("evicts rather than starts where it would be late", () => {
     const endpoints = buildEndpoints([
       { speed: SLOW },
       { speed: FAST, ranMs: 100 },
@@ -119,7 +119,7 @@
     const result = plan(endpoints, buildWorkflow(0, {}));
     vitest.expect(startedOn(result)).toEqual([]);
     vitest.expect(stoppedOn(result)).toEqual(["endpoint-1"]);
-    // Others would lose more than the gang brings.
+    // Stopping the ordinary work would lose more than the urgent work gains.
     const expensive = buildEndpoints([
       { speed: SLOW },
       { speed: FAST, ranMs: 2000 },
@@ -129,37 +129,43 @@
       .toEqual([["endpoint-0"], []]);
   });
 
-  vitest.it("takes slow room if its guarantee has waited for stops", () => {
-    const endpoints = buildEndpoints([
-      { speed: SLOW },
-      { speed: FAST, ranMs: 100 },
-    ]);
-    const patient = () => buildWorkflow(0, { estimateMs: 20_000 });
-    const soon = plan(endpoints, patient(), { wallMs: 900 });
-    vitest.expect(startedOn(soon)).toEqual([]);
-    const later = plan(endpoints, patient(), { wallMs: 1100 });
-    vitest.expect(startedOn(later)).toEqual(["endpoint-0"]);
-    vitest.expect(stoppedOn(later)).toEqual([]);
-  });
+  vitest.it(
+    "starts on a slow endpoint if its guarantee has waited for stops",
+    () => {
+      const endpoints = buildEndpoints([
+        { speed: SLOW },
+        { speed: FAST, ranMs: 100 },
+      ]);
+      const patient = () => buildWorkflow(0, { estimateMs: 20_000 });
+      const soon = plan(endpoints, patient(), { wallMs: 900 });
+      vitest.expect(startedOn(soon)).toEqual([]);
+      const later = plan(endpoints, patient(), { wallMs: 1100 });
+      vitest.expect(startedOn(later)).toEqual(["endpoint-0"]);
+      vitest.expect(stoppedOn(later)).toEqual([]);
+    },
+  );
 
-  vitest.it("takes slow room where a clock says it is yet to come", () => {
-    // The box that accepted it is ahead: a guarantee would hold out for that longer.
-    const endpoints = buildEndpoints([
-      { speed: SLOW },
-      { speed: FAST, ranMs: 100 },
-    ]);
-    const patient = buildWorkflow(0, { estimateMs: 20_000 });
-    const result = plan(endpoints, patient, { wallMs: -1000 });
-    vitest.expect(startedOn(result)).toEqual(["endpoint-0"]);
-  });
+  vitest.it(
+    "starts on a slow endpoint if its acceptance lies in the future",
+    () => {
+      // The clock of the accepting box is ahead, which would prolong the wait.
+      const endpoints = buildEndpoints([
+        { speed: SLOW },
+        { speed: FAST, ranMs: 100 },
+      ]);
+      const patient = buildWorkflow(0, { estimateMs: 20_000 });
+      const result = plan(endpoints, patient, { wallMs: -1000 });
+      vitest.expect(startedOn(result)).toEqual(["endpoint-0"]);
+    },
+  );
 
-  vitest.it("takes slow room where nothing faster is to be had", () => {
+  vitest.it("starts on a slow endpoint if there is no faster one", () => {
     const endpoints = buildEndpoints([{ speed: SLOW }]);
     vitest.expect(startedOn(plan(endpoints, buildWorkflow(0, {}))))
       .toEqual(["endpoint-0"]);
   });
 
-  vitest.it("is told of with the reason where it starts to be late", () => {
+  vitest.it("has a reason if it starts where it will be late", () => {
     const reasonsOf = (
       endpointOptions: readonly EndpointOptions[],
       wallMs: number,
@@ -178,7 +184,7 @@
     vitest.expect(reasonsOf([{ speed: FAST }], 0)).toEqual([undefined]);
   });
 
-  vitest.it("begins at once where no endpoint can be fast enough", () => {
+  vitest.it("starts at once if no endpoint can be fast enough", () => {
     const endpoints = buildEndpoints([
       { speed: SLOW },
       { speed: FAST, ranMs: 100 },
@@ -188,7 +194,7 @@
       .toEqual(["endpoint-0"]);
   });
 
-  vitest.it("waits for a fast endpoint that is free in time", () => {
+  vitest.it("waits for a fast endpoint that becomes free in time", () => {
     const endpoints = buildEndpoints([
       { speed: SLOW },
       { speed: FAST, ranMs: 5000, remainingMs: 300 },
@@ -196,28 +202,28 @@
     const noGuarantee = { guarantees: new Map<string, number>() };
     const result = plan(endpoints, buildWorkflow(0, {}), noGuarantee);
     vitest.expect([startedOn(result), stoppedOn(result)]).toEqual([[], []]);
-    // A guarantee is for room at once.
+    // A guarantee entitles a unit to capacity at once.
     const guaranteed = plan(endpoints, buildWorkflow(0, {}));
     vitest.expect(startedOn(guaranteed)).toEqual(["endpoint-0"]);
   });
 });
 
 vitest.describe("gangs on uneven endpoints", () => {
-  vitest.it("keep fast endpoints out of the company of slow ones", () => {
+  vitest.it("do not mix fast endpoints with slow ones", () => {
     const speeds = [FAST, 1, FAST, 1, 1].map((speed) => ({ speed }));
     const gang = buildWorkflow(0, { count: 3, gang: true });
     vitest.expect(startedOn(plan(buildEndpoints(speeds), gang)))
       .toEqual(["endpoint-1", "endpoint-3", "endpoint-4"]);
   });
 
-  vitest.it("that are not urgent leave the fast endpoints free", () => {
+  vitest.it("leave the fast endpoints free if they are not urgent", () => {
     const speeds = [FAST, SLOW, FAST, SLOW, FAST].map((speed) => ({ speed }));
     const patient = { count: 2, gang: true, estimateMs: 100 };
     vitest.expect(
       startedOn(plan(buildEndpoints(speeds), buildWorkflow(1, patient))),
     )
       .toEqual(["endpoint-1", "endpoint-3"]);
-    // What would end late there goes to faster ones.
+    // A gang that would end late on slow endpoints gets faster ones.
     const pressed = { count: 2, gang: true, estimateMs: 10_000 };
     vitest.expect(
       startedOn(plan(buildEndpoints(speeds), buildWorkflow(1, pressed))),
@@ -232,7 +238,7 @@
     maxLength: 12,
   });
 
-  vitest.it("are as fast for urgent work as any that it could have", () => {
+  vitest.it("for urgent work are the fastest available", () => {
     fc.assert(fc.property(speeds, fc.integer({ min: 1, max: 5 }), (all, n) => {
       const count = Math.min(n, all.length);
       const gang = buildWorkflow(0, { count, gang: true });
@@ -246,7 +252,7 @@
     }));
   });
 
-  vitest.it("count as alike where the load does not call for more", () => {
+  vitest.it("count as equally fast without hard load", () => {
     fc.assert(fc.property(speeds, fc.integer({ min: 0, max: 2 }), (all, p) => {
       const endpoints = buildEndpoints(all.map((speed) => ({ speed })));
       const decisionsOf = (options: Partial<plans.PlanInput>) => {
--- a/packages/workflow-scheduler/src/rank.ts
+++ b/packages/workflow-scheduler/src/rank.ts
@@ -1,23 +1,23 @@
-/** Who comes first, and who may make whom yield. */
+/** Orders work and defines which work may stop other work. */
 import * as Workflow from "@cairngate/workflow";
 import * as shareOrder from "./share_order.ts";
 import type * as teamShares from "./team_shares.ts";
 
-/** Rank of work; a lower rank may make a higher one yield. */
+/** Rank of work; urgent work may stop work of a higher rank number. */
 export enum Rank {
-  /** Urgent work inside its tenant's guarantee. */
+  /** Urgent work within the guarantee of its team. */
   Guaranteed = 0,
   /** Urgent work beyond the guarantee. */
   Urgent = 1,
-  /** All other work; its priority follows. */
+  /** First rank of all other work, which is ordered by its priority. */
   Ordinary = 2,
 }
 
-/** Knows the ranks of all workflows during one plan. */
+/** Ranks of all workflows during one plan. */
 export class Ranks {
   readonly #guaranteed = new Set<Workflow.Workflow>();
 
-  /** @param guarantees accelerators that each tenant has paid for */
+  /** @param guarantees accelerators that each team has paid for */
   constructor(
     workflows: Iterable<Workflow.Workflow>,
     guarantees: ReadonlyMap<string, number>,
@@ -34,21 +34,21 @@
     }
   }
 
-  /** Rank of a workflow; ordinary work is ordered by its priority. */
+  /** Returns the rank of a workflow; ordinary work is ranked by its priority. */
   of(workflow: Workflow.Workflow): number {
     const { priority } = workflow.spec.policy;
     if (priority > 0) return Rank.Ordinary + priority - 1;
     return this.#guaranteed.has(workflow) ? Rank.Guaranteed : Rank.Urgent;
   }
 
-  /** Whether work of one rank may make another yield. */
+  /** Whether a workflow may stop tasks of another one. */
   mayEvict(claimant: Workflow.Workflow, victim: Workflow.Workflow): boolean {
     if (claimant.spec.policy.priority > 0) return false;
     return this.of(victim) > this.of(claimant);
   }
 }
 
-/** Most accelerators that one step of a workflow uses at once. */
+/** Largest number of accelerators that a step of a workflow uses at once. */
 export function acceleratorsOf(workflow: Workflow.Workflow): number {
   const acceleratorCounts = workflow.spec.steps.map((s) =>
     s.count * s.accelerators
@@ -56,18 +56,19 @@
   return Math.max(0, ...acceleratorCounts);
 }
 
-/** What a unit that starts now can still reach. */
+/** Best outcome that a unit can still reach if it starts now. */
 export enum Hope {
   /** It ends by its objective. */
   InTime = 0,
   /** It ends late, but within three times its objective. */
   Late = 1,
+  /** It ends too late to count. */
   None = 2,
 }
 
 const { LATE_FACTOR } = Workflow;
 
-/** What a unit can still reach if it starts now and takes as long as expected. */
+/** Best outcome of a unit that starts now and runs for the expected time. */
 export function hopeOf(
   unit: Workflow.Unit,
   wallMs: number,
@@ -81,7 +82,7 @@
   return endMs <= allowedMs * LATE_FACTOR ? Hope.Late : Hope.None;
 }
 
-/** Time that is left until a unit has to have ended to reach so much, in ms. */
+/** Time until a unit must end to reach an outcome, in ms. */
 export function timeToDeadlineMs(
   unit: Workflow.Unit,
   wallMs: number,
@@ -95,8 +96,8 @@
 }
 
 /**
- * Time that a unit may still wait without reaching less: until it would miss its
- * objective, or, where it has, the time after which its end is of no use.
+ * Time that a unit may still wait without a worse outcome, in ms: until it would miss
+ * its objective or, if it already has, until its result would no longer count.
  */
 export function slackMs(unit: Workflow.Unit, wallMs: number): number {
   const { spec } = unit.workflow;
@@ -107,25 +108,25 @@
   return Math.max(0, allowedMs * LATE_FACTOR - endMs);
 }
 
-/** Units in the order in which they are decided for. */
+/** Units in the order in which the plan decides on them. */
 export interface SortedUnits {
   readonly units: readonly Workflow.Unit[];
-  /** Those behind others with a later objective, as their teams have had more. */
+  /** Units behind others with a later objective, because their team has used more. */
   readonly passedOver: ReadonlySet<Workflow.Unit>;
 }
 
-/** What units are ordered by beside their ranks. */
+/** Criteria for the order of units besides their ranks. */
 export interface SortContext {
   readonly wallMs: number;
-  /** Null where shares do not count. */
+  /** Recent use by team; null unless teams compete. */
   readonly shares: teamShares.TeamShares | null;
-  /** What a unit can still reach; left out: by its estimate. */
+  /** Best outcome of a unit; defaults to the outcome by its estimate. */
   readonly hopeOf?: (unit: Workflow.Unit) => Hope;
 }
 
 /**
- * Orders units: rank first, then what they can still reach, then, where teams
- * compete, whose turn it is, then the time by which they should end.
+ * Orders units by rank, then by the best outcome that they can reach, then, if teams
+ * compete, by the level of their team's use, then by the time of their objective.
  */
 export function sortUnits(
   units: readonly Workflow.Unit[],
--- a/packages/workflow-scheduler/src/reservation.ts
+++ b/packages/workflow-scheduler/src/reservation.ts
@@ -1,12 +1,12 @@
 /**
- * Finds the places that a waiting gang will have first, by the estimated ends of
- * what runs there.
+ * Finds the earliest placement of a waiting unit from the estimated ends of running
+ * tasks.
  */
 import * as Workflow from "@cairngate/workflow";
 import * as fleet from "./fleet.ts";
 import * as placement from "./placement.ts";
 
-/** A run that is late by its estimate ends, we guess, after this time. */
+/** Assumed remaining time of a run that has exceeded its estimate, in ms. */
 const OVERDUE_ALLOWANCE_MS = 500;
 
 interface RunEnd {
@@ -15,20 +15,20 @@
   readonly atMs: number;
 }
 
-/** Places and when they are free. */
+/** A placement and the time at which it is free. */
 export interface Reservation {
   readonly places: placement.Placement;
   readonly atMs: number;
 }
 
-/** What the ends of runs are guessed by. */
+/** Inputs for estimating when runs end. */
 export interface RunEndContext {
   readonly nowMs: number;
-  /** Time that a run takes, as far as it is not told by its pace. */
+  /** Expected run time, for runs without a predicted end, in ms. */
   readonly runMs: (task: Workflow.Task) => number;
 }
 
-/** The places that are free first; null where the unit fits nowhere. */
+/** Finds the placement that is free first; null if the unit fits nowhere. */
 export function findEarliest(
   unit: Workflow.Unit,
   endpoints: readonly fleet.Endpoint[],
@@ -47,7 +47,7 @@
   return best;
 }
 
-/** Lets runs end one after another until the unit fits. */
+/** Simulates the ends of runs one after another until the unit fits. */
 function searchAmong(
   unit: Workflow.Unit,
   endpoints: readonly fleet.Endpoint[],
@@ -70,7 +70,7 @@
   return null;
 }
 
-/** When a run ends by its pace, or else by the time that runs take. */
+/** Predicted end of a run from its progress, otherwise from the expected run time. */
 function expectedEndMs(
   task: Workflow.Task,
   { nowMs, runMs }: RunEndContext,
@@ -88,7 +88,7 @@
   for (const endpoint of endpoints) {
     for (const task of endpoint.state.occupants) {
       if (task.state === Workflow.TaskState.Stopping) continue;
-      // The members of a gang end together.
+      // The tasks of a gang end together.
       const group = task.step.gang ? task.workflow.siblings(task) : [task];
       const endTimesMs = group.map((member) => expectedEndMs(member, context));
       runEnds.push({ endpoint, task, atMs: Math.max(...endTimesMs) });
--- a/packages/workflow-scheduler/src/retry_pause.ts
+++ b/packages/workflow-scheduler/src/retry_pause.ts
@@ -1,41 +1,42 @@
 /**
- * When work that has failed may start again. Endpoints that fail all they start do
- * so for some seconds, at once after the start, and on days with trouble a sixth of
- * them does: a gang on 23 endpoints used up its four attempts within 1.4 s there. So
- * the attempts that are left are spread over the time that the work has to spare,
- * which costs no caller anything.
+ * Decides when failed work may start again. A broken endpoint fails every run right
+ * after its start for some seconds, and at bad times a sixth of the endpoints is
+ * broken: a gang on 23 endpoints used up its four attempts within 1.4 s. Spreading the
+ * remaining attempts over the slack of the work avoids this without making any work
+ * late.
  */
 import * as Workflow from "@cairngate/workflow";
 import type * as fleet from "./fleet.ts";
 import * as rank from "./rank.ts";
 
 /**
- * Longest pause after a failure, in ms. Users allow work to stand still for 3 s
- * while there is room; the rest is for a plan, its record and the start.
+ * Longest pause after a failure, in ms. Users accept that work stands still for 3 s
+ * while capacity is free; the rest is for planning, storing the record and the start.
  */
 const MAX_PAUSE_MS = 2000;
 
 /**
- * A run that fails later than this after its start was planned, in ms, has failed by
- * itself, and waiting wins it nothing. Endpoints that fail what they start do so
- * within 0.1 s (endpoint_health.ts); the record and two tries of the order come before.
+ * A run that fails later than this after its start was planned, in ms, did not fail
+ * because of its endpoint, so a pause gains nothing. Broken endpoints fail a run within
+ * 0.1 s of its start (endpoint_health.ts); storing the record and up to two attempts to
+ * send the start come before that.
  */
 const EARLY_FAILURE_MS = 1000;
 
 /**
- * Time after a failure, in ms, in which a unit starts on no endpoint that may fail
- * whatever it starts; later it takes what there is, because users allow work to
- * stand still for 3 s while there is room.
+ * Time after a failure in which a unit avoids unreliable endpoints, in ms. After that
+ * it takes any endpoint, because users accept that work stands still for at most 3 s
+ * while capacity is free.
  */
 const AVOID_UNRELIABLE_MS = 2500;
 /**
- * The same before its last start, while most endpoints are not in doubt: as long as
- * an endpoint stays so. Urgent gangs on a full fleet took free room in doubt after
- * 2.5 s and lost their last try there.
+ * Same as above before the last start, in ms, while most endpoints are reliable: as
+ * long as an endpoint counts as unreliable. Otherwise urgent gangs on a full fleet take
+ * free unreliable endpoints after 2.5 s and fail their last attempt there.
  */
 const AVOID_UNRELIABLE_LAST_START_MS = 5000;
 
-/** Those of the rooms on which a unit that has failed may start now. */
+/** Endpoints on which a unit may start now, given its earlier failures. */
 export function withoutUnreliable(
   unit: Workflow.Unit,
   endpoints: readonly fleet.Endpoint[],
@@ -70,14 +71,14 @@
   return sinceMs < pauseMs(unit, now.wallMs - sinceMs);
 }
 
-/** Whether the newest failure of a unit came at once after a start. */
+/** Whether the latest failure of a unit came right after its start. */
 function hasFailedEarly(unit: Workflow.Unit, failedAtMs: number): boolean {
   return unit.tasks.some((task) =>
     task.failedAtMs === failedAtMs && task.failedAfterMs < EARLY_FAILURE_MS
   );
 }
 
-/** Shares the time to spare, as it was at the failure, among the starts left. */
+/** Divides the slack at the time of the failure among the remaining starts. */
 function pauseMs(unit: Workflow.Unit, failedAtWallMs: number): number {
   const slackMs = rank.slackMs(unit, failedAtWallMs);
   return Math.min(MAX_PAUSE_MS, slackMs / (Math.max(0, startsLeft(unit)) + 1));
--- a/packages/workflow-scheduler/src/retry_pause_test.ts
+++ b/packages/workflow-scheduler/src/retry_pause_test.ts
@@ -1,4 +1,4 @@
-/** Work that has failed waits a little, and stays off endpoints in doubt. */
+/** Tests that failed work pauses and avoids unreliable endpoints. */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
@@ -49,20 +49,20 @@
 }
 
 vitest.describe("the pause after a failure", () => {
-  vitest.it("is nothing for work that has not failed", () => {
+  vitest.it("does not apply to work that has not failed", () => {
     const unit = buildUnit({ failures: 0, failedAtMs: -Infinity });
     vitest.expect(retry.mustPause(unit, { nowMs: 0, wallMs: 0 })).toBe(false);
   });
 
-  vitest.it("shares the time to spare among the starts left", () => {
-    // Objective 2.5 s, work of 1 s: 1.5 s to spare, two starts left, 0.5 s each.
+  vitest.it("divides the slack among the remaining starts", () => {
+    // Objective 2.5 s, run time 1 s: 1.5 s of slack, divided by two starts plus one.
     const unit = buildUnit({ failures: 1, failedAtMs: 0 });
     const at = (ms: number) => retry.mustPause(unit, { nowMs: ms, wallMs: ms });
     vitest.expect(at(490)).toBe(true);
     vitest.expect(at(510)).toBe(false);
   });
 
-  vitest.it("is nothing for a run that came through its first moments", () => {
+  vitest.it("does not apply to a run that failed late", () => {
     const at = (failedAfterMs: number) => {
       const unit = buildUnit({ failures: 1, failedAtMs: 0, failedAfterMs });
       return retry.mustPause(unit, { nowMs: 10, wallMs: 10 });
@@ -71,7 +71,7 @@
     vitest.expect(at(1010)).toBe(false);
   });
 
-  vitest.it("lasts 2 s at most", () => {
+  vitest.it("lasts at most 2 s", () => {
     const unit = buildUnit({ failures: 1, failedAtMs: 0, estimateMs: 60_000 });
     const at = (ms: number) => retry.mustPause(unit, { nowMs: ms, wallMs: ms });
     vitest.expect(at(1990)).toBe(true);
@@ -79,14 +79,14 @@
   });
 });
 
-vitest.describe("endpoints in doubt", () => {
+vitest.describe("unreliable endpoints", () => {
   const endpoints = buildEndpoints([true, false, false]);
   const idsFor = (unit: Workflow.Unit, nowMs: number) =>
     retry.withoutUnreliable(unit, endpoints, nowMs).map(({ state }) =>
       state.id
     );
 
-  vitest.it("are open to work that has not failed, for one run each", () => {
+  vitest.it("get one run at a time of work that has not failed", () => {
     const unit = buildUnit({ failures: 0, failedAtMs: -Infinity });
     vitest.expect(idsFor(unit, 0)).toContain("worker-0");
     const [endpoint] = endpoints;
@@ -103,15 +103,18 @@
     vitest.expect(idsFor(unit, 2600)).toContain("worker-0");
   });
 
-  vitest.it("get no last start for as long as they are in doubt", () => {
+  vitest.it("get no last start while they count as unreliable", () => {
     const unit = buildUnit({ failures: 2, failedAtMs: 0 });
     vitest.expect(idsFor(unit, 4900)).not.toContain("worker-0");
     vitest.expect(idsFor(unit, 5100)).toContain("worker-0");
   });
 
-  vitest.it("get it after 2.5 s where most of the fleet is in doubt", () => {
-    const unit = buildUnit({ failures: 2, failedAtMs: 0 });
-    const most = buildEndpoints([true, true, false]);
-    vitest.expect(retry.withoutUnreliable(unit, most, 2600)).toHaveLength(3);
-  });
+  vitest.it(
+    "get a last start after 2.5 s if most of the fleet is unreliable",
+    () => {
+      const unit = buildUnit({ failures: 2, failedAtMs: 0 });
+      const most = buildEndpoints([true, true, false]);
+      vitest.expect(retry.withoutUnreliable(unit, most, 2600)).toHaveLength(3);
+    },
+  );
 });
--- a/packages/workflow-scheduler/src/run_times.ts
+++ b/packages/workflow-scheduler/src/run_times.ts
@@ -1,4 +1,4 @@
-/** What runs are expected to take in one plan, and what units can still reach. */
+/** Expected run times and best outcomes of units during one plan. */
 import type * as Workflow from "@cairngate/workflow";
 import * as estimates from "./expected_run.ts";
 import type * as fleet from "./fleet.ts";
@@ -6,7 +6,7 @@
 import * as placement from "./placement.ts";
 import * as rank from "./rank.ts";
 
-/** What the times are judged by. */
+/** Inputs for estimating run times. */
 export interface RunTimesOptions {
   readonly workers: readonly fleet.WorkerState[];
   readonly nowMs: number;
@@ -15,20 +15,20 @@
   readonly corrections?: estimates.Corrections;
 }
 
-/** Times of runs: by their estimates, and by speeds where endpoints differ. */
+/** Estimates run times, taking speeds into account where endpoints differ. */
 export class RunTimes {
-  /** Null where endpoints do not differ in speed. */
+  /** Null unless endpoints differ in speed. */
   readonly estimator: estimates.RunEstimator | null;
   readonly #options: RunTimesOptions;
   readonly #speeds: ReadonlyMap<string, number>;
 
   constructor(options: RunTimesOptions) {
-    const { workers, hardLoad, corrections } = options;
+    const { workers: endpoints, hardLoad, corrections } = options;
     this.#options = options;
     this.#speeds = new Map(
-      workers.map((w) => [w.id, placement.currentSpeed(w)]),
+      endpoints.map((w) => [w.id, placement.currentSpeed(w)]),
     );
-    const usable = workers.filter((state) => state.usable);
+    const usable = endpoints.filter((state) => state.usable);
     this.estimator = hardLoad?.endpointsDiffer === true
       ? new estimates.RunEstimator(
         usable.map(placement.currentSpeed),
@@ -38,8 +38,8 @@
   }
 
   /**
-   * What a unit can still reach if it starts some time later, on the best endpoints
-   * where they differ.
+   * Best outcome of a unit that starts after a delay, on the best endpoints where they
+   * differ in speed.
    */
   bestOutcomeOf(unit: Workflow.Unit, delayMs = 0): rank.Hope {
     const wallMs = this.#options.wallMs + delayMs;
@@ -47,14 +47,14 @@
       rank.hopeOf(unit, wallMs);
   }
 
-  /** Time that the run of a task takes where it is, in ms. */
+  /** Expected run time of a task on its endpoint, in ms. */
   runMs(task: Workflow.Task): number {
     if (this.estimator === null) return task.step.estimateMs;
     const speed = this.#speeds.get(task.worker ?? "") ?? 1;
     return this.estimator.expectedMs(task, speed);
   }
 
-  /** Time that is left of a run of some age, by its pace where speeds differ. */
+  /** Expected remaining time of a run, from its predicted end where speeds differ. */
   remainingMs(task: Workflow.Task, ranMs: number): number {
     if (this.estimator !== null && task.endsAtMs !== null) {
       return Math.max(0, task.endsAtMs - this.#options.nowMs);
--- a/packages/workflow-scheduler/src/share_order.ts
+++ b/packages/workflow-scheduler/src/share_order.ts
@@ -1,14 +1,14 @@
-/** Whose turn it is among work of one rank, where teams compete. */
+/** Orders work of one rank by the use of its teams, where teams compete. */
 import * as Workflow from "@cairngate/workflow";
 import * as teamShares from "./team_shares.ts";
 
 /**
- * Nobody is passed over for longer than this share of the time that its objective
- * leaves beside its run: half of it is left for finding a place once its turn has come.
+ * Share of its slack for which a unit may be passed over. The rest is left for finding
+ * a placement once the unit is no longer passed over.
  */
 const MAX_PASSED_OVER_SHARE = 0.5;
 
-/** Turn of a unit; a lower one comes first. */
+/** Level of the unit's team, or the lowest one if it may not be passed over. */
 export function shareLevelOf(
   unit: Workflow.Unit,
   wallMs: number,
@@ -21,7 +21,7 @@
   return teamShares.ShareLevel.Below;
 }
 
-/** Whether others may still go first without making a unit miss its objective. */
+/** Whether other units may go first without making a unit miss its objective. */
 function mayBePassedOver(unit: Workflow.Unit, wallMs: number): boolean {
   const { spec } = unit.workflow;
   const dueMs = Workflow.dueAtMs(spec, unit.round);
@@ -30,7 +30,7 @@
   return wallMs - dueMs < slackMs * MAX_PASSED_OVER_SHARE;
 }
 
-/** What the order goes by, of one unit. */
+/** Sort keys of one unit. */
 export interface SortEntry {
   readonly unit: Workflow.Unit;
   readonly rank: number;
@@ -39,13 +39,13 @@
   readonly objectiveMs: number;
 }
 
-/** Units that would have come before others, had nobody had more than others. */
+/** Units that would come earlier if the use of teams did not count. */
 export function findPassedOver(
   sorted: readonly SortEntry[],
 ): ReadonlySet<Workflow.Unit> {
   const result = new Set<Workflow.Unit>();
   let last: SortEntry | null = null;
-  /** Latest objective of the lower turns of the group, and of the turn itself. */
+  /** Latest objective among lower levels of the group, and within the level itself. */
   let lowerMs = Number.NEGATIVE_INFINITY;
   let ownMs = Number.NEGATIVE_INFINITY;
   for (const entry of sorted) {
--- a/packages/workflow-scheduler/src/share_order_test.ts
+++ b/packages/workflow-scheduler/src/share_order_test.ts
@@ -1,4 +1,4 @@
-/** Who comes first, and who yields, where teams compete. */
+/** Tests the order of work and the choice of victims where teams compete. */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as fastCheck from "fast-check";
@@ -111,7 +111,7 @@
 }
 
 vitest.describe("the order of waiting work", () => {
-  vitest.it("has no team above its share before one below", () => {
+  vitest.it("puts no team above its share before one below", () => {
     fastCheck.assert(
       fastCheck.property(manyOptions, anyLevels, (options, levels) => {
         const shares = sharesOf(levels);
@@ -126,7 +126,7 @@
     );
   });
 
-  vitest.it("is total and stable: what is sorted stays as it is", () => {
+  vitest.it("is total and stable", () => {
     fastCheck.assert(
       fastCheck.property(manyOptions, anyLevels, (options, levels) => {
         const shares = sharesOf(levels);
@@ -139,13 +139,13 @@
     );
   });
 
-  vitest.it("is the former one where all teams fare alike", () => {
+  vitest.it("ignores shares if all teams have the same level", () => {
     const anyLevel = fastCheck.nat({ max: 2 });
     fastCheck.assert(
       fastCheck.property(manyOptions, anyLevel, (options, level) => {
         const shares = sharesOf({ a: level, b: level, c: level });
         const { units, ranks, given } = sort(options, null);
-        // One that may not be passed over any more goes before those that may.
+        // A unit that may no longer be passed over goes before those that may.
         const patient = given.filter((unit) => !isPastHalfSlack(unit));
         const now = { wallMs: 0, shares };
         const ordered = rank.sortUnits(patient, ranks, now);
@@ -156,7 +156,7 @@
     );
   });
 
-  vitest.it("does not put work inside a guarantee behind any other", () => {
+  vitest.it("puts no other work before work within a guarantee", () => {
     const inside = buildWorkflow({ tenant: "a", priority: 0 });
     const beyond = buildWorkflow({ tenant: "b", priority: 0 });
     const plan = plans.makePlan(inputOf([beyond, inside], {
@@ -167,8 +167,8 @@
       .toEqual([inside]);
   });
 
-  vitest.it("passes over nobody whose time is half gone", () => {
-    // Objective: 2 x 1,000 + 500 ms; 1,500 ms are left beside the run.
+  vitest.it("passes over no unit that has used half of its slack", () => {
+    // The objective is 2 x 1,000 + 500 ms, so the slack is 1,500 ms.
     const flooding = buildWorkflow({ tenant: "a", acceptedAtMs: -750 });
     const small = buildWorkflow({ tenant: "b", acceptedAtMs: 0 });
     const shares = sharesOf({ a: ShareLevel.Above, b: ShareLevel.Below });
@@ -183,7 +183,7 @@
 });
 
 vitest.describe("a plan where teams do not compete", () => {
-  vitest.it("is the same whatever teams have had", () => {
+  vitest.it("does not depend on the use of teams", () => {
     fastCheck.assert(
       fastCheck.property(
         manyOptions,
@@ -208,8 +208,8 @@
   });
 });
 
-vitest.describe("a plan where all teams have had little", () => {
-  vitest.it("is the same as where shares are not known", () => {
+vitest.describe("a plan where all teams are below their shares", () => {
+  vitest.it("is the same as with unknown shares", () => {
     fastCheck.assert(
       fastCheck.property(manyOptions, (options) => {
         const runs = ["a", "b"].map((tenant) =>
@@ -228,12 +228,12 @@
   });
 });
 
-vitest.describe("who yields", () => {
+vitest.describe("the victim", () => {
   function victimOf(
     shares: teamShares.TeamShares,
     claimant = "c",
   ): string | undefined {
-    // The run of team b costs a little less.
+    // The run of team b is slightly cheaper to stop.
     const runs = [
       runOn(buildWorkflow({ tenant: "a", priority: 2, estimateMs: 9000 })),
       runOn(buildWorkflow({ tenant: "b", priority: 2, estimateMs: 9000 })),
@@ -251,43 +251,46 @@
     return plan.stops[0]?.task.workflow.spec.tenant;
   }
 
-  vitest.it("is the cheapest among teams that fare alike", () => {
+  vitest.it("is the cheapest if all teams have the same level", () => {
     const within = ShareLevel.Within;
     vitest.expect(victimOf(sharesOf({ a: within, b: within }))).toBe("b");
   });
 
   vitest.it(
-    "is a team above its share rather than a little cheaper one",
+    "is of a team above its share rather than slightly cheaper",
     () => {
       const shares = sharesOf({ a: ShareLevel.Above, b: ShareLevel.Within });
       vitest.expect(victimOf(shares)).toBe("a");
     },
   );
 
-  vitest.it("is the cheapest of teams that are not above", () => {
+  vitest.it("is the cheapest if no team is above its share", () => {
     const shares = sharesOf({ a: ShareLevel.Within, b: ShareLevel.Below });
     vitest.expect(victimOf(shares)).toBe("b");
   });
 
-  vitest.it("is not only the claimant's own team", () => {
+  vitest.it("may be of another team than the claimant", () => {
     const below = sharesOf({ a: ShareLevel.Below, b: ShareLevel.Below });
     vitest.expect(victimOf(below, "a")).toBe("b");
   });
 
-  vitest.it("loses no more than the claim brings, also above its share", () => {
-    // It brings 9 core-seconds, and 14.4 would be lost, half of which count.
-    const run = runOn(buildWorkflow({ tenant: "b", priority: 2 }));
-    const urgent = buildWorkflow({ tenant: "c", priority: 0 });
-    const { stops } = plans.makePlan(inputOf([urgent], {
-      workers: [buildEndpoint([run])],
-      shares: sharesOf({ b: ShareLevel.Above }),
-      nowMs: 600,
-    }));
-    vitest.expect(stops).toEqual([]);
-  });
+  vitest.it(
+    "loses no more than the claimant gains, even above its share",
+    () => {
+      // The claimant gains 9 core-seconds; the loss is 14.4, of which half is its cost.
+      const run = runOn(buildWorkflow({ tenant: "b", priority: 2 }));
+      const urgent = buildWorkflow({ tenant: "c", priority: 0 });
+      const { stops } = plans.makePlan(inputOf([urgent], {
+        workers: [buildEndpoint([run])],
+        shares: sharesOf({ b: ShareLevel.Above }),
+        nowMs: 600,
+      }));
+      vitest.expect(stops).toEqual([]);
+    },
+  );
 });
 
-/** Whether a unit that may wait comes before one of a lower level. */
+/** Whether a unit that may be passed over comes before one of a lower level. */
 function isOutOfOrder(
   earlier: Workflow.Unit,
   later: Workflow.Unit,
@@ -302,7 +305,7 @@
     levelOf(earlier) > levelOf(later);
 }
 
-/** Whether half of the time is gone that its objective leaves beside its run. */
+/** Whether a unit has used half of its slack. */
 function isPastHalfSlack({ workflow: { spec }, step }: Workflow.Unit): boolean {
   const objectiveMs = Workflow.objectiveAtMs(spec, 0);
   const spareMs = objectiveMs - spec.acceptedAtMs - step.estimateMs;
--- a/packages/workflow-scheduler/src/sibling_groups.ts
+++ b/packages/workflow-scheduler/src/sibling_groups.ts
@@ -1,8 +1,8 @@
-/** Groups units for which one search finds places. */
+/** Groups units that are placed in one search. */
 import type * as Workflow from "@cairngate/workflow";
 import * as isolation from "./isolation.ts";
 
-/** Single tasks of one step that follow one another; all others by themselves. */
+/** Groups consecutive single tasks of one step; every other unit is its own group. */
 export function groupSiblings(
   sorted: readonly Workflow.Unit[],
 ): readonly (readonly Workflow.Unit[])[] {
--- a/packages/workflow-scheduler/src/slow_place.ts
+++ b/packages/workflow-scheduler/src/slow_place.ts
@@ -1,4 +1,4 @@
-/** Why urgent work starts on endpoints on which it will be late, for operators. */
+/** Explains to operators why urgent work starts on endpoints where it will be late. */
 import type * as Workflow from "@cairngate/workflow";
 import type * as estimates from "./expected_run.ts";
 import type * as placement from "./placement.ts";
@@ -7,13 +7,13 @@
 
 /** Why an urgent unit did not get endpoints that are fast enough. */
 export enum SlowReason {
-  /** Faster ones were in use, and could not be freed in time or for so little work. */
+  /** Faster endpoints were in use, and freeing them was too slow or too costly. */
   Taken = "taken",
-  /** It has waited so long that none would be fast enough. */
+  /** It has waited so long that no endpoint is fast enough. */
   TooLate = "too-late",
 }
 
-/** Why a unit starts where it will be late; null where it is not urgent or in time. */
+/** Why a unit starts where it will be late; null if it is not urgent or in time. */
 export function slowReason(
   unit: Workflow.Unit,
   places: placement.Placement,
--- a/packages/workflow-scheduler/src/speed_bands.ts
+++ b/packages/workflow-scheduler/src/speed_bands.ts
@@ -1,16 +1,16 @@
 /**
- * Keeps fast endpoints for work that needs them: a fast endpoint beside a slow one in
- * one gang runs at the slow one's pace.
+ * Saves fast endpoints for work that needs them. A gang runs at the pace of its slowest
+ * endpoint, so a fast endpoint beside a slow one is wasted.
  */
 import type * as Workflow from "@cairngate/workflow";
 import type * as fleet from "./fleet.ts";
 import * as placement from "./placement.ts";
 
-/** Speeds within this ratio count as alike: learned ones vary by about as much. */
+/** Speeds within this ratio count as similar; measured speeds vary by about as much. */
 const SIMILAR_SPEED_RATIO = 1.35;
 const MIN_SPEED = 0.05;
 
-/** Endpoints at least as fast as needed. */
+/** Endpoints that reach the needed speed. */
 export function fastEndpoints(
   endpoints: readonly fleet.Endpoint[],
   neededSpeed: number,
@@ -20,15 +20,14 @@
   );
 }
 
-/** Speed of the slowest of some places. */
+/** Speed of the slowest endpoint of a placement. */
 export function slowestOf(places: placement.Placement): number {
   return Math.min(...places.map(({ state }) => placement.currentSpeed(state)));
 }
 
 /**
- * Places near the data of a unit. Urgent units get those whose slowest is as fast as
- * any that are there, others the slowest ones; gangs get endpoints of like speed where
- * enough of them have room.
+ * Places a unit near its data, a gang on endpoints of similar speed where enough of
+ * them are free. Urgent units get the fastest placement, other units the slowest one.
  */
 export function findSimilarSpeed(
   unit: Workflow.Unit,
@@ -46,7 +45,7 @@
   return found;
 }
 
-/** Free places for single tasks, on endpoints that are fast enough first. */
+/** Places single tasks on free endpoints, on those that are fast enough first. */
 export function findForEachFastFirst(
   unit: Workflow.Unit,
   endpoints: readonly fleet.Endpoint[],
@@ -60,7 +59,7 @@
   return [...first, ...placement.findForEach(rest, slow, placement.freeNow)];
 }
 
-/** As fast as what was found, without endpoints that are faster than that needs. */
+/** Finds a placement of the same speed without unnecessarily fast endpoints. */
 function findNoFaster(
   unit: Workflow.Unit,
   found: placement.Placement,
@@ -75,7 +74,7 @@
   return placement.findNear(unit, similar, freeOf);
 }
 
-/** Endpoints of like speed, slow ones first. */
+/** Groups endpoints of similar speed, slowest first. */
 function groupBySpeed(
   endpoints: readonly fleet.Endpoint[],
 ): readonly (readonly fleet.Endpoint[])[] {
--- a/packages/workflow-scheduler/src/speed_claims.ts
+++ b/packages/workflow-scheduler/src/speed_claims.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses room for a unit where endpoints differ in speed: on those on which it ends
- * by its objective, before the cheapest room is looked for at any speed.
+ * Claims endpoints on which a unit ends by its objective, where endpoints differ in
+ * speed. The planner tries this before the cheapest placement at any speed.
  */
 import type * as Workflow from "@cairngate/workflow";
 import * as eviction from "./eviction.ts";
@@ -10,41 +10,41 @@
 import * as reservation from "./reservation.ts";
 import * as bands from "./speed_bands.ts";
 
-/** How a unit gets room that is fast enough. */
+/** How a unit gets endpoints that are fast enough. */
 export enum How {
-  /** The room is free. */
+  /** The endpoints are free. */
   Free,
-  /** It is being freed. */
+  /** The endpoints are being freed by stops that are under way. */
   Freeing,
-  /** Others have to stop. */
+  /** Other tasks have to stop. */
   Eviction,
-  /** Runs there end early enough by themselves. */
+  /** The runs on the endpoints are expected to end early enough. */
   Ends,
 }
 
-/** Room that is fast enough. */
+/** Endpoints that are fast enough and how the unit gets them. */
 export type Claim =
   | { readonly how: How.Free | How.Freeing | How.Ends; readonly places: Places }
   | { readonly how: How.Eviction; readonly eviction: eviction.Eviction };
 
 type Places = placement.Placement;
 
-/** What a claim works with. */
+/** Inputs of a claim. */
 export interface ClaimContext {
   readonly estimator: estimates.RunEstimator;
   readonly evictionContext: eviction.EvictionContext;
   readonly runEndContext: reservation.RunEndContext;
-  /** Whether the unit may claim room while slower room is to be had at once. */
+  /** Whether the unit may wait for stops although slower endpoints are free. */
   readonly mayClaim: boolean;
-  /** Whether it may wait for an end while slower room is to be had at once. */
+  /** Whether the unit may wait for runs to end although slower endpoints are free. */
   readonly mayWait: () => boolean;
-  /** Whether a set of stops brings more than it costs. */
+  /** Whether an eviction gains at least as much work as it loses. */
   readonly isWorth: (found: eviction.Eviction) => boolean;
 }
 
 /**
- * Whether stops on fast endpoints cost others no more than the unit brings, beyond the
- * stops that it would cause on slower ones: a guarantee is for room, not for speed.
+ * Whether the loss on fast endpoints exceeds the loss on endpoints of any speed by no
+ * more than the unit's own work. A guarantee covers capacity, not speed.
  */
 export function isSpeedWorthLoss(
   unit: Workflow.Unit,
@@ -54,7 +54,7 @@
   return loss - lossAtAnySpeed <= eviction.coreSecondsOf(unit);
 }
 
-/** Finds room on endpoints that are fast enough; null where there is none. */
+/** Finds endpoints that are fast enough for a unit; null if there are none. */
 export function findFastEnough(
   unit: Workflow.Unit,
   endpoints: readonly fleet.Endpoint[],
@@ -69,7 +69,7 @@
   const free = bands.findSimilarSpeed(unit, fast, placement.freeNow);
   if (free !== null) return { how: How.Free, places: free };
   const isUrgent = unit.workflow.spec.policy.priority === 0;
-  // Where every endpoint will do, room is made where it costs least, as elsewhere.
+  // If every endpoint is fast enough, the planner evicts where that is cheapest.
   if (!isUrgent || fast.length === endpoints.length) return null;
   return findByStops(unit, fast, context) ?? findByRunEnds(unit, fast, context);
 }
--- a/packages/workflow-scheduler/src/stop_rules.ts
+++ b/packages/workflow-scheduler/src/stop_rules.ts
@@ -1,16 +1,16 @@
 /**
- * When a stop is worth it under hard load, and whose turn it is. Answers loads on
- * which much of what runs is stopped for urgent work.
+ * Limits stops for urgent work under hard load, where otherwise many runs are stopped
+ * before they end.
  */
 import * as Workflow from "@cairngate/workflow";
 import * as rank from "./rank.ts";
 
-/** The moment of a decision. */
+/** Time and estimates on which a decision to stop tasks is based. */
 export interface StopContext {
   readonly wallMs: number;
-  /** Time that a stop takes at most, in ms. */
+  /** Longest time that a stop takes, in ms. */
   readonly stopMs: number;
-  /** What a unit can still reach if it starts some time later. */
+  /** Best outcome of a unit that starts after a delay in ms. */
   readonly bestOutcomeAfter: (
     unit: Workflow.Unit,
     delayMs: number,
@@ -18,17 +18,17 @@
 }
 
 /**
- * Stops of one task for others after which it is spared. Callers give ordinary work
- * about three times its length: a task that has lost three runs is late by that alone.
+ * Stops for other work after which a task is spared. The objective of ordinary work is
+ * about three times its run time, so three lost runs alone make a task late.
  */
 export const MAX_STOPS = 3;
 
-/** Whether a task, or its gang, has been stopped for others as often as it may be. */
+/** Whether a task of the group was stopped for other work as often as allowed. */
 export function isSpared(group: readonly Workflow.Task[]): boolean {
   return group.some(({ stopsForOthers }) => stopsForOthers >= MAX_STOPS);
 }
 
-/** Whether a unit can still end in time if it starts only once others have stopped. */
+/** Whether a unit still ends in time if it starts after a stop of other tasks. */
 export function canEndInTimeAfterStops(
   unit: Workflow.Unit,
   { stopMs, bestOutcomeAfter }: StopContext,
--- a/packages/workflow-scheduler/src/stop_rules_test.ts
+++ b/packages/workflow-scheduler/src/stop_rules_test.ts
@@ -1,4 +1,4 @@
-/** Which stops are worth it under hard load. */
+/** Tests which stops are allowed under hard load. */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
@@ -27,7 +27,7 @@
 }
 
 vitest.describe("a stop for urgent work", () => {
-  vitest.it("helps while the work ends in time after it", () => {
+  vitest.it("is allowed while the work ends in time after it", () => {
     const unit = buildUnit(1000);
     const canEndAt = (wallMs: number) =>
       stopRules.canEndInTimeAfterStops(unit, contextAt(wallMs));
@@ -35,7 +35,7 @@
     vitest.expect(canEndAt(801)).toBe(false);
   });
 
-  vitest.it("spares a task, and its gang, that was stopped often", () => {
+  vitest.it("spares a task that was stopped often, and its gang", () => {
     const { tasks } = buildUnit(1000);
     tasks[0].stopsForOthers = stopRules.MAX_STOPS - 1;
     vitest.expect(stopRules.isSpared(tasks)).toBe(false);
--- a/packages/workflow-scheduler/src/stops_property_test.ts
+++ b/packages/workflow-scheduler/src/stops_property_test.ts
@@ -1,4 +1,4 @@
-/** What holds of the stops of each plan, on random fleets and work. */
+/** Tests properties of the stops of plans for random fleets and work. */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as fastCheck from "fast-check";
@@ -14,13 +14,13 @@
 const RACK_SIZE = 3;
 const ACCELERATORS = 4;
 const NOW_MS = 20_000;
-/** Kinds of hard load with competing teams, each with the speeds of endpoints that it has. */
+/** Kinds of hard load with competing teams, with the endpoint speeds of each. */
 const LOAD_KINDS = [
   { teamsCompete: true, endpointsDiffer: false, speeds: [1] },
   { teamsCompete: true, endpointsDiffer: true, speeds: [0.6, 1, 1.6] },
 ];
 
-/** One workflow, drawn at random. */
+/** A randomly generated workflow. */
 interface WorkflowDraw {
   readonly priority: number;
   readonly count: number;
@@ -30,7 +30,7 @@
   readonly estimateMs: number;
   readonly ageMs: number;
   readonly stops: number;
-  /** Endpoint of its first task; the others follow. */
+  /** Index of the endpoint that is tried first for each task. */
   readonly endpoint: number;
 }
 
@@ -89,7 +89,7 @@
   const waitingWork = drawnFleet.waiting.map((one, i) =>
     buildWorkflow(one, `waiting-${i}`)
   );
-  const workers = tasksByEndpoint.map((occupants, i) => ({
+  const endpoints = tasksByEndpoint.map((occupants, i) => ({
     id: `worker-${i}`,
     service: "analysis",
     dataCentre: "dc-1",
@@ -106,7 +106,7 @@
   }));
   const { acceleratorsPerSecond } = drawnFleet;
   const input = {
-    workers,
+    workers: endpoints,
     workflows: [...running, ...waitingWork],
     guarantees: new Map([["hana", drawnFleet.guaranteed]]),
     nowMs: NOW_MS,
@@ -117,10 +117,10 @@
     stopMs: 200,
     urgentTraffic: () => ({ acceleratorsPerSecond, wideAccelerators: 4 }),
   };
-  return { input, workers };
+  return { input, workers: endpoints };
 }
 
-/** Places all tasks of a workflow where there is room; false where there is not. */
+/** Places all tasks of a workflow; false if they do not fit. */
 function placeAll(
   workflow: Workflow.Workflow,
   { endpoint, ageMs }: WorkflowDraw,
@@ -148,7 +148,7 @@
   return true;
 }
 
-/** A plan in words that can be compared. */
+/** Describes a plan by names, for comparison. */
 function describePlan({ starts, stops, waits }: plans.Plan) {
   const nameOf = (unit: Workflow.Unit) => unit.tasks[0].name;
   return {
@@ -158,7 +158,7 @@
   };
 }
 
-/** Whether a unit fits once some tasks have stopped. */
+/** Whether a unit fits once the given tasks have stopped. */
 function fitsWithout(
   unit: Workflow.Unit,
   { workers }: Built,
@@ -179,7 +179,7 @@
   );
 
 vitest.describe("stops of a plan under hard load", () => {
-  vitest.it("come with a place for their claimant, in the same plan", () => {
+  vitest.it("free enough capacity for their claimant in the same plan", () => {
     fastCheck.assert(fastCheck.property(fleets, (drawnFleet) => {
       const built = build(drawnFleet, drawnFleet.kind);
       const { stops, waits } = plans.makePlan(built.input);
@@ -192,38 +192,46 @@
     }));
   });
 
-  vitest.it("make room for all claimants and starts together", () => {
-    fastCheck.assert(fastCheck.property(fleets, (drawnFleet) => {
-      const built = build(drawnFleet, drawnFleet.kind);
-      const { starts, stops, waits } = plans.makePlan(built.input);
-      const stoppedTasks = new Set(stops.map(({ task }) => task));
-      const left = built.workers.flatMap(({ occupants }) => occupants)
-        .filter((task) => !stoppedTasks.has(task));
-      const claimants = waits
-        .filter(({ reason }) => reason === waiting.WaitReason.Stops)
-        .map(({ unit }) => unit);
-      const needs = [...starts.map(({ unit }) => unit), ...claimants]
-        .reduce(
-          (sum, { step, tasks }) => sum + step.accelerators * tasks.length,
-          0,
+  vitest.it(
+    "free enough capacity for all claimants and starts together",
+    () => {
+      fastCheck.assert(fastCheck.property(fleets, (drawnFleet) => {
+        const built = build(drawnFleet, drawnFleet.kind);
+        const { starts, stops, waits } = plans.makePlan(built.input);
+        const stoppedTasks = new Set(stops.map(({ task }) => task));
+        const left = built.workers.flatMap(({ occupants }) => occupants)
+          .filter((task) => !stoppedTasks.has(task));
+        const claimants = waits
+          .filter(({ reason }) => reason === waiting.WaitReason.Stops)
+          .map(({ unit }) => unit);
+        const needs = [...starts.map(({ unit }) => unit), ...claimants]
+          .reduce(
+            (sum, { step, tasks }) => sum + step.accelerators * tasks.length,
+            0,
+          );
+        const held = left.reduce((sum, { step }) => sum + step.accelerators, 0);
+        vitest.expect(needs + held).toBeLessThanOrEqual(
+          ENDPOINTS * ACCELERATORS,
         );
-      const held = left.reduce((sum, { step }) => sum + step.accelerators, 0);
-      vitest.expect(needs + held).toBeLessThanOrEqual(ENDPOINTS * ACCELERATORS);
-    }));
-  });
+      }));
+    },
+  );
 
-  vitest.it("spare a task that was stopped often, but for guarantees", () => {
-    fastCheck.assert(fastCheck.property(fleets, (drawnFleet) => {
-      const built = build({ ...drawnFleet, guaranteed: 0 }, drawnFleet.kind);
-      const { stops } = plans.makePlan(built.input);
-      vitest.expect(stops.filter(({ task }) => isSpared(task))).toEqual([]);
-    }));
-  });
+  vitest.it(
+    "spare a task that was stopped often, except for guarantees",
+    () => {
+      fastCheck.assert(fastCheck.property(fleets, (drawnFleet) => {
+        const built = build({ ...drawnFleet, guaranteed: 0 }, drawnFleet.kind);
+        const { stops } = plans.makePlan(built.input);
+        vitest.expect(stops.filter(({ task }) => isSpared(task))).toEqual([]);
+      }));
+    },
+  );
 
   vitest.it(
-    "strike such a task for a guarantee that finds nothing else",
+    "include such a task if a guarantee has no other way",
     () => {
-      // One unit that is guaranteed: nothing else is planned before it.
+      // Only one guaranteed unit waits, so nothing else is planned before it.
       const oneGuaranteed = fleets.map((drawnFleet) => ({
         ...drawnFleet,
         waiting: drawnFleet.waiting.slice(0, 1).map((one) => ({
@@ -255,18 +263,21 @@
     { teamsCompete: false, endpointsDiffer: true },
   );
 
-  vitest.it("does not hang on what is known of stops and arrivals", () => {
-    fastCheck.assert(fastCheck.property(fleets, loads, (drawnFleet, load) => {
-      const known = build(drawnFleet, load).input;
-      const withoutStops = build({
-        ...drawnFleet,
-        running: drawnFleet.running.map((one) => ({ ...one, stops: 0 })),
-        waiting: drawnFleet.waiting.map((one) => ({ ...one, stops: 0 })),
-      }, load.endpointsDiffer ? load : undefined).input;
-      const { stopMs: _, urgentTraffic: __, ...withoutStopSettings } =
-        withoutStops;
-      vitest.expect(describePlan(plans.makePlan(known)))
-        .toEqual(describePlan(plans.makePlan(withoutStopSettings)));
-    }));
-  });
+  vitest.it(
+    "does not depend on earlier stops, stop time or urgent traffic",
+    () => {
+      fastCheck.assert(fastCheck.property(fleets, loads, (drawnFleet, load) => {
+        const known = build(drawnFleet, load).input;
+        const withoutStops = build({
+          ...drawnFleet,
+          running: drawnFleet.running.map((one) => ({ ...one, stops: 0 })),
+          waiting: drawnFleet.waiting.map((one) => ({ ...one, stops: 0 })),
+        }, load.endpointsDiffer ? load : undefined).input;
+        const { stopMs: _, urgentTraffic: __, ...withoutStopSettings } =
+          withoutStops;
+        vitest.expect(describePlan(plans.makePlan(known)))
+          .toEqual(describePlan(plans.makePlan(withoutStopSettings)));
+      }));
+    },
+  );
 });
--- a/packages/workflow-scheduler/src/stops_under_way_test.ts
+++ b/packages/workflow-scheduler/src/stops_under_way_test.ts
@@ -1,8 +1,8 @@
 /**
- * Symptom: others stopped for urgent work, and their room went to later work. Order: the
- * work could be in time by a stop when others were told to stop; one plan later, with the
- * stops under way, a whole stop more would have made it late, so it claimed nothing.
- * Cause: whether a stop helps was asked of stops that had begun. Found by reading.
+ * Guards against giving capacity that is freed for urgent work to later work. Urgent
+ * work stops a task while it can still end in time after a full stop. If the next plan
+ * checks that again while the stop is under way, a full stop takes too long, and the
+ * urgent work drops its claim.
  */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
@@ -11,7 +11,7 @@
 import * as waiting from "./wait_reason.ts";
 
 const STOP_MS = 200;
-/** Objective of the urgent work: twice its time and half a second. */
+/** Run time of the urgent work. Its objective is twice that plus 500 ms. */
 const URGENT_MS = 1000;
 const ALLOWED_MS = 2500;
 
@@ -31,7 +31,7 @@
   });
 }
 
-/** Plans for urgent work beyond a guarantee beside one endpoint in use. */
+/** Plans for urgent work beyond a guarantee on a fleet of one busy endpoint. */
 function planAt(wallMs: number, state: Workflow.TaskState): plans.Plan {
   const urgent = buildWorkflow("urgent", 0);
   const later = buildWorkflow("later", 1);
@@ -61,24 +61,27 @@
   });
 }
 
-/** The last moment at which a whole stop leaves the work in time. */
+/** Latest time at which the work still ends in time after a full stop. */
 const LAST_MS = ALLOWED_MS - URGENT_MS - STOP_MS;
 
-vitest.describe("urgent work for which others stop", () => {
-  vitest.it("keeps the room that is being freed until it can be late", () => {
-    const { Running, Stopping } = Workflow.TaskState;
-    vitest.expect(planAt(LAST_MS, Running).stops).toHaveLength(1);
-    const { waits } = planAt(LAST_MS + 30, Stopping);
-    const reasons = waits.map(({ unit, reason }) =>
-      [unit.workflow.spec.id, reason] as const
-    );
-    vitest.expect(reasons).toContainEqual([
-      "urgent",
-      waiting.WaitReason.Stops,
-    ]);
-  });
+vitest.describe("urgent work for which other tasks stop", () => {
+  vitest.it(
+    "keeps capacity that is being freed after a new stop would be too late",
+    () => {
+      const { Running, Stopping } = Workflow.TaskState;
+      vitest.expect(planAt(LAST_MS, Running).stops).toHaveLength(1);
+      const { waits } = planAt(LAST_MS + 30, Stopping);
+      const reasons = waits.map(({ unit, reason }) =>
+        [unit.workflow.spec.id, reason] as const
+      );
+      vitest.expect(reasons).toContainEqual([
+        "urgent",
+        waiting.WaitReason.Stops,
+      ]);
+    },
+  );
 
-  vitest.it("lets no more stop than can help", () => {
+  vitest.it("stops no task if it would end late anyway", () => {
     const { Running } = Workflow.TaskState;
     vitest.expect(planAt(LAST_MS + 30, Running).stops).toHaveLength(0);
   });
--- a/packages/workflow-scheduler/src/team_shares.ts
+++ b/packages/workflow-scheduler/src/team_shares.ts
@@ -1,54 +1,54 @@
 /**
- * Who has had how much of the fleet, beside what each team is entitled to. Serves
- * loads in which one team is so large that its queue alone could fill the fleet.
+ * Compares the recent use of the fleet by each team with the share it has paid for, for
+ * loads in which the queue of one large team could fill the fleet.
  */
 import type * as Workflow from "@cairngate/workflow";
 import type * as fleet from "./fleet.ts";
 
-/** Where a team stands beside its share; coarse, so that objectives decide within. */
+/** Coarse level of a team's use; within a level, objectives decide. */
 export enum ShareLevel {
   Below = 0,
   Within = 1,
   Above = 2,
 }
 
-/** What one team has had. */
+/** Entitlement and recent use of one team. */
 export interface TeamShare {
-  /** Share of the fleet that it is entitled to, 0 to 1. */
+  /** Share of the fleet that the team is entitled to, 0 to 1. */
   readonly weight: number;
-  /** Share of the fleet that it has lately had, 0 to 1. */
+  /** Recent share of the fleet, as a decaying average, 0 to 1. */
   readonly use: number;
   readonly level: ShareLevel;
 }
 
-/** Shares by team. */
+/** Entitlement and use by team. */
 export type TeamShares = ReadonlyMap<string, TeamShare>;
 
 /** Shares of the fleet by team, 0 to 1. */
 export type Amounts = ReadonlyMap<string, number>;
 
 /**
- * Use counts half after this time, in ms: about the length of a usual run. With less,
- * a team would be forgiven while its work still runs; with much more, it would pay for
- * work that nobody waits behind any more.
+ * Half-life of use, in ms: about the length of a typical run. A shorter one would
+ * forget use while the work still runs; a much longer one would count work that no
+ * longer delays anyone.
  */
 export const HALF_LIFE_MS = 10_000;
 
 /**
- * Beside an entitlement of 1. Levels begin a quarter away from it, which one workflow
- * more or less does not make up, and end at it.
+ * Ratios of use to entitlement. A level starts a quarter away from 1, so that a single
+ * workflow does not change it, and ends at 1.
  */
 const ABOVE_FROM_RATIO = 1.25;
 const BELOW_UNDER_RATIO = 0.75;
 const ENDS_RATIO = 1;
 
-/** A use below it is forgotten: a team that is gone would else be kept for ever. */
+/** Use below which a team is dropped, so that removed teams do not accumulate. */
 const MIN_USE = 1e-6;
 
-/** Shares that teams are entitled to; their sum is 1. */
+/** Shares of the fleet that teams are entitled to; their sum is 1. */
 export function weightsOf(guarantees: ReadonlyMap<string, number>): Amounts {
   const paid = [...guarantees.values()].filter((one) => one > 0);
-  // A team without a guarantee is entitled to as little as the smallest one.
+  // A team without a guarantee gets the smallest share of those that have one.
   const smallestWeight = Math.min(...paid, Number.MAX_VALUE);
   const weights = [...guarantees].map(([team, guaranteed]) =>
     [
@@ -60,7 +60,7 @@
   return new Map(weights.map(([team, weight]) => [team, weight / all]));
 }
 
-/** Share of the fleet that each team holds now, by the resource it holds most of. */
+/** Share of the fleet that each team uses now, by its most used resource. */
 export function sharesHeld(endpoints: readonly fleet.WorkerState[]): Amounts {
   const all = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
   const byTeam = new Map<string, typeof all>();
@@ -97,7 +97,7 @@
   sum.accelerators += amounts.accelerators;
 }
 
-/** Use after a time in which teams held these shares. */
+/** Decays the use of teams and adds the shares held during the elapsed time. */
 export function decayUse(
   before: Amounts,
   held: Amounts,
@@ -115,7 +115,7 @@
   return use;
 }
 
-/** Judges all teams, by what they have had and by their former levels. */
+/** Computes the levels of all teams, with hysteresis on their previous levels. */
 export function judgeShares(
   weights: Amounts,
   use: Amounts,
@@ -129,7 +129,7 @@
     const used = use.get(team) ?? 0;
     const previous = before.get(team)?.level ?? ShareLevel.Below;
     const rawLevel = levelOf(used / weight, previous);
-    // Who has less than an equal part of the fleet floods nobody.
+    // A team that uses less than an equal part of the fleet does not crowd others out.
     const hasLessThanEqualPart = used * teams.size < 1;
     const level = hasLessThanEqualPart
       ? Math.min(rawLevel, ShareLevel.Within)
@@ -147,12 +147,12 @@
   return ShareLevel.Within;
 }
 
-/** Level of a team; one of which nothing is known has had nothing. */
+/** Level of a team; a team without recorded use counts as below its share. */
 export function levelOfTeam(shares: TeamShares, team: string): ShareLevel {
   return shares.get(team)?.level ?? ShareLevel.Below;
 }
 
-/** Whether a team has had clearly less than it is entitled to. */
+/** Whether a team has used clearly less than it is entitled to. */
 export function isBelowShare(shares: TeamShares, team: string): boolean {
   return levelOfTeam(shares, team) === ShareLevel.Below;
 }
--- a/packages/workflow-scheduler/src/team_shares_test.ts
+++ b/packages/workflow-scheduler/src/team_shares_test.ts
@@ -1,4 +1,4 @@
-/** Weights, use and levels of teams. */
+/** Tests the weights, use and levels of teams. */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as fastCheck from "fast-check";
@@ -8,7 +8,7 @@
 
 const { ShareLevel } = teamShares;
 
-/** Shares of the fleet by team. */
+/** Random shares of the fleet by team. */
 const amounts = fastCheck.dictionary(
   fastCheck.constantFrom("a", "b", "c", "d"),
   fastCheck.double({ min: 0, max: 1, noNaN: true }),
@@ -55,25 +55,28 @@
 }
 
 vitest.describe("weights", () => {
-  vitest.it("are what teams have paid for, or the least of it", () => {
-    const weights = teamShares.weightsOf(
-      new Map([["large", 60], ["small", 20], ["none", 0]]),
-    );
-    vitest.expect([...weights]).toEqual([
-      ["large", 0.6],
-      ["small", 0.2],
-      ["none", 0.2],
-    ]);
-  });
+  vitest.it(
+    "follow what teams have paid for, with the smallest as minimum",
+    () => {
+      const weights = teamShares.weightsOf(
+        new Map([["large", 60], ["small", 20], ["none", 0]]),
+      );
+      vitest.expect([...weights]).toEqual([
+        ["large", 0.6],
+        ["small", 0.2],
+        ["none", 0.2],
+      ]);
+    },
+  );
 
-  vitest.it("are equal where nobody has paid", () => {
+  vitest.it("are equal if no team has paid", () => {
     const weights = teamShares.weightsOf(new Map([["a", 0], ["b", 0]]));
     vitest.expect([...weights.values()]).toEqual([0.5, 0.5]);
   });
 });
 
-vitest.describe("what a team holds", () => {
-  vitest.it("counts by the resource of which it takes most", () => {
+vitest.describe("the share that a team holds", () => {
+  vitest.it("is that of its most used resource", () => {
     const held = teamShares.sharesHeld([
       endpointWith([
         runningTask("a", { accelerators: 2, memoryMb: 500, cpuMillis: 0 }),
@@ -84,7 +87,7 @@
     vitest.expect(held.get("b")).toBeCloseTo(0.5);
   });
 
-  vitest.it("leaves out processors of tasks that only fill up", () => {
+  vitest.it("ignores the cores of tasks that only fill up idle ones", () => {
     const task = runningTask("a", {
       cpuMillis: 9000,
       memoryMb: 10,
@@ -95,14 +98,14 @@
     vitest.expect(held.get("a")).toBeCloseTo(0.01);
   });
 
-  vitest.it("is nothing on a fleet without endpoints", () => {
+  vitest.it("is empty without endpoints", () => {
     vitest.expect(teamShares.sharesHeld([]).size).toBe(0);
   });
 });
 
 vitest.describe("use", () => {
   vitest.it(
-    "counts half after a half-life, and is forgotten in the end",
+    "halves after a half-life and is dropped eventually",
     () => {
       fastCheck.assert(fastCheck.property(amounts, (use) => {
         const half = teamShares.decayUse(
@@ -119,7 +122,7 @@
     },
   );
 
-  vitest.it("is the same in one look as in two", () => {
+  vitest.it("is the same after one update as after two", () => {
     const parts = fastCheck.nat({ max: 60_000 });
     fastCheck.assert(
       fastCheck.property(amounts, amounts, parts, parts, (use, held, a, b) => {
@@ -133,7 +136,7 @@
     );
   });
 
-  vitest.it("stays between 0 and 1, also where time goes back", () => {
+  vitest.it("stays between 0 and 1 even if time goes backwards", () => {
     const elapsed = fastCheck.integer({ min: -100_000, max: 100_000 });
     fastCheck.assert(
       fastCheck.property(amounts, amounts, elapsed, (use, held, ms) => {
@@ -146,7 +149,7 @@
 });
 
 vitest.describe("levels", () => {
-  vitest.it("end later than they begin", () => {
+  vitest.it("change with hysteresis", () => {
     vitest.expect(levelOf(0.6, ShareLevel.Within)).toBe(ShareLevel.Within);
     vitest.expect(levelOf(0.63, ShareLevel.Within)).toBe(ShareLevel.Above);
     vitest.expect(levelOf(0.51, ShareLevel.Above)).toBe(ShareLevel.Above);
@@ -156,14 +159,14 @@
     vitest.expect(levelOf(0.49, ShareLevel.Below)).toBe(ShareLevel.Below);
   });
 
-  vitest.it("are above for nobody with less than an equal part", () => {
+  vitest.it("are not above for a team with less than an equal part", () => {
     const weights = new Map([["large", 0.98], ["small", 0.02]]);
     const use = new Map([["large", 0.5], ["small", 0.4]]);
     const shares = teamShares.judgeShares(weights, use, new Map());
     vitest.expect(shares.get("small")?.level).toBe(ShareLevel.Within);
   });
 
-  vitest.it("are below where nothing is known", () => {
+  vitest.it("are below for an unknown team", () => {
     vitest.expect(teamShares.isBelowShare(new Map(), "a")).toBe(true);
   });
 });
--- a/packages/workflow-scheduler/src/urgent_arrivals.ts
+++ b/packages/workflow-scheduler/src/urgent_arrivals.ts
@@ -1,4 +1,4 @@
-/** Remembers what urgent work came lately, to tell what will come. */
+/** Tracks recent arrivals of urgent work to predict the next ones. */
 import type * as Workflow from "@cairngate/workflow";
 import * as rank from "./rank.ts";
 import type * as reserveSize from "./urgent_room.ts";
@@ -10,21 +10,21 @@
 }
 
 /**
- * Time over which arrivals are counted, in ms: demand swings within some 10 s, and a
- * coordinator that takes over has to know it within seconds.
+ * Window over which arrivals are counted, in ms: demand changes within about 10 s, and
+ * a new coordinator has to measure it within seconds.
  */
 const WINDOW_MS = 8000;
-/** Arrivals that are remembered at most; older ones go first. */
+/** Most arrivals that are kept; the oldest are dropped first. */
 const MAX_ARRIVALS = 1000;
-/** Share of the arrivals that are at most as wide as a wide one. */
+/** Quantile of the accelerator counts that defines a wide unit. */
 const WIDE_QUANTILE = 0.9;
 
-/** Urgent arrivals of the last seconds. */
+/** Counts urgent workflows that were accepted in the last seconds. */
 export class UrgentArrivals {
   readonly #seen = new WeakSet<Workflow.Workflow>();
   #arrivals: Arrival[] = [];
 
-  /** Takes in workflows that have not ended; known ones are passed over. */
+  /** Records urgent workflows that it has not seen before. */
   note(workflows: Iterable<Workflow.Workflow>): void {
     for (const workflow of workflows) {
       if (workflow.spec.policy.priority > 0) continue;
@@ -36,7 +36,7 @@
     this.#arrivals = this.#arrivals.slice(-MAX_ARRIVALS);
   }
 
-  /** Urgent work of a service as it came lately. */
+  /** Recent urgent traffic of a service. */
   of(service: string, wallMs: number): reserveSize.UrgentTraffic {
     this.#arrivals = this.#arrivals.filter(({ atWallMs }) =>
       atWallMs > wallMs - WINDOW_MS
--- a/packages/workflow-scheduler/src/urgent_room.ts
+++ b/packages/workflow-scheduler/src/urgent_room.ts
@@ -1,37 +1,37 @@
 /**
- * Room that is left free for urgent work that will come. Answers loads on which
- * ordinary work fills each gap and is stopped again at once.
+ * Chooses endpoints to reserve for future urgent work. Without a reserve, ordinary work
+ * fills every gap under heavy load and is stopped again at once.
  */
 import type * as Workflow from "@cairngate/workflow";
 import type * as fleet from "./fleet.ts";
 
-/** Urgent work as it came lately. */
+/** Recent arrivals of urgent work. */
 export interface UrgentTraffic {
-  /** Accelerators that it asks for in a second, on average. */
+  /** Accelerators requested per second, on average. */
   readonly acceleratorsPerSecond: number;
-  /** Accelerators of a wide unit: nine of ten ask for no more. */
+  /** Accelerators of a wide workflow; nine of ten request no more. */
   readonly wideAccelerators: number;
 }
 
-/** No urgent work lately. */
+/** No recent urgent work. */
 export const NO_URGENT_TRAFFIC: UrgentTraffic = {
   acceleratorsPerSecond: 0,
   wideAccelerators: 0,
 };
 
 /**
- * Largest share of all accelerators that is left free. Ordinary work must go on
- * whatever comes: beyond this share urgent work makes others stop.
+ * Largest share of all accelerators that is reserved, so that ordinary work can always
+ * run. Urgent work beyond this share stops other tasks.
  */
 const MAX_RESERVED_SHARE = 0.15;
 
 /**
- * Nothing is left free while less than this share is in use: users allow no work to
- * stand still for seconds while under half of the fleet is.
+ * Utilization below which nothing is reserved: users do not accept that work stands
+ * still for seconds while less than half of the fleet is in use.
  */
 const MIN_UTILIZATION = 0.6;
 
-/** Accelerators to leave free: what comes while a stop takes place, and one wide unit. */
+/** Accelerators to reserve: arrivals during one stop plus one wide workflow. */
 export function targetAccelerators(
   traffic: UrgentTraffic,
   fleetState: { readonly total: number; readonly stopMs: number },
@@ -46,8 +46,8 @@
 }
 
 /**
- * The endpoints of one service to leave free: those of one rack after another, the
- * emptiest first, as wide gangs want whole endpoints of one rack.
+ * Chooses the endpoints of one service to reserve, rack by rack from the emptiest one,
+ * since wide gangs need whole endpoints of one rack.
  */
 export function chooseReserved(
   endpoints: readonly fleet.Endpoint[],
@@ -66,7 +66,7 @@
   return chosen;
 }
 
-/** Whether a unit may take room that is left free for urgent work. */
+/** Whether a unit may use endpoints that are reserved for urgent work. */
 export function mayUseReserve({ step, workflow }: Workflow.Unit): boolean {
   const isOrdinary = workflow.spec.policy.priority > 0;
   return !isOrdinary || step.checkpoints || step.lasting;
@@ -74,7 +74,7 @@
 
 interface ReservableEndpoint {
   readonly endpoint: fleet.Endpoint;
-  /** Accelerators that are free, or held by work that stops cheaply. */
+  /** Accelerators that are free or used by work that is cheap to stop. */
   readonly reservable: number;
 }
 
@@ -110,10 +110,10 @@
     workflow.spec.policy.priority > 0;
 }
 
-/** Cores that one accelerator counts for. */
+/** Cores that are equivalent to one accelerator. */
 const ACCELERATOR_WEIGHT = 8;
 
-/** Share in use: of the accelerators, or of them and the cores, whichever is less. */
+/** Lower of the utilization of accelerators and of accelerators and cores together. */
 function utilization(endpoints: readonly fleet.Endpoint[]): number {
   const coreEquivalentsOf = ({ cpuMillis, accelerators }: Workflow.Resources) =>
     cpuMillis / 1000 + ACCELERATOR_WEIGHT * accelerators;
--- a/packages/workflow-scheduler/src/urgent_room_test.ts
+++ b/packages/workflow-scheduler/src/urgent_room_test.ts
@@ -1,4 +1,4 @@
-/** Which room is left free for urgent work, and who may use it. */
+/** Tests which capacity is reserved for urgent work and which work may use it. */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
@@ -7,7 +7,7 @@
 import * as reserveSize from "./urgent_room.ts";
 
 const ACCELERATORS = 8;
-/** Cores beside each accelerator. */
+/** Cores of a task for each of its accelerators. */
 const CORES_EACH = 8;
 const TRAFFIC = { acceleratorsPerSecond: 10, wideAccelerators: 8 };
 let ids = 0;
@@ -28,7 +28,7 @@
   });
 }
 
-/** Ten endpoints in racks of two, each with work on some of its accelerators. */
+/** Builds endpoints in racks of two, each with one task unless its count is 0. */
 function buildEndpoints(
   occupancy: readonly (readonly [number, boolean])[],
 ): fleet.Endpoint[] {
@@ -61,9 +61,9 @@
   return [...endpoints].map(({ state }) => state.id);
 }
 
-vitest.describe("room for urgent work", () => {
+vitest.describe("capacity reserved for urgent work", () => {
   vitest.it(
-    "is what comes during a stop and one wide unit, up to a share",
+    "covers arrivals during a stop and one wide workflow, up to a limit",
     () => {
       const targetFor = (all: number) =>
         reserveSize.targetAccelerators(TRAFFIC, { total: all, stopMs: 200 });
@@ -72,7 +72,7 @@
     },
   );
 
-  vitest.it("is none without urgent traffic", () => {
+  vitest.it("is 0 without urgent traffic", () => {
     const now = { total: 1000, stopMs: 200 };
     const { NO_URGENT_TRAFFIC } = reserveSize;
     vitest.expect(reserveSize.targetAccelerators(NO_URGENT_TRAFFIC, now)).toBe(
@@ -80,19 +80,22 @@
     );
   });
 
-  vitest.it("is that of the emptiest rack, cheap work counted as gone", () => {
-    const endpoints = buildEndpoints([
-      ...FULLY_OCCUPIED.slice(0, 4),
-      [8, true],
-      [8, true],
-      ...FULLY_OCCUPIED.slice(0, 3),
-      [0, false],
-    ]);
-    const kept = reserveSize.chooseReserved(endpoints, TRAFFIC, 200);
-    vitest.expect(idsOf(kept)).toEqual(["worker-4", "worker-5"]);
-  });
+  vitest.it(
+    "is on the emptiest rack, not counting work that is cheap to stop",
+    () => {
+      const endpoints = buildEndpoints([
+        ...FULLY_OCCUPIED.slice(0, 4),
+        [8, true],
+        [8, true],
+        ...FULLY_OCCUPIED.slice(0, 3),
+        [0, false],
+      ]);
+      const kept = reserveSize.chooseReserved(endpoints, TRAFFIC, 200);
+      vitest.expect(idsOf(kept)).toEqual(["worker-4", "worker-5"]);
+    },
+  );
 
-  vitest.it("is none while much of the fleet is free", () => {
+  vitest.it("is 0 while much of the fleet is free", () => {
     const endpoints = buildEndpoints(
       FULLY_OCCUPIED.map(([, ck], i) => [i < 5 ? 8 : 0, ck]),
     );
@@ -100,7 +103,7 @@
       .toBe(0);
   });
 
-  vitest.it("is none while much of the cores is free", () => {
+  vitest.it("is 0 while many of the cores are free", () => {
     const endpoints = buildEndpoints(
       FULLY_OCCUPIED.map(([, ck], i) => [i < 6 ? 8 : 0, ck]),
     );
@@ -113,7 +116,7 @@
       .toBe(0);
   });
 
-  vitest.it("may be used by work that is urgent, or that stops cheaply", () => {
+  vitest.it("may be used by work that is urgent or cheap to stop", () => {
     const mayUse = (priority: number, checkpoints: boolean) => {
       const workflow = buildWorkflow(priority, { checkpoints });
       return reserveSize.mayUseReserve(workflow.readyUnits(0)[0]);
@@ -125,7 +128,7 @@
 });
 
 vitest.describe("urgent arrivals", () => {
-  vitest.it("are counted once each, and only the urgent ones", () => {
+  vitest.it("are counted once each and only if urgent", () => {
     const arrivals = new urgentArrivals.UrgentArrivals();
     const urgent = buildWorkflow(0, { accelerators: 4, count: 2 });
     arrivals.note([urgent, buildWorkflow(1)]);
@@ -139,7 +142,7 @@
       .toEqual(reserveSize.NO_URGENT_TRAFFIC);
   });
 
-  vitest.it("are known at once after a takeover, by their acceptance", () => {
+  vitest.it("are counted by acceptance time after a takeover", () => {
     const arrivals = new urgentArrivals.UrgentArrivals();
     const urgent = buildWorkflow(0, { accelerators: 8 }, 5000);
     arrivals.note([urgent, buildWorkflow(0, { accelerators: 8 }, -9000)]);
@@ -150,7 +153,7 @@
     vitest.expect(acceleratorsPerSecond).toBe(1);
   });
 
-  vitest.it("are forgotten", () => {
+  vitest.it("expire", () => {
     const arrivals = new urgentArrivals.UrgentArrivals();
     const urgent = buildWorkflow(0);
     arrivals.note([urgent]);
--- a/packages/workflow-scheduler/src/victim_cost.ts
+++ b/packages/workflow-scheduler/src/victim_cost.ts
@@ -1,20 +1,20 @@
-/** What stopping a task weighs, where teams compete. */
+/** Weighs the cost of stopping a task by the share of its team. */
 import type * as Workflow from "@cairngate/workflow";
 import * as teamShares from "./team_shares.ts";
 
-/** A task that could yield. */
+/** A task that could be stopped. */
 export interface Victim {
   readonly task: Workflow.Task;
-  /** What is lost with it, in core-seconds. */
+  /** Work that is lost with the task, in core-seconds. */
   readonly loss: number;
 }
 
-/** Where one victim costs up to twice what another does, shares decide. */
+/** Prefers victims of teams above their share at up to twice the cost of others. */
 const ABOVE_SHARE_FACTOR = 0.5;
 
 /**
- * Cost by which a victim is chosen: less where its team has had more than its share.
- * Whether a claim is worth it goes by the loss, whoever the victims are.
+ * Cost by which victims are chosen, reduced if the team is above its share. Whether an
+ * eviction is worthwhile depends on the unweighted loss instead.
  */
 export function weighCost(
   { task, loss }: Victim,
--- a/packages/workflow-scheduler/src/wait_reason.ts
+++ b/packages/workflow-scheduler/src/wait_reason.ts
@@ -1,35 +1,35 @@
-/** Why units that are ready stay where they are. */
+/** Reasons why ready units wait. */
 import type * as Workflow from "@cairngate/workflow";
 
 /** Why a unit waits. */
 export enum WaitReason {
-  /** Others are being stopped for it. */
+  /** Other tasks are being stopped for it. */
   Stops = "stops",
-  /** No endpoint is known that the advice for its step allows. */
+  /** No endpoint is known to be allowed by the advice for its step. */
   Advice = "advice",
   /** Its endpoints are in use. */
   Room = "room",
-  /** Its endpoints are in use, and others go first: its team has had its share. */
+  /** Its endpoints are in use, and other teams go first because of its team's use. */
   Share = "share",
-  /** Room that is free is kept for units that come before it. */
+  /** Free capacity is reserved for units that come before it. */
   Reserved = "reserved",
-  /** Room is free only far from its data, or on several racks. */
+  /** Capacity is free only far from its data or across several racks. */
   NearData = "near-data",
-  /** It has failed, and the next try comes a little later. */
+  /** It has failed and pauses before the next attempt. */
   Pause = "pause",
-  /** It has failed, and free endpoints may fail whatever they start. */
+  /** It has failed, and the free endpoints are unreliable. */
   UnreliableEndpoints = "doubt",
-  /** So many endpoints may have crashed under it that it is held back. */
+  /** It is in backoff because too many endpoints may have crashed while running it. */
   CrashBackoff = "hold",
-  /** An endpoint has crashed under it, and none is free for it alone. */
+  /** An endpoint crashed while running it, and no empty endpoint is available. */
   OwnEndpoint = "own-endpoint",
-  /** No endpoint of its service and kind may be given work. */
+  /** No endpoint of its service and label accepts work. */
   Endpoints = "endpoints",
-  /** Its record is not read yet, or can't be written now. */
+  /** Its record has not been read yet or cannot be written now. */
   Record = "record",
 }
 
-/** A unit that stays where it is; it stands for all of its step that follow. */
+/** A unit that waits; it also represents the following units of its step. */
 export interface WaitDecision {
   readonly unit: Workflow.Unit;
   readonly reason: WaitReason;
--- a/packages/workflow-scheduler/src/wait_reason_test.ts
+++ b/packages/workflow-scheduler/src/wait_reason_test.ts
@@ -1,4 +1,4 @@
-/** Each step that a plan leaves waiting gets the reason for which it waits. */
+/** Tests the reason that a plan gives for each waiting step. */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
@@ -24,7 +24,7 @@
   });
 }
 
-function buildWorker(
+function buildEndpoint(
   changes: Partial<fleet.WorkerState> = {},
 ): fleet.WorkerState {
   return {
@@ -41,13 +41,13 @@
   };
 }
 
-/** Why the workflows wait, in the order of the decisions. */
+/** Wait reasons of the workflows, in the order of the decisions. */
 function reasonsOf(
-  workers: readonly fleet.WorkerState[],
+  endpoints: readonly fleet.WorkerState[],
   workflows: readonly Workflow.Workflow[],
 ): string[] {
   const { waits } = plans.makePlan({
-    workers,
+    workers: endpoints,
     workflows,
     guarantees: new Map(),
     nowMs: NOW_MS,
@@ -59,46 +59,46 @@
 }
 
 vitest.describe("a step that waits", () => {
-  vitest.it("waits for endpoints where none may be given work", () => {
-    const workers = [buildWorker({ usable: false })];
-    vitest.expect(reasonsOf(workers, [buildWorkflow("w")]))
+  vitest.it("waits for endpoints if none accepts work", () => {
+    const endpoints = [buildEndpoint({ usable: false })];
+    vitest.expect(reasonsOf(endpoints, [buildWorkflow("w")]))
       .toEqual([`w: ${WaitReason.Endpoints}`]);
   });
 
-  vitest.it("waits for room on endpoints that are in use", () => {
+  vitest.it("waits for capacity on endpoints that are in use", () => {
     const other = buildWorkflow("other", { count: 4 });
     for (const task of other.tasks) task.place("worker-0", 1, 0);
-    const workers = [buildWorker({ occupants: [...other.tasks] })];
-    vitest.expect(reasonsOf(workers, [buildWorkflow("w")]))
+    const endpoints = [buildEndpoint({ occupants: [...other.tasks] })];
+    vitest.expect(reasonsOf(endpoints, [buildWorkflow("w")]))
       .toEqual([`w: ${WaitReason.Room}`]);
   });
 
-  vitest.it("is held back where too many endpoints may have crashed", () => {
+  vitest.it("is in backoff if too many endpoints may have crashed", () => {
     const held = buildWorkflow("w");
     for (const task of held.tasks) {
       task.crashes = { laid: 0, excused: 0, presence: 0, unseen: 5 };
       task.waitingSinceMs = NOW_MS - 1;
     }
-    vitest.expect(reasonsOf([buildWorker()], [held]))
+    vitest.expect(reasonsOf([buildEndpoint()], [held]))
       .toEqual([`w: ${WaitReason.CrashBackoff}`]);
   });
 
-  vitest.it("waits where only endpoints in doubt are free", () => {
+  vitest.it("waits if only unreliable endpoints are free", () => {
     const failed = buildWorkflow("w");
     for (const task of failed.tasks) {
       task.failures = 1;
       task.failedAtMs = NOW_MS - 2100;
       task.failedAfterMs = 10;
     }
-    vitest.expect(reasonsOf([buildWorker({ isDoubted: true })], [failed]))
+    vitest.expect(reasonsOf([buildEndpoint({ isDoubted: true })], [failed]))
       .toEqual([`w: ${WaitReason.UnreliableEndpoints}`]);
   });
 
-  vitest.it("waits for its turn where others take what is free", () => {
+  vitest.it("waits if free capacity is reserved for other work", () => {
     const [first, second] = [3, 2].map((count) =>
       buildWorkflow(`w${count}`, { count, gang: true })
     );
-    vitest.expect(reasonsOf([buildWorker()], [first, second]))
+    vitest.expect(reasonsOf([buildEndpoint()], [first, second]))
       .toEqual([`w2: ${WaitReason.Reserved}`]);
   });
 });
--- a/packages/workflow-scheduler/src/why_waiting.ts
+++ b/packages/workflow-scheduler/src/why_waiting.ts
@@ -1,4 +1,4 @@
-/** Tells why a unit that is ready found no place in a plan. */
+/** Determines why a ready unit was not placed in a plan. */
 import type * as Workflow from "@cairngate/workflow";
 import * as fleet from "./fleet.ts";
 import * as isolation from "./isolation.ts";
@@ -8,23 +8,23 @@
 
 const { WaitReason } = waiting;
 
-/** What the reason is judged by. */
+/** Inputs for determining the reason. */
 export interface WaitContext {
   readonly unit: Workflow.Unit;
-  /** Rooms that it could have used. */
+  /** Endpoints that the unit was allowed to use. */
   readonly endpoints: readonly fleet.Endpoint[];
-  /** All rooms of the plan. */
+  /** All endpoints of the plan. */
   readonly all: readonly fleet.Endpoint[];
   readonly nowMs: number;
-  /** Most of the fleet is free. */
+  /** Whether most of the fleet is free. */
   readonly isIdle: boolean;
-  /** Others with later objectives went first. */
+  /** Whether units with later objectives went first. */
   readonly isPassedOver: boolean;
 }
 
 /**
- * Why a unit found no place. On a fleet that is mostly in use the answer is room; to
- * look further for each waiting step would cost a search of all endpoints.
+ * Returns why a unit was not placed. On a busy fleet it reports missing capacity or the
+ * team's share without a further search, which would read all endpoints for each step.
  */
 export function waitReasonOf(context: WaitContext): waiting.WaitReason {
   const { unit, endpoints, nowMs, isIdle, isPassedOver } = context;
