--- a/packages/coordinator/src/sessions/box_load_test.ts
+++ b/packages/coordinator/src/sessions/box_load_test.ts
@@ -10,7 +10,7 @@
 }
 
 function noteAll(load: loads.BoxLoad, lateMs: number, answers: number): void {
-  for (let i = 0; i < answers; i++) load.note(lateMs);
+  for (let i = 0; i < answers; i++) load.addSample(lateMs);
 }
 
 vitest.describe("BoxLoad", () => {
@@ -37,9 +37,9 @@
   vitest.it("adds its own delay to limits, up to a bound", () => {
     const load = createLoad();
     noteAll(load, 100, 48);
-    vitest.expect(load.allow(450)).toBe(750);
+    vitest.expect(load.extendLimit(450)).toBe(750);
     noteAll(load, 10_000, 48);
-    vitest.expect(load.allow(450)).toBe(1950);
+    vitest.expect(load.extendLimit(450)).toBe(1950);
   });
 
   vitest.it(
@@ -52,7 +52,7 @@
         begun++;
         return Effect.never;
       });
-      const calls = Array.from({ length: 60 }, () => load.inTurn(silent));
+      const calls = Array.from({ length: 60 }, () => load.withSlot(silent));
       Effect.runFork(Effect.all(calls, { concurrency: "unbounded" }));
       await clock.advance(10);
       vitest.expect(begun).toBe(24);
@@ -68,7 +68,7 @@
     const load = createLoad(clock);
     const calls = Array.from(
       { length: 48 },
-      () => load.inTurn(clock.sleep(30)),
+      () => load.withSlot(clock.sleep(30)),
     );
     const all = Effect.runPromise(
       Effect.all(calls, { concurrency: "unbounded" }),
--- a/packages/coordinator/src/sessions/end_ledger.ts
+++ b/packages/coordinator/src/sessions/end_ledger.ts
@@ -7,10 +7,10 @@
 import * as Effect from "effect/Effect";
 
 /** Ends of one worker life. */
-export class EndLedger {
+export class ReportedEnds {
   #seen = 0;
   #recorded = 0;
-  #told = 0;
+  #acknowledged = 0;
   /** Done once the ends of all looks so far are recorded. */
   #allRecorded = Deferred.makeUnsafe<void>();
 
@@ -24,25 +24,25 @@
   }
 
   /** Whether the worker has still to be told of recorded ends. */
-  get hasNews(): boolean {
-    return this.#recorded > this.#told;
+  get hasUnacknowledged(): boolean {
+    return this.#recorded > this.#acknowledged;
   }
 
   /** Whether some ends are seen and not recorded. */
-  get isWaiting(): boolean {
+  get hasUnrecorded(): boolean {
     return this.#recorded < this.#seen;
   }
 
   /** The worker has been told that ends up to a number are recorded. */
-  noteTold(upTo: number): void {
-    this.#told = Math.max(this.#told, upTo);
+  noteAcknowledged(upTo: number): void {
+    this.#acknowledged = Math.max(this.#acknowledged, upTo);
   }
 
   /** Those of the listed ends that were not seen before. */
   takeNew(ended: readonly Ports.EndedRun[]): readonly Ports.EndedRun[] {
-    const fresh = ended.filter(({ number }) => number > this.#seen);
-    for (const { number } of fresh) this.#seen = Math.max(this.#seen, number);
-    return fresh;
+    const added = ended.filter(({ number }) => number > this.#seen);
+    for (const { number } of added) this.#seen = Math.max(this.#seen, number);
+    return added;
   }
 
   /**
--- a/packages/coordinator/src/sessions/endpoint_ends.ts
+++ b/packages/coordinator/src/sessions/endpoint_ends.ts
@@ -3,11 +3,11 @@
 import * as Effect from "effect/Effect";
 import type * as endpointRuns from "./endpoint_runs.ts";
 import type * as endpointStates from "./endpoint_state.ts";
-import * as lifeEnds from "./life_end.ts";
-import * as occupants from "./occupant.ts";
+import * as evidences from "./life_end.ts";
+import * as assignments from "./occupant.ts";
 import * as listeners from "./session_listener.ts";
 import type * as sessionOptions from "./session_options.ts";
-import type * as unheards from "./unheard_runs.ts";
+import type * as unreportedRuns from "./unheard_runs.ts";
 
 const { LostCause, lost } = listeners;
 
@@ -19,19 +19,19 @@
 }
 
 /** How runs ended of which it is so sure that they were there. */
-type EndOf = (presence: Workflow.Presence) => listeners.SessionEnd;
+type EndByPresence = (presence: Workflow.Presence) => listeners.SessionEnd;
 
 /**
  * No endpoint ends and is back as another life within this time, in ms: those of the
  * users take about 3 s, the quickest that flap 1 s.
  */
-const LEAST_REBIRTH_MS = 300;
+const MIN_RESTART_MS = 300;
 
 /**
  * An endpoint that lives has written its own entry again within this time, in ms:
  * two heartbeats of 1.5 s and what a listing takes to be told.
  */
-const OWN_ENTRY_MS = 3500;
+const ENTRY_REFRESH_MS = 3500;
 
 /** Ends of one endpoint's lives. */
 export class EndpointEnds {
@@ -42,21 +42,28 @@
   }
 
   /** It is shown to have ended: nothing of this life runs any more. */
-  endAll(sign = lifeEnds.LifeEndSign.OtherAnswers): Effect.Effect<void> {
-    const { state, runs: { held, unheard }, options } = this.#options;
+  endAll(proof = evidences.EndProof.OtherEndpointAnswers): Effect.Effect<void> {
+    const { state, runs: { tracked, unreported: unreported }, options } =
+      this.#options;
     return Effect.gen({ self: this }, function* () {
       if (state.isOver) return;
       state.end();
       const nowMs = options.ports.clock.monotonicMs();
-      const untold = unheard.takeAll();
-      const wereThere = held.all.filter((one) => this.#mayBeThere(one));
-      const endOf = state.life.ending.end(sign, wereThere, untold);
-      const records = held.all.map((one) =>
-        wereThere.includes(one)
-          ? this.#endHeld(one, endOf, nowMs)
+      const unreportedList = unreported.takeAll();
+      const mayHaveStarted = tracked.all.filter((one) =>
+        this.#mayHaveStarted(one)
+      );
+      const endOf = state.incarnation.endEvidence.end(
+        proof,
+        mayHaveStarted,
+        unreportedList,
+      );
+      const records = tracked.all.map((one) =>
+        mayHaveStarted.includes(one)
+          ? this.#endTracked(one, endOf, nowMs)
           : this.#endRun(one, lost(LostCause.NeverSent))
       );
-      records.push(...this.#endUntold(untold, endOf));
+      records.push(...this.#endUnreported(unreportedList, endOf));
       yield* Effect.all(records, { concurrency: "unbounded", discard: true });
     });
   }
@@ -65,18 +72,20 @@
    * Nobody listens any more where this life has answered, and its lease is out: it has
    * ended, whatever its entry says. The session stays, as another life may begin.
    */
-  endLifeHere(): Effect.Effect<void> {
-    const { state: { life }, runs, options } = this.#options;
+  endIncarnation(): Effect.Effect<void> {
+    const { state: { incarnation }, runs, options } = this.#options;
     return Effect.gen({ self: this }, function* () {
-      const held = runs.held.sent;
-      const untold = runs.unheard.takeAll();
-      if (held.length + untold.length === 0) return;
-      life.hasEnded = true;
+      const sentRuns = runs.tracked.sent;
+      const unreported = runs.unreported.takeAll();
+      if (sentRuns.length + unreported.length === 0) return;
+      incarnation.hasEnded = true;
       const nowMs = options.ports.clock.monotonicMs();
-      const sign = lifeEnds.LifeEndSign.NobodyListens;
-      const endOf = life.ending.end(sign, held, untold);
-      const records = held.map((one) => this.#endHeld(one, endOf, nowMs));
-      records.push(...this.#endUntold(untold, endOf));
+      const proof = evidences.EndProof.ConnectionRefused;
+      const endOf = incarnation.endEvidence.end(proof, sentRuns, unreported);
+      const records = sentRuns.map((one) =>
+        this.#endTracked(one, endOf, nowMs)
+      );
+      records.push(...this.#endUnreported(unreported, endOf));
       yield* Effect.all(records, { concurrency: "unbounded", discard: true });
     });
   }
@@ -90,9 +99,10 @@
   noteReplaced(): Effect.Effect<void> {
     const { state, runs, options } = this.#options;
     const nowMs = options.ports.clock.monotonicMs();
-    const mayHold = nowMs - state.openedAtMs < OWN_ENTRY_MS ||
-      !state.life.clock.hasLapsed(nowMs);
-    const mayBeElsewhere = !state.wasHeard && !runs.held.isEmpty && mayHold;
+    const mayHold = nowMs - state.openedAtMs < ENTRY_REFRESH_MS ||
+      !state.incarnation.clock.hasLapsed(nowMs);
+    const mayBeElsewhere = !state.hasAnswered && !runs.tracked.isEmpty &&
+      mayHold;
     return mayBeElsewhere ? Effect.void : this.endAll();
   }
 
@@ -103,59 +113,59 @@
    * connections were refused, nobody listens: that is an end, and no cut.
    */
   suspectGone(): void {
-    const { state, runs: { unheard }, options } = this.#options;
-    if (state.isGone) return;
-    if (state.life.ending.isRefused) {
-      Effect.runFork(this.endAll(lifeEnds.LifeEndSign.NobodyListens));
+    const { state, runs: { unreported }, options } = this.#options;
+    if (state.isSuspectedGone) return;
+    if (state.incarnation.endEvidence.isRefused) {
+      Effect.runFork(this.endAll(evidences.EndProof.ConnectionRefused));
       return;
     }
-    state.noteGone();
+    state.suspectGone();
     // One that was going to leave has left; nobody waits for news of it.
-    if (state.life.ending.isLeaving) unheard.takeAll();
-    for (const run of unheard.all) options.listener.runGone(state, run);
+    if (state.incarnation.endEvidence.isLeaving) unreported.takeAll();
+    for (const run of unreported.all) options.listener.runGone(state, run);
   }
 
   /**
    * Whether a run may have been there when this life ended. Another life answers by
    * then, so a start sent a moment ago came too late for this one.
    */
-  #mayBeThere(occupant: occupants.Occupant): boolean {
-    const { sent, sentAtMs } = occupant;
-    if (!sent || sentAtMs === null || occupants.isConfirmed(occupant)) {
-      return sent;
+  #mayHaveStarted(assignment: assignments.Occupant): boolean {
+    const { isSent, sentAtMs } = assignment;
+    if (!isSent || sentAtMs === null || assignments.isConfirmed(assignment)) {
+      return isSent;
     }
     const nowMs = this.#options.options.ports.clock.monotonicMs();
-    return nowMs - sentAtMs >= LEAST_REBIRTH_MS;
+    return nowMs - sentAtMs >= MIN_RESTART_MS;
   }
 
-  #endHeld(
-    occupant: occupants.Occupant,
-    endOf: EndOf,
+  #endTracked(
+    assignment: assignments.Occupant,
+    endOf: EndByPresence,
     crashedByMs: number,
   ): Effect.Effect<void> {
-    const { ending } = this.#options.state.life;
+    const { endEvidence } = this.#options.state.incarnation;
     return this.#endRun(
-      occupant,
-      endOf(ending.presenceOf(occupant, crashedByMs)),
+      assignment,
+      endOf(endEvidence.presenceOf(assignment, crashedByMs)),
     );
   }
 
   /** What a former life had, ended with that one. */
   #endRun(
-    occupant: occupants.Occupant,
+    assignment: assignments.Occupant,
     end: listeners.SessionEnd,
   ): Effect.Effect<void> {
-    const { held, former } = this.#options.runs;
-    return held.end(occupant, former.take(occupant) ?? end);
+    const { tracked, previous: previous } = this.#options.runs;
+    return tracked.end(assignment, previous.take(assignment) ?? end);
   }
 
-  #endUntold(
-    untold: readonly unheards.UnheardRun[],
-    endOf: EndOf,
+  #endUnreported(
+    unreported: readonly unreportedRuns.UnheardRun[],
+    endOf: EndByPresence,
   ): readonly Effect.Effect<void>[] {
-    const { state, runs: { former }, options: { listener } } = this.#options;
-    return untold.map((run) =>
-      listener.lateEnd(state, run, former.take(run) ?? endOf(run.presence))
+    const { state, runs: { previous }, options: { listener } } = this.#options;
+    return unreported.map((run) =>
+      listener.lateEnd(state, run, previous.take(run) ?? endOf(run.presence))
     );
   }
 }
--- a/packages/coordinator/src/sessions/endpoint_orders.ts
+++ b/packages/coordinator/src/sessions/endpoint_orders.ts
@@ -14,7 +14,7 @@
 }
 
 /** Pause before an order is sent again, in ms. */
-export const RETRY_MS = 150;
+export const RETRY_DELAY_MS = 150;
 
 /** Orders to one endpoint. */
 export class EndpointOrders {
@@ -31,7 +31,7 @@
   ): Effect.Effect<A | null> {
     const { ports: { clock }, load } = this.#options.options;
     return Effect.gen({ self: this }, function* () {
-      const allowedMs = load.allow(limitMs);
+      const allowedMs = load.extendLimit(limitMs);
       const timed = yield* Effect.result(clock.within(allowedMs, order));
       if (timed._tag === "Success") {
         if (timed.success === null) this.#noteUnanswered(false);
@@ -42,27 +42,29 @@
       if (err._tag === "WorkerReplacedError") {
         yield* this.#options.ends.noteReplaced();
       }
-      this.#noteFailed(err);
+      this.#handleFailure(err);
       return null;
     });
   }
 
-  #noteUnanswered(isCut: boolean): void {
-    this.#options.state.life.ending.noteUnanswered(isCut);
+  #noteUnanswered(isConnectionLost: boolean): void {
+    this.#options.state.incarnation.endEvidence.noteUnanswered(
+      isConnectionLost,
+    );
   }
 
-  #noteFailed(err: Ports.OrderError): void {
-    const { state: { life }, options: { term } } = this.#options;
+  #handleFailure(err: Ports.OrderError): void {
+    const { state: { incarnation }, options: { term } } = this.#options;
     const isRefused = err._tag === "WorkerLostError" && err.neverSent;
-    if (isRefused) life.ending.noteRefused();
-    this.#tellFirst(err);
+    if (isRefused) incarnation.endEvidence.noteRefused();
+    this.#logFirstFailure(err);
     const isFenced = err._tag === "OrderRefusedError" &&
       err.reason === Errors.OrderRefusal.Fenced;
     if (isFenced) term.lose(err.message);
   }
 
   /** The first order without an answer tells most of what became of it. */
-  #tellFirst(err: Ports.OrderError): void {
+  #logFirstFailure(err: Ports.OrderError): void {
     const { state, options } = this.#options;
     if (!state.isReachable) return;
     const { id, address } = state.ref;
--- a/packages/coordinator/src/sessions/endpoint_runs.ts
+++ b/packages/coordinator/src/sessions/endpoint_runs.ts
@@ -5,58 +5,60 @@
  */
 import type * as Ports from "@cairngate/ports";
 import type * as endpointStates from "./endpoint_state.ts";
-import * as formers from "./former_runs.ts";
-import * as helds from "./held_runs.ts";
-import type * as looses from "./loose_starts.ts";
-import type * as occupants from "./occupant.ts";
-import * as outliveds from "./outlived_runs.ts";
+import * as previousRuns from "./former_runs.ts";
+import * as trackedRuns from "./held_runs.ts";
+import type * as unansweredStarts from "./loose_starts.ts";
+import type * as assignments from "./occupant.ts";
+import * as prematureEnds from "./outlived_runs.ts";
 import type * as sessionOptions from "./session_options.ts";
-import * as unheards from "./unheard_runs.ts";
+import * as unreportedRuns from "./unheard_runs.ts";
 
 /** What the books work with. */
 export interface EndpointRunsOptions {
   readonly options: sessionOptions.SessionOptions;
   readonly state: endpointStates.EndpointState;
   /** Tells the present life to stop a run that is still waited for. */
-  readonly seal: (occupant: occupants.Occupant) => void;
+  readonly blockStart: (assignment: assignments.Occupant) => void;
   /** The same for a run that nobody waits for. */
-  readonly sealLoose: (run: Ports.RunRef) => void;
+  readonly blockRun: (run: Ports.RunRef) => void;
 }
 
 /** Those of one endpoint. */
 export class EndpointRuns {
   /** Runs that it holds or may hold. */
-  readonly held: helds.HeldRuns;
+  readonly tracked: trackedRuns.TrackedRuns;
   /** Runs that are over, and whose ends it has not told. */
-  readonly unheard = new unheards.UnheardRuns();
+  readonly unreported = new unreportedRuns.UnreportedRuns();
   /** Starts that had no answer. */
-  readonly loose: looses.LooseStarts;
+  readonly unansweredStarts: unansweredStarts.LooseStarts;
   /** Runs that former lives had. */
-  readonly former: formers.FormerRuns;
+  readonly previous: previousRuns.PreviousRuns;
   /** Runs that it may show although they count as over. */
-  readonly outlived: outliveds.OutlivedRuns;
+  readonly prematureEnds: prematureEnds.PrematureEnds;
 
-  constructor({ options, state, seal, sealLoose }: EndpointRunsOptions) {
+  constructor(
+    { options, state, blockStart, blockRun: blockRun }: EndpointRunsOptions,
+  ) {
     const { listener, ports: { clock, log, metrics } } = options;
     const endpoint = options.ref.id;
-    this.outlived = new outliveds.OutlivedRuns({
+    this.prematureEnds = new prematureEnds.PrematureEnds({
       clock,
       log,
       metrics,
       endpoint,
     });
-    this.held = new helds.HeldRuns((occupant, end) => {
-      this.outlived.note(occupant, end);
-      return listener.runEnded(state, occupant, end);
+    this.tracked = new trackedRuns.TrackedRuns((assignment, end) => {
+      this.prematureEnds.noteEnd(assignment, end);
+      return listener.runEnded(state, assignment, end);
     });
-    this.loose = options.loose;
-    this.former = new formers.FormerRuns({
+    this.unansweredStarts = options.loose;
+    this.previous = new previousRuns.PreviousRuns({
       clock,
-      held: this.held,
-      unheard: this.unheard,
-      loose: this.loose,
-      seal,
-      sealLoose,
+      tracked: this.tracked,
+      unreported: this.unreported,
+      unansweredStarts: this.unansweredStarts,
+      blockStart,
+      blockRun,
     });
   }
 }
--- a/packages/coordinator/src/sessions/endpoint_session.ts
+++ b/packages/coordinator/src/sessions/endpoint_session.ts
@@ -11,10 +11,10 @@
 import * as Effect from "effect/Effect";
 import type * as endpointRuns from "./endpoint_runs.ts";
 import type * as endpointStates from "./endpoint_state.ts";
-import type * as occupants from "./occupant.ts";
+import type * as assignments from "./occupant.ts";
 import type * as sessionOptions from "./session_options.ts";
 import * as sessionParts from "./session_parts.ts";
-import type * as unheards from "./unheard_runs.ts";
+import type * as unreportedRuns from "./unheard_runs.ts";
 import type * as healths from "../endpoints/endpoint_health.ts";
 
 /**
@@ -33,7 +33,7 @@
 
   constructor(options: sessionOptions.SessionOptions) {
     this.ref = options.ref;
-    this.#parts = sessionParts.wireParts(options);
+    this.#parts = sessionParts.createParts(options);
     this.#state = this.#parts.state;
     this.#runs = this.#parts.runs;
   }
@@ -45,51 +45,52 @@
 
   /** What is known of how it treats what it is given. */
   get health(): healths.EndpointHealth {
-    return this.#state.life.health;
+    return this.#state.incarnation.health;
   }
 
   /** Birth of the life that answered last; null: none did, or it tells none. */
   get bornMs(): number | null {
-    return this.#state.life.bornMs;
+    return this.#state.incarnation.bornMs;
   }
 
   /** Birth of the life that a start is likely to reach; null: nothing tells it. */
   get likelyBornMs(): number | null {
-    return this.#state.life.likelyBornMs;
+    return this.#state.incarnation.likelyBornMs;
   }
 
   /** Whether an entry with this birth is of another life than is known here. */
   isOfOtherLife(listedBornMs: number | null): boolean {
-    return this.#state.life.isOfOther(listedBornMs);
+    return this.#state.incarnation.differsFrom(listedBornMs);
   }
 
   /** Runs that the worker holds or may hold. */
-  get occupants(): readonly occupants.Occupant[] {
-    return this.#runs.held.all;
+  get occupants(): readonly assignments.Occupant[] {
+    return this.#runs.tracked.all;
   }
 
   /** Whether new work may be sent here. */
   get isUsable(): boolean {
-    const { state, views, options: { ports: { clock } } } = this.#parts;
-    return !state.isOver && state.isReachable && !state.mustBeHeard &&
-      views.strayCount === 0 && !this.health.isAside(clock.monotonicMs());
+    const { state, viewReader, options: { ports: { clock } } } = this.#parts;
+    return !state.isOver && state.isReachable && !state.mustAnswerFirst &&
+      viewReader.unexpectedCount === 0 &&
+      !this.health.isAside(clock.monotonicMs());
   }
 
   /** Whether nothing is left to learn or to tell. */
   get isIdle(): boolean {
-    const { isOver, isReachable, life } = this.#state;
-    return this.#runs.held.isEmpty &&
-      (isOver || !isReachable || !life.ends.hasNews);
+    const { isOver, isReachable, incarnation } = this.#state;
+    return this.#runs.tracked.isEmpty &&
+      (isOver || !isReachable || !incarnation.ends.hasUnacknowledged);
   }
 
   /** Whether runs that were here may still turn out to have ended otherwise. */
   get hasUnheard(): boolean {
-    return this.#runs.unheard.all.length > 0;
+    return this.#runs.unreported.all.length > 0;
   }
 
   /** Whether an unanswered start may still be delivered there after a restart. */
   get hasLooseStarts(): boolean {
-    return this.#parts.lateStarts.hasLooseStarts;
+    return this.#parts.lateStarts.hasUnansweredStarts;
   }
 
   /** Whether it holds a task that may crash it and has only just begun. */
@@ -107,8 +108,8 @@
     >,
   ): void {
     this.#state.dataCentre = dataCentre;
-    this.#state.life.ending.noteListed(draining);
-    if (this.#state.isGone) this.#state.noteWanted();
+    this.#state.incarnation.endEvidence.noteListed(draining);
+    if (this.#state.isSuspectedGone) this.#state.resumePolling();
   }
 
   /**
@@ -116,7 +117,7 @@
    * outlast their endpoints, and others write them. The address itself is asked.
    */
   ask(): Effect.Effect<void> {
-    return this.#parts.look.ask();
+    return this.#parts.poller.pollNow();
   }
 
   /** It is neither heard nor listed for so long that it may have ended. */
@@ -126,36 +127,36 @@
 
   /** Whether anybody may still want to know what became of its runs. */
   get isAwaited(): boolean {
-    return this.#runs.unheard.all.some(({ task }) =>
+    return this.#runs.unreported.all.some(({ task }) =>
       !task.workflow.isOver && task.state !== Workflow.TaskState.Done
     );
   }
 
   /** Leases that earlier coordinators gave have run out by this time of ours. */
   coverLeases(lapsesAtMs: number): void {
-    this.#state.life.clock.cover(lapsesAtMs);
-    this.#state.noteTermBegan();
+    this.#state.incarnation.clock.coverUntil(lapsesAtMs);
+    this.#state.noteTermStarted();
   }
 
   /** It is listed no more. */
   noteUnlisted(): void {
-    this.#state.life.ending.noteUnlisted(this.#state.isReachable);
+    this.#state.incarnation.endEvidence.noteUnlisted(this.#state.isReachable);
   }
 
   /** Takes in a run that an earlier coordinator gave up before its end. */
-  adoptUnheard(run: unheards.UnheardRun): void {
-    this.#runs.unheard.add(run);
-    this.#state.noteWanted();
+  adoptUnheard(run: unreportedRuns.UnheardRun): void {
+    this.#runs.unreported.add(run);
+    this.#state.resumePolling();
   }
 
   /** Whether this life has answered this coordinator at its address. */
   get wasHeard(): boolean {
-    return this.#state.wasHeard;
+    return this.#state.hasAnswered;
   }
 
   /** Runs whose ends are not known and that it may still tell of. */
-  get unheard(): readonly unheards.UnheardRun[] {
-    return this.#runs.unheard.all;
+  get unreported(): readonly unreportedRuns.UnheardRun[] {
+    return this.#runs.unreported.all;
   }
 
   /** Another endpoint answers at the address. */
@@ -175,9 +176,9 @@
 
   /** Takes in a run that the records say may be here. */
   adopt(task: Workflow.Task): void {
-    this.#runs.held.adopt(task);
-    this.#parts.views.noteAdopted(task);
-    this.#state.noteWanted();
+    this.#runs.tracked.adopt(task);
+    this.#parts.viewReader.noteAdopted(task);
+    this.#state.resumePolling();
   }
 
   /**
@@ -185,29 +186,29 @@
    * not sent yet is planned anew: the former session sends nothing any more.
    */
   takeOver(former: EndpointSession): void {
-    for (const one of former.#runs.held.sent) {
-      const occupant = this.#runs.held.takeOver(one);
-      this.#parts.views.noteAdopted(one.task);
-      if (one.stoppingSinceMs !== null) Effect.runFork(this.stop(occupant));
+    for (const one of former.#runs.tracked.sent) {
+      const assignment = this.#runs.tracked.takeOver(one);
+      this.#parts.viewReader.noteAdopted(one.task);
+      if (one.stoppingSinceMs !== null) Effect.runFork(this.stop(assignment));
     }
-    if (this.#runs.loose.all.length > 0) this.#state.requireAnswer();
-    for (const run of former.unheard) this.#runs.unheard.add(run);
-    this.#state.noteWanted();
+    if (this.#runs.unansweredStarts.all.length > 0) this.#state.requireAnswer();
+    for (const run of former.unreported) this.#runs.unreported.add(run);
+    this.#state.resumePolling();
   }
 
   /** Keeps room for a run whose start is not sent yet. */
-  reserve(task: Workflow.Task, ticket: string | null): occupants.Occupant {
-    return this.#runs.held.reserve(task, ticket);
+  reserve(task: Workflow.Task, ticket: string | null): assignments.Occupant {
+    return this.#runs.tracked.reserve(task, ticket);
   }
 
   /** Starts a run; one whose fate stays open is stopped. */
-  start(occupant: occupants.Occupant): Effect.Effect<void> {
-    return this.#parts.starts.start(occupant);
+  start(assignment: assignments.Occupant): Effect.Effect<void> {
+    return this.#parts.starts.start(assignment);
   }
 
   /** Stops a run; ends when the worker has heard it or the run is over. */
-  stop(occupant: occupants.Occupant): Effect.Effect<void> {
-    return this.#parts.stops.stop(occupant);
+  stop(assignment: assignments.Occupant): Effect.Effect<void> {
+    return this.#parts.stops.stop(assignment);
   }
 
   /** Keeps the lease while there is something to keep it for. */
@@ -216,21 +217,22 @@
       // Recorded runs are added first: an answer may end the session.
       yield* Effect.yieldNow;
       while (!this.#state.isOver) {
-        if (!this.#hasBusiness()) {
+        if (!this.#needsPolling()) {
           yield* this.#state.awaitWake();
           continue;
         }
-        yield* this.#parts.look.lookHedged();
+        yield* this.#parts.poller.pollHedged();
       }
     });
   }
 
-  #hasBusiness(): boolean {
-    const { state, runs, views, options: { recovery } } = this.#parts;
-    if (state.isGone) return false;
-    return !recovery.isComplete || state.life.ends.hasNews ||
-      state.mustBeHeard || views.strayCount > 0 || this.hasUnheard ||
-      runs.held.sent.length > 0 || !state.isReachable ||
+  #needsPolling(): boolean {
+    const { state, runs, viewReader, options: { recovery } } = this.#parts;
+    if (state.isSuspectedGone) return false;
+    return !recovery.isComplete || state.incarnation.ends.hasUnacknowledged ||
+      state.mustAnswerFirst || viewReader.unexpectedCount > 0 ||
+      this.hasUnheard ||
+      runs.tracked.sent.length > 0 || !state.isReachable ||
       state.mayAcceptStaleStarts || this.hasLooseStarts;
   }
 }
--- a/packages/coordinator/src/sessions/endpoint_silence.ts
+++ b/packages/coordinator/src/sessions/endpoint_silence.ts
@@ -4,7 +4,7 @@
 import * as endpointOrders from "./endpoint_orders.ts";
 import type * as endpointRuns from "./endpoint_runs.ts";
 import type * as endpointStates from "./endpoint_state.ts";
-import * as occupants from "./occupant.ts";
+import * as assignments from "./occupant.ts";
 import type * as sessionOptions from "./session_options.ts";
 import type * as lateStartGuards from "./late_start_guard.ts";
 import * as listeners from "./session_listener.ts";
@@ -12,7 +12,7 @@
 const { LostCause, lost } = listeners;
 
 /** What the silence works with. */
-export interface EndpointSilenceOptions {
+export interface UnansweredPollsOptions {
   readonly options: sessionOptions.SessionOptions;
   readonly state: endpointStates.EndpointState;
   readonly runs: endpointRuns.EndpointRuns;
@@ -21,35 +21,35 @@
 }
 
 /** Silence of one endpoint. */
-export class EndpointSilence {
-  readonly #options: EndpointSilenceOptions;
+export class UnansweredPolls {
+  readonly #options: UnansweredPollsOptions;
 
-  constructor(options: EndpointSilenceOptions) {
+  constructor(options: UnansweredPollsOptions) {
     this.#options = options;
   }
 
   /** A look had no answer. */
-  note(): Effect.Effect<void> {
+  handle(): Effect.Effect<void> {
     const { state, ends, options: { ports: { clock } } } = this.#options;
     return Effect.gen({ self: this }, function* () {
-      const isFirst = this.#noteSilent();
+      const isFirst = this.#markUnreachable();
       this.#options.lateStarts.beginStops();
-      const { life } = state;
-      const hasLapsed = life.clock.hasLapsed(clock.monotonicMs());
-      if (hasLapsed && state.wasHeard && life.ending.isRefused) {
-        yield* ends.endLifeHere();
+      const { incarnation } = state;
+      const hasLapsed = incarnation.clock.hasLapsed(clock.monotonicMs());
+      if (hasLapsed && state.hasAnswered && incarnation.endEvidence.isRefused) {
+        yield* ends.endIncarnation();
       }
-      yield* this.#endRuns(hasLapsed);
-      if (hasLapsed) this.#closeUntold();
+      yield* this.#endLapsedRuns(hasLapsed);
+      if (hasLapsed) this.#closeUnreported();
       // Perhaps only the connection is silent: the next look takes a new one.
-      if (!isFirst) yield* clock.sleep(endpointOrders.RETRY_MS * 2);
+      if (!isFirst) yield* clock.sleep(endpointOrders.RETRY_DELAY_MS * 2);
     });
   }
 
   /** Returns whether the look before had an answer. */
-  #noteSilent(): boolean {
+  #markUnreachable(): boolean {
     const { state, options: { silences, listener } } = this.#options;
-    const isFirst = state.noteSilent();
+    const isFirst = state.markUnreachable();
     if (isFirst) {
       silences.noteSilent(state.ref);
       listener.roomChanged();
@@ -60,44 +60,46 @@
   }
 
   /** Ends the runs that must be over by now, whatever became of their endpoint. */
-  #endRuns(hasLapsed: boolean): Effect.Effect<void> {
-    const { held, former } = this.#options.runs;
+  #endLapsedRuns(hasLapsed: boolean): Effect.Effect<void> {
+    const { tracked, previous: previous } = this.#options.runs;
     return Effect.gen({ self: this }, function* () {
-      for (const occupant of held.all) {
-        if (!occupant.sent) continue;
-        if (!hasLapsed && !hasEndedBeforeGang(occupant)) continue;
-        const formerEnd = former.take(occupant);
-        if (formerEnd === null) yield* this.#giveUp(occupant, hasLapsed);
-        else yield* held.end(occupant, formerEnd);
+      for (const assignment of tracked.all) {
+        if (!assignment.isSent) continue;
+        if (!hasLapsed && !hasEndedBeforeGang(assignment)) continue;
+        const previousEnd = previous.take(assignment);
+        if (previousEnd === null) yield* this.#giveUp(assignment, hasLapsed);
+        else yield* tracked.end(assignment, previousEnd);
       }
     });
   }
 
   /** How it ended may still be told. */
   #giveUp(
-    occupant: occupants.Occupant,
+    assignment: assignments.Occupant,
     hasLapsed: boolean,
   ): Effect.Effect<void> {
     const { state, runs, options: { ports, listener } } = this.#options;
-    const { task, run, bornMs } = occupant;
+    const { task, run, bornMs } = assignment;
     // A run whose lease is out has ended, whatever became of its endpoint.
     const byMs = hasLapsed
       ? Number.POSITIVE_INFINITY
       : ports.clock.monotonicMs();
-    const presence = state.life.ending.presenceOf(occupant, byMs);
-    const unheard = { task, run, bornMs, presence };
-    runs.unheard.add(unheard);
-    const cause = hasLapsed ? LostCause.LeaseOut : LostCause.EndedFirst;
+    const presence = state.incarnation.endEvidence.presenceOf(assignment, byMs);
+    const unreported = { task, run, bornMs, presence };
+    runs.unreported.add(unreported);
+    const cause = hasLapsed
+      ? LostCause.LeaseExpired
+      : LostCause.EndedBeforeGang;
     return Effect.gen({ self: this }, function* () {
-      yield* runs.held.end(occupant, lost(cause));
+      yield* runs.tracked.end(assignment, lost(cause));
       // It may have crashed its endpoint: the next coordinator has to ask for it too.
-      if (hasLapsed && task.isSuspect) listener.runGone(state, unheard);
+      if (hasLapsed && task.isSuspect) listener.runGone(state, unreported);
     });
   }
 
   /** What ended before a lease ran out does not count when it is told later. */
-  #closeUntold(): void {
-    for (const { task, run } of this.#options.runs.unheard.all) {
+  #closeUnreported(): void {
+    for (const { task, run } of this.#options.runs.unreported.all) {
       task.workflow.openEnds.closeUntold(task, run);
     }
   }
@@ -110,9 +112,9 @@
  * may still arrive, late, and wait for the others. One that an earlier coordinator sent
  * may have been told to stop by it: no record tells that.
  */
-function hasEndedBeforeGang(occupant: occupants.Occupant): boolean {
-  const { task, run, sentAtMs, stoppingSinceMs } = occupant;
-  return occupants.isConfirmed(occupant) && sentAtMs !== null &&
+function hasEndedBeforeGang(assignment: assignments.Occupant): boolean {
+  const { task, run, sentAtMs, stoppingSinceMs } = assignment;
+  return assignments.isConfirmed(assignment) && sentAtMs !== null &&
     task.run === run &&
     task.workflow.hasEndedBeforeGang(task, stoppingSinceMs);
 }
--- a/packages/coordinator/src/sessions/endpoint_starts.ts
+++ b/packages/coordinator/src/sessions/endpoint_starts.ts
@@ -2,11 +2,11 @@
 import * as Effect from "effect/Effect";
 import type * as endpointRuns from "./endpoint_runs.ts";
 import type * as endpointStates from "./endpoint_state.ts";
-import type * as occupants from "./occupant.ts";
+import type * as assignments from "./occupant.ts";
 import * as starters from "./run_starter.ts";
 import * as listeners from "./session_listener.ts";
 import type * as sessionOptions from "./session_options.ts";
-import type * as startLooks from "./start_looks.ts";
+import type * as preStartPolls from "./start_looks.ts";
 import type * as startReports from "./start_reports.ts";
 
 const { LostCause, lost } = listeners;
@@ -16,8 +16,8 @@
   readonly options: sessionOptions.SessionOptions;
   readonly state: endpointStates.EndpointState;
   readonly runs: endpointRuns.EndpointRuns;
-  readonly looks: startLooks.StartLooks;
-  readonly reports: startReports.StartReports;
+  readonly polls: preStartPolls.PreStartPolls;
+  readonly reports: startReports.StartReportHandler;
 }
 
 /** Starts at one endpoint. */
@@ -33,49 +33,49 @@
       term,
       ref,
       load,
-      leaseEnd: () => state.life.leaseEnd(ports.clock.monotonicMs()),
-      onLoose: (run) => runs.loose.add(run),
-      isWanted: (occupant) =>
-        runs.held.holds(occupant) && occupant.stoppingSinceMs === null &&
+      leaseEnd: () => state.incarnation.leaseEnd(ports.clock.monotonicMs()),
+      onUnanswered: (run) => runs.unansweredStarts.add(run),
+      isWanted: (assignment) =>
+        runs.tracked.holds(assignment) && assignment.stoppingSinceMs === null &&
         this.#mayStart,
     });
   }
 
   /** Starts a run; one whose fate stays open is stopped. */
-  start(occupant: occupants.Occupant): Effect.Effect<void> {
-    const { runs: { held }, looks, reports } = this.#options;
+  start(assignment: assignments.Occupant): Effect.Effect<void> {
+    const { runs: { tracked }, polls, reports: reports } = this.#options;
     return Effect.gen({ self: this }, function* () {
-      const knowsClock = yield* looks.learnClock();
-      const isAlive = occupant.task.possibleCrashes === 0 ||
-        (yield* looks.isAlive());
-      if (!held.holds(occupant)) return;
-      const obstacle = this.#obstacleTo(occupant);
-      if (obstacle !== null) return yield* held.end(occupant, lost(obstacle));
-      this.#noteSent(occupant);
-      const report = knowsClock && isAlive
-        ? yield* this.#starter.send(occupant)
+      const isClockKnown = yield* polls.readClock();
+      const isAlive = assignment.task.possibleCrashes === 0 ||
+        (yield* polls.isAlive());
+      if (!tracked.holds(assignment)) return;
+      const cause = this.#obstacleTo(assignment);
+      if (cause !== null) return yield* tracked.end(assignment, lost(cause));
+      this.#noteSent(assignment);
+      const report = isClockKnown && isAlive
+        ? yield* this.#starter.send(assignment)
         : starters.NEVER_SENT;
-      if (held.holds(occupant)) yield* reports.settle(occupant, report);
+      if (tracked.holds(assignment)) yield* reports.handle(assignment, report);
     });
   }
 
-  #noteSent(occupant: occupants.Occupant): void {
+  #noteSent(assignment: assignments.Occupant): void {
     const { state, options: { ports: { clock } } } = this.#options;
-    occupant.sent = true;
-    occupant.sentAtMs = clock.monotonicMs();
-    occupant.bornMs = state.life.bornMs;
+    assignment.isSent = true;
+    assignment.sentAtMs = clock.monotonicMs();
+    assignment.bornMs = state.incarnation.bornMs;
     state.wake();
   }
 
   /** Why a run may not start now: its plan may be seconds old. */
-  #obstacleTo(occupant: occupants.Occupant): listeners.LostCause | null {
-    const { state, runs: { held }, options } = this.#options;
-    const { task, stoppingSinceMs } = occupant;
+  #obstacleTo(assignment: assignments.Occupant): listeners.LostCause | null {
+    const { state, runs: { tracked }, options } = this.#options;
+    const { task, stoppingSinceMs } = assignment;
     if (stoppingSinceMs !== null || task.workflow.isOver || state.isOver) {
       return LostCause.NotWanted;
     }
     if (!this.#mayStart) return LostCause.Evacuated;
-    const tasks = [...held.sent.map((one) => one.task), task];
+    const tasks = [...tracked.sent.map((one) => one.task), task];
     return options.mayHold(tasks) ? null : LostCause.NoRoom;
   }
 
--- a/packages/coordinator/src/sessions/endpoint_state.ts
+++ b/packages/coordinator/src/sessions/endpoint_state.ts
@@ -6,8 +6,8 @@
 import * as Effect from "effect/Effect";
 import type * as Ports from "@cairngate/ports";
 import type * as healths from "../endpoints/endpoint_health.ts";
-import * as lifeBooks from "./life_books.ts";
-import * as looses from "./loose_starts.ts";
+import * as incarnationStates from "./life_books.ts";
+import * as unansweredStarts from "./loose_starts.ts";
 import type * as listeners from "./session_listener.ts";
 import type * as sessionOptions from "./session_options.ts";
 
@@ -17,31 +17,31 @@
   /** As its newest entry tells; empty: it was not listed since the record named it. */
   dataCentre: string;
   /** What is known of its present life. */
-  readonly life: lifeBooks.LifeBooks;
+  readonly incarnation: incarnationStates.IncarnationState;
   /** Our time at which the session began. */
   readonly openedAtMs: number;
   readonly #clock: Ports.Clock;
   /** Our time until which an earlier coordinator may have sent orders. */
-  #formerOrdersUntilMs: number;
+  #previousOrdersUntilMs: number;
   #isReachable = true;
   #isOver = false;
-  #mustBeHeard: boolean;
-  #isGone = false;
-  #wasHeard = false;
+  #mustAnswerFirst: boolean;
+  #isSuspectedGone = false;
+  #hasAnswered = false;
   #signal = Deferred.makeUnsafe<void>();
 
   constructor(options: sessionOptions.SessionOptions) {
     this.ref = options.ref;
     this.dataCentre = options.dataCentre;
-    this.life = new lifeBooks.LifeBooks(options);
+    this.incarnation = new incarnationStates.IncarnationState(options);
     this.#clock = options.ports.clock;
     this.openedAtMs = this.#clock.monotonicMs();
-    this.#formerOrdersUntilMs = this.openedAtMs;
-    this.#mustBeHeard = options.isContested;
+    this.#previousOrdersUntilMs = this.openedAtMs;
+    this.#mustAnswerFirst = options.isContested;
   }
 
   get health(): healths.EndpointHealth {
-    return this.life.health;
+    return this.incarnation.health;
   }
 
   /** Whether the last look had an answer. */
@@ -50,18 +50,18 @@
   }
 
   /** Whether an answer has to show first that this life is at the address. */
-  get mustBeHeard(): boolean {
-    return this.#mustBeHeard;
+  get mustAnswerFirst(): boolean {
+    return this.#mustAnswerFirst;
   }
 
   /** Nothing is started there before it has answered. */
   requireAnswer(): void {
-    this.#mustBeHeard = true;
+    this.#mustAnswerFirst = true;
   }
 
   /** Whether this life has answered this coordinator at its address. */
-  get wasHeard(): boolean {
-    return this.#wasHeard;
+  get hasAnswered(): boolean {
+    return this.#hasAnswered;
   }
 
   /**
@@ -71,20 +71,20 @@
    * restart and refuses starts addressed to any other id.
    */
   get mayAcceptStaleStarts(): boolean {
-    if (this.#isOver || this.life.likelyBornMs === null) return false;
-    if (this.#wasHeard && this.#isReachable) return false;
-    const elapsedMs = this.#clock.monotonicMs() - this.#formerOrdersUntilMs;
-    return elapsedMs < looses.LONGEST_ORDER_DELAY_MS;
+    if (this.#isOver || this.incarnation.likelyBornMs === null) return false;
+    if (this.#hasAnswered && this.#isReachable) return false;
+    const elapsedMs = this.#clock.monotonicMs() - this.#previousOrdersUntilMs;
+    return elapsedMs < unansweredStarts.LONGEST_ORDER_DELAY_MS;
   }
 
   /** Neither heard nor listed for long: nobody asks it until it is listed again. */
-  get isGone(): boolean {
-    return this.#isGone;
+  get isSuspectedGone(): boolean {
+    return this.#isSuspectedGone;
   }
 
   /** Endpoints are called from now on; until now an earlier coordinator may have been. */
-  noteTermBegan(): void {
-    this.#formerOrdersUntilMs = this.#clock.monotonicMs();
+  noteTermStarted(): void {
+    this.#previousOrdersUntilMs = this.#clock.monotonicMs();
   }
 
   /** Whether this life of the endpoint has ended, or another session has it. */
@@ -93,41 +93,41 @@
   }
 
   /** It has answered a look. */
-  noteHeard(): void {
-    this.#isGone = false;
-    this.#wasHeard = true;
-    this.life.hasEnded = false;
+  noteAnswered(): void {
+    this.#isSuspectedGone = false;
+    this.#hasAnswered = true;
+    this.incarnation.hasEnded = false;
   }
 
   /** It has taken a start. */
-  noteStarted(): void {
+  noteStartAccepted(): void {
     this.#isReachable = true;
-    this.#wasHeard = true;
+    this.#hasAnswered = true;
   }
 
   /** Work may be sent there; false where that was known. */
-  open(): boolean {
-    if (this.#isReachable && !this.#mustBeHeard) return false;
+  markUsable(): boolean {
+    if (this.#isReachable && !this.#mustAnswerFirst) return false;
     this.#isReachable = true;
-    this.#mustBeHeard = false;
+    this.#mustAnswerFirst = false;
     return true;
   }
 
   /** It did not answer a look; false where it did not answer the one before. */
-  noteSilent(): boolean {
+  markUnreachable(): boolean {
     const wasReachable = this.#isReachable;
     this.#isReachable = false;
     return wasReachable;
   }
 
   /** It may have ended: nobody asks it. */
-  noteGone(): void {
-    this.#isGone = true;
+  suspectGone(): void {
+    this.#isSuspectedGone = true;
   }
 
   /** There is something to ask it for. */
-  noteWanted(): void {
-    this.#isGone = false;
+  resumePolling(): void {
+    this.#isSuspectedGone = false;
     this.wake();
   }
 
--- a/packages/coordinator/src/sessions/endpoint_stops.ts
+++ b/packages/coordinator/src/sessions/endpoint_stops.ts
@@ -4,9 +4,9 @@
 import * as endpointOrders from "./endpoint_orders.ts";
 import type * as endpointRuns from "./endpoint_runs.ts";
 import type * as endpointStates from "./endpoint_state.ts";
-import type * as occupants from "./occupant.ts";
+import type * as assignments from "./occupant.ts";
 import type * as sessionOptions from "./session_options.ts";
-import * as strays from "./stray_runs.ts";
+import * as unexpectedRuns from "./stray_runs.ts";
 
 /** What the stops work with. */
 export interface EndpointStopsOptions {
@@ -15,7 +15,7 @@
   readonly runs: endpointRuns.EndpointRuns;
   readonly orders: endpointOrders.EndpointOrders;
   /** One more look beside the one that may be open. */
-  readonly ask: () => Effect.Effect<void>;
+  readonly pollNow: () => Effect.Effect<void>;
 }
 
 interface StopOrder extends Ports.RunRef {
@@ -28,12 +28,12 @@
  * The look that waits at the endpoint tells an end this much later than it came at
  * most, in ms; our own delay comes on top.
  */
-const TOLD_WITHIN_MS = 100;
+const END_REPORT_DELAY_MS = 100;
 /** Looks beside one that hangs, and the time between them in ms: it ends by then. */
-const ASKS = 3;
-const ASK_AGAIN_MS = 300;
+const MAX_END_POLLS = 3;
+const END_POLL_INTERVAL_MS = 300;
 /** Tries of a stop that nobody waits for: 12 s of them, as late as starts arrive. */
-const SEAL_TRIES = 20;
+const MAX_BLOCK_ATTEMPTS = 20;
 
 /** Stops at one endpoint. */
 export class EndpointStops {
@@ -44,65 +44,65 @@
   }
 
   /** Stops a run; ends when the endpoint has heard it or the run is over. */
-  stop(occupant: occupants.Occupant): Effect.Effect<void> {
-    const { state, runs: { held }, options } = this.#options;
+  stop(assignment: assignments.Occupant): Effect.Effect<void> {
+    const { state, runs: { tracked }, options } = this.#options;
     const { clock } = options.ports;
     return Effect.gen({ self: this }, function* () {
-      occupant.stoppingSinceMs ??= clock.monotonicMs();
-      const { task: { name: task }, run } = occupant;
+      assignment.stoppingSinceMs ??= clock.monotonicMs();
+      const { task: { name: task }, run } = assignment;
       const order = this.#orderOf({ task, run });
-      while (held.holds(occupant) && !state.isOver && occupant.sent) {
+      while (tracked.holds(assignment) && !state.isOver && assignment.isSent) {
         if ((yield* this.#send(order)) !== null) {
-          occupant.knownSinceMs ??= clock.monotonicMs();
+          assignment.expectedSinceMs ??= clock.monotonicMs();
           state.wake();
-          Effect.runFork(this.#learnEnd(occupant));
+          Effect.runFork(this.#pollForEnd(assignment));
           return;
         }
-        yield* clock.sleep(endpointOrders.RETRY_MS);
+        yield* clock.sleep(endpointOrders.RETRY_DELAY_MS);
       }
     });
   }
 
   /** Asks for the end of a stopped run that is not told in time: the look may hang. */
-  #learnEnd(occupant: occupants.Occupant): Effect.Effect<void> {
-    const { state, runs: { held }, options, ask } = this.#options;
+  #pollForEnd(assignment: assignments.Occupant): Effect.Effect<void> {
+    const { state, runs: { tracked }, options, pollNow } = this.#options;
     const { load, ports: { clock, metrics, bounds } } = options;
     return Effect.gen({ self: this }, function* () {
-      yield* clock.sleep(load.allow(bounds.stopMs + TOLD_WITHIN_MS));
-      for (let asked = 0; asked < ASKS; asked++) {
-        if (!held.holds(occupant) || state.isOver) return;
+      yield* clock.sleep(load.extendLimit(bounds.stopMs + END_REPORT_DELAY_MS));
+      for (let polls = 0; polls < MAX_END_POLLS; polls++) {
+        if (!tracked.holds(assignment) || state.isOver) return;
         metrics.count("cairngate_ends_asked_for_total");
-        yield* ask();
-        yield* clock.sleep(ASK_AGAIN_MS);
+        yield* pollNow();
+        yield* clock.sleep(END_POLL_INTERVAL_MS);
       }
     });
   }
 
   /** What is stopped before it arrives never starts; a look then shows its end. */
-  seal(occupant: occupants.Occupant): void {
-    occupant.knownSinceMs = null;
-    Effect.runFork(this.stop(occupant));
+  blockStart(assignment: assignments.Occupant): void {
+    assignment.expectedSinceMs = null;
+    Effect.runFork(this.stop(assignment));
   }
 
   /** The same for a run that nobody waits for. */
-  sealLoose(run: Ports.RunRef): void {
+  blockRun(run: Ports.RunRef): void {
     const { state, options: { ports: { clock } } } = this.#options;
-    const { bornMs } = state.life;
+    const { bornMs } = state.incarnation;
     const order = this.#orderOf(run);
-    const seal = Effect.gen({ self: this }, function* () {
-      for (let tries = 0; tries < SEAL_TRIES; tries++) {
-        if (state.isOver || state.life.bornMs !== bornMs) return;
+    const sendStops = Effect.gen({ self: this }, function* () {
+      for (let attempts = 0; attempts < MAX_BLOCK_ATTEMPTS; attempts++) {
+        if (state.isOver || state.incarnation.bornMs !== bornMs) return;
         if ((yield* this.#send(order)) !== null) return;
-        yield* clock.sleep(endpointOrders.RETRY_MS);
+        yield* clock.sleep(endpointOrders.RETRY_DELAY_MS);
       }
     });
-    Effect.runFork(seal);
+    Effect.runFork(sendStops);
   }
 
   /** Stops a run that nobody expects there. */
-  stopStray(run: Ports.RunRef): void {
+  stopUnexpected(run: Ports.RunRef): void {
     const { state, options: { ports: { log } } } = this.#options;
-    const name = strays.nameOf(run);
+    const name = unexpectedRuns.runName(run);
     log.warn(`Worker ${state.ref.id} runs ${name}, which nobody expects.`);
     Effect.runFork(this.#send(this.#orderOf(run)));
   }
--- a/packages/coordinator/src/sessions/former_runs.ts
+++ b/packages/coordinator/src/sessions/former_runs.ts
@@ -6,63 +6,63 @@
  */
 import type * as Ports from "@cairngate/ports";
 import type * as Workflow from "@cairngate/workflow";
-import type * as helds from "./held_runs.ts";
-import * as lifeEnds from "./life_end.ts";
-import type * as looses from "./loose_starts.ts";
-import * as occupants from "./occupant.ts";
+import type * as trackedRuns from "./held_runs.ts";
+import * as evidences from "./life_end.ts";
+import type * as unansweredStarts from "./loose_starts.ts";
+import * as assignments from "./occupant.ts";
 import type * as listeners from "./session_listener.ts";
-import * as strays from "./stray_runs.ts";
-import type * as unheards from "./unheard_runs.ts";
+import * as unexpectedRuns from "./stray_runs.ts";
+import type * as unreportedRuns from "./unheard_runs.ts";
 
 /** A run of a task. */
-export interface FormerRun {
+export interface RunOfTask {
   readonly task: Workflow.Task;
   readonly run: number;
 }
 
 /** What they work with. */
-export interface FormerRunsOptions {
+export interface PreviousRunsOptions {
   readonly clock: Ports.Clock;
-  readonly held: helds.HeldRuns;
-  readonly unheard: unheards.UnheardRuns;
-  readonly loose: looses.LooseStarts;
+  readonly tracked: trackedRuns.TrackedRuns;
+  readonly unreported: unreportedRuns.UnreportedRuns;
+  readonly unansweredStarts: unansweredStarts.LooseStarts;
   /** Tells the present life to stop a run that is still waited for. */
-  readonly seal: (occupant: occupants.Occupant) => void;
+  readonly blockStart: (assignment: assignments.Occupant) => void;
   /** The same for a run that nobody waits for. */
-  readonly sealLoose: (run: Ports.RunRef) => void;
+  readonly blockRun: (run: Ports.RunRef) => void;
 }
 
 /** The answer of a life, beside what was known before it. */
-export interface LifeAnswer {
+export interface IncarnationAnswer {
   readonly view: Ports.EndpointView;
   /** Whether this life has begun since the known one answered last. */
-  readonly isLater: boolean;
+  readonly isNew: boolean;
   /** Whether none was known: starts may have been sent to one at another address. */
   readonly isFirst: boolean;
   /** What is known of the end of the life before. */
-  readonly lifeEnd: lifeEnds.LifeEnd;
+  readonly evidence: evidences.EndEvidence;
   /** Whether that end was taken in already. */
   readonly hasEnded: boolean;
 }
 
 /** Those of one endpoint. */
-export class FormerRuns {
-  readonly #options: FormerRunsOptions;
+export class PreviousRuns {
+  readonly #options: PreviousRunsOptions;
   readonly #ends = new Map<string, listeners.SessionEnd>();
 
-  constructor(options: FormerRunsOptions) {
+  constructor(options: PreviousRunsOptions) {
     this.#options = options;
   }
 
   /** Whether a life that has ended had it, and the present one has not shown it. */
-  has(run: FormerRun): boolean {
-    return this.#ends.has(nameOf(run));
+  has(run: RunOfTask): boolean {
+    return this.#ends.has(taskRunName(run));
   }
 
   /** How a run ended with the life that had it; null where it is none of these. */
-  take(run: FormerRun): listeners.SessionEnd | null {
-    const end = this.#ends.get(nameOf(run)) ?? null;
-    this.#ends.delete(nameOf(run));
+  take(run: RunOfTask): listeners.SessionEnd | null {
+    const end = this.#ends.get(taskRunName(run)) ?? null;
+    this.#ends.delete(taskRunName(run));
     return end;
   }
 
@@ -71,60 +71,65 @@
    * does not show, have ended with that life. Orders of ours that had no answer may
    * still reach the present life: it is told to stop these runs before they are over.
    */
-  endUnshown(answer: LifeAnswer): void {
-    const { held, unheard } = this.#findUnshown(answer.view);
-    const hasNone = held.length + unheard.length === 0;
-    const { isLater, isFirst, hasEnded, lifeEnd } = answer;
-    if (!hasNone || (isLater && !hasEnded)) this.#end(held, unheard, lifeEnd);
-    if (isLater || isFirst) this.#sealLoose(held);
+  endAbsent(answer: IncarnationAnswer): void {
+    const { runs, unreported } = this.#findAbsent(answer.view);
+    const isEmpty = runs.length + unreported.length === 0;
+    const { isNew, isFirst, hasEnded, evidence } = answer;
+    if (!isEmpty || (isNew && !hasEnded)) this.#end(runs, unreported, evidence);
+    if (isNew || isFirst) this.#blockUnansweredStarts(runs);
   }
 
-  #findUnshown({ bornMs, held, ended }: Ports.EndpointView) {
-    const { held: known, unheard } = this.#options;
-    const sentElsewhere = known.all.filter((one) =>
-      occupants.isOfOtherLife(one, bornMs)
+  #findAbsent({ bornMs, held, ended }: Ports.EndpointView) {
+    const { tracked, unreported } = this.#options;
+    const sentElsewhere = tracked.all.filter((one) =>
+      assignments.isOfOtherIncarnation(one, bornMs)
     );
-    const givenUp = unheard.all.filter((one) =>
+    const sentUnreported = unreported.all.filter((one) =>
       one.bornMs !== null && one.bornMs !== bornMs
     );
-    const isNone = sentElsewhere.length + givenUp.length === 0;
-    const shown = new Set(isNone ? [] : [...held, ...ended].map(strays.nameOf));
-    const isGone = (one: FormerRun) =>
-      !shown.has(nameOf(one)) && !this.has(one);
+    const isEmpty = sentElsewhere.length + sentUnreported.length === 0;
+    const reported = new Set(
+      isEmpty ? [] : [...held, ...ended].map(unexpectedRuns.runName),
+    );
+    const isAbsent = (one: RunOfTask) =>
+      !reported.has(taskRunName(one)) && !this.has(one);
     return {
-      held: sentElsewhere.filter(isGone),
-      unheard: givenUp.filter(isGone),
+      runs: sentElsewhere.filter(isAbsent),
+      unreported: sentUnreported.filter(isAbsent),
     };
   }
 
   #end(
-    held: readonly occupants.Occupant[],
-    unheard: readonly unheards.UnheardRun[],
-    lifeEnd: lifeEnds.LifeEnd,
+    tracked: readonly assignments.Occupant[],
+    unreported: readonly unreportedRuns.UnheardRun[],
+    evidence: evidences.EndEvidence,
   ): void {
-    const { clock, seal } = this.#options;
+    const { clock, blockStart } = this.#options;
     const nowMs = clock.monotonicMs();
-    const sign = lifeEnds.LifeEndSign.BeganAgain;
-    const endOf = lifeEnd.end(sign, held, unheard);
-    for (const one of held) {
-      this.#ends.set(nameOf(one), endOf(lifeEnd.presenceOf(one, nowMs)));
+    const proof = evidences.EndProof.Restarted;
+    const endOf = evidence.end(proof, tracked, unreported);
+    for (const one of tracked) {
+      this.#ends.set(
+        taskRunName(one),
+        endOf(evidence.presenceOf(one, nowMs)),
+      );
       // What an earlier coordinator sent, the present life takes no more.
-      if (one.sentAtMs !== null) seal(one);
+      if (one.sentAtMs !== null) blockStart(one);
     }
-    for (const one of unheard) {
-      this.#ends.set(nameOf(one), endOf(one.presence));
+    for (const one of unreported) {
+      this.#ends.set(taskRunName(one), endOf(one.presence));
     }
   }
 
-  #sealLoose(held: readonly occupants.Occupant[]): void {
-    const isSealed = new Set(held.map(nameOf));
-    for (const run of this.#options.loose.all) {
-      if (!isSealed.has(strays.nameOf(run))) this.#options.sealLoose(run);
+  #blockUnansweredStarts(tracked: readonly assignments.Occupant[]): void {
+    const names = new Set(tracked.map(taskRunName));
+    for (const run of this.#options.unansweredStarts.all) {
+      if (!names.has(unexpectedRuns.runName(run))) this.#options.blockRun(run);
     }
   }
 }
 
 /** Name of a run, as endpoints name it. */
-function nameOf({ task, run }: FormerRun): string {
-  return strays.nameOf({ task: task.name, run });
+function taskRunName({ task, run }: RunOfTask): string {
+  return unexpectedRuns.runName({ task: task.name, run });
 }
--- a/packages/coordinator/src/sessions/held_runs.ts
+++ b/packages/coordinator/src/sessions/held_runs.ts
@@ -1,32 +1,32 @@
 /** Runs that one endpoint holds or may hold, and how they end. */
 import type * as Workflow from "@cairngate/workflow";
 import * as Effect from "effect/Effect";
-import * as occupants from "./occupant.ts";
+import * as assignments from "./occupant.ts";
 import type * as listeners from "./session_listener.ts";
 
 /** Told of each end; the effect ends when it is recorded. */
-export type EndOf = (
-  occupant: occupants.Occupant,
+export type EndHandler = (
+  assignment: assignments.Occupant,
   end: listeners.SessionEnd,
 ) => Effect.Effect<void>;
 
 /** Runs of one life of an endpoint, by task. */
-export class HeldRuns {
-  readonly #byTask = new Map<string, occupants.Occupant>();
-  readonly #onEnd: EndOf;
+export class TrackedRuns {
+  readonly #byTask = new Map<string, assignments.Occupant>();
+  readonly #onEnd: EndHandler;
 
-  constructor(onEnd: EndOf) {
+  constructor(onEnd: EndHandler) {
     this.#onEnd = onEnd;
   }
 
   /** All of them. */
-  get all(): readonly occupants.Occupant[] {
+  get all(): readonly assignments.Occupant[] {
     return [...this.#byTask.values()];
   }
 
   /** Those whose start was sent. */
-  get sent(): readonly occupants.Occupant[] {
-    return this.all.filter((one) => one.sent);
+  get sent(): readonly assignments.Occupant[] {
+    return this.all.filter((one) => one.isSent);
   }
 
   /** Whether there is none. */
@@ -35,41 +35,41 @@
   }
 
   /** The run of a task that is held; undefined for none. */
-  get(task: string): occupants.Occupant | undefined {
+  get(task: string): assignments.Occupant | undefined {
     return this.#byTask.get(task);
   }
 
   /** Whether this very run is still held. */
-  holds(occupant: occupants.Occupant): boolean {
-    return this.#byTask.get(occupant.task.name) === occupant;
+  holds(assignment: assignments.Occupant): boolean {
+    return this.#byTask.get(assignment.task.name) === assignment;
   }
 
   /** Takes in a run that the records of an earlier coordinator name. */
   adopt(task: Workflow.Task): void {
-    this.#byTask.set(task.name, occupants.adoptOccupant(task));
+    this.#byTask.set(task.name, assignments.adoptAssignment(task));
   }
 
   /** Takes in a run that was held where its endpoint stood before. */
-  takeOver(former: occupants.Occupant): occupants.Occupant {
-    const occupant = occupants.takeOverOccupant(former);
-    this.#byTask.set(occupant.task.name, occupant);
-    return occupant;
+  takeOver(former: assignments.Occupant): assignments.Occupant {
+    const assignment = assignments.takeOverAssignment(former);
+    this.#byTask.set(assignment.task.name, assignment);
+    return assignment;
   }
 
   /** Keeps room for a run whose start is not sent yet. */
-  reserve(task: Workflow.Task, ticket: string | null): occupants.Occupant {
-    const occupant = occupants.createOccupant(task, ticket);
-    this.#byTask.set(task.name, occupant);
-    return occupant;
+  reserve(task: Workflow.Task, ticket: string | null): assignments.Occupant {
+    const assignment = assignments.createOccupant(task, ticket);
+    this.#byTask.set(task.name, assignment);
+    return assignment;
   }
 
   /** A run is over; old news are passed over. */
   end(
-    occupant: occupants.Occupant,
+    assignment: assignments.Occupant,
     end: listeners.SessionEnd,
   ): Effect.Effect<void> {
-    if (!this.holds(occupant)) return Effect.void;
-    this.#byTask.delete(occupant.task.name);
-    return this.#onEnd(occupant, end);
+    if (!this.holds(assignment)) return Effect.void;
+    this.#byTask.delete(assignment.task.name);
+    return this.#onEnd(assignment, end);
   }
 }
--- a/packages/coordinator/src/sessions/late_start_guard.ts
+++ b/packages/coordinator/src/sessions/late_start_guard.ts
@@ -9,7 +9,7 @@
 import type * as endpointRuns from "./endpoint_runs.ts";
 import type * as endpointStates from "./endpoint_state.ts";
 import type * as sessionOptions from "./session_options.ts";
-import * as strays from "./stray_runs.ts";
+import * as unexpectedRuns from "./stray_runs.ts";
 
 /** What the guard works with. */
 export interface LateStartGuardOptions {
@@ -36,18 +36,19 @@
    * Whether an unanswered start may still be delivered after a restart. An endpoint that
    * reports no birth time gets a new id with each restart and refuses such a start.
    */
-  get hasLooseStarts(): boolean {
-    const { state, runs: { loose } } = this.#options;
-    return state.life.likelyBornMs !== null && loose.all.length > 0;
+  get hasUnansweredStarts(): boolean {
+    const { state, runs: { unansweredStarts } } = this.#options;
+    return state.incarnation.likelyBornMs !== null &&
+      unansweredStarts.all.length > 0;
   }
 
   /** Sends stops until the endpoint answers. */
   beginStops(): void {
     const { state, options: { ports: { clock } } } = this.#options;
-    if (this.#isSendingStops || !this.hasLooseStarts) return;
+    if (this.#isSendingStops || !this.hasUnansweredStarts) return;
     this.#isSendingStops = true;
     const sendStops = Effect.gen({ self: this }, function* () {
-      while (!state.isOver && !state.isReachable && this.hasLooseStarts) {
+      while (!state.isOver && !state.isReachable && this.hasUnansweredStarts) {
         for (const run of this.#unwantedRuns) Effect.runFork(this.#stop(run));
         yield* clock.sleep(STOP_INTERVAL_MS);
       }
@@ -60,12 +61,16 @@
 
   /** Unanswered starts, except those of wanted runs, which the endpoint may execute. */
   get #unwantedRuns(): readonly Ports.RunRef[] {
-    const { loose, held } = this.#options.runs;
+    const { unansweredStarts, tracked: tracked } = this.#options.runs;
     const wanted = new Set(
-      held.all.filter(({ stoppingSinceMs }) => stoppingSinceMs === null)
-        .map(({ task: { name: task }, run }) => strays.nameOf({ task, run })),
+      tracked.all.filter(({ stoppingSinceMs }) => stoppingSinceMs === null)
+        .map(({ task: { name: task }, run }) =>
+          unexpectedRuns.runName({ task, run })
+        ),
+    );
+    return unansweredStarts.all.filter((run) =>
+      !wanted.has(unexpectedRuns.runName(run))
     );
-    return loose.all.filter((run) => !wanted.has(strays.nameOf(run)));
   }
 
   /** Ignores the outcome: the next look reports the state of the endpoint. */
--- a/packages/coordinator/src/sessions/lease_clock.ts
+++ b/packages/coordinator/src/sessions/lease_clock.ts
@@ -1,9 +1,9 @@
 /** What is known of a worker's own clock and of the end of its lease. */
 
 /** Worker clocks may be this much slower than ours. */
-const SLOW_FACTOR = 1.03;
+const MAX_CLOCK_SLOWDOWN = 1.03;
 /** Least pace of a worker's clock; keeps estimates from running ahead. */
-const LEAST_PACE = 0.98;
+const MIN_CLOCK_RATE = 0.98;
 /** Covers rounding and estimates that are slightly ahead. */
 const MARGIN_MS = 250;
 
@@ -20,7 +20,7 @@
 
   /** Takes in a reading; an older one than known changes nothing. */
   read(clockMs: number, nowMs: number): void {
-    if (this.#clockMs !== null && clockMs < this.#nowOnWorker(nowMs)) return;
+    if (this.#clockMs !== null && clockMs < this.#endpointNowMs(nowMs)) return;
     this.#clockMs = clockMs;
     this.#readAtMs = nowMs;
   }
@@ -34,13 +34,13 @@
   leaseEnd(nowMs: number, leaseMs: number): number {
     this.#lapsesAtMs = Math.max(
       this.#lapsesAtMs,
-      nowMs + leaseMs * SLOW_FACTOR + MARGIN_MS,
+      nowMs + leaseMs * MAX_CLOCK_SLOWDOWN + MARGIN_MS,
     );
-    return Math.round(this.#nowOnWorker(nowMs) + leaseMs);
+    return Math.round(this.#endpointNowMs(nowMs) + leaseMs);
   }
 
   /** Others may have given a lease that has run out by this time of ours. */
-  cover(lapsesAtMs: number): void {
+  coverUntil(lapsesAtMs: number): void {
     this.#lapsesAtMs = Math.max(this.#lapsesAtMs, lapsesAtMs);
   }
 
@@ -49,12 +49,12 @@
     return nowMs >= this.#lapsesAtMs;
   }
 
-  #nowOnWorker(nowMs: number): number {
-    return (this.#clockMs ?? 0) + (nowMs - this.#readAtMs) * LEAST_PACE;
+  #endpointNowMs(nowMs: number): number {
+    return (this.#clockMs ?? 0) + (nowMs - this.#readAtMs) * MIN_CLOCK_RATE;
   }
 }
 
 /** Our time by which a lease that others gave until now has run out. */
 export function foreignLapseMs(nowMs: number, longestLeaseMs: number): number {
-  return nowMs + longestLeaseMs * SLOW_FACTOR + MARGIN_MS;
+  return nowMs + longestLeaseMs * MAX_CLOCK_SLOWDOWN + MARGIN_MS;
 }
--- a/packages/coordinator/src/sessions/life_books.ts
+++ b/packages/coordinator/src/sessions/life_books.ts
@@ -3,28 +3,28 @@
  * timed by a former life holds for the next one, so all of it begins anew with it.
  */
 import * as healths from "../endpoints/endpoint_health.ts";
-import * as endLedgers from "./end_ledger.ts";
+import * as reportedEnds from "./end_ledger.ts";
 import * as leaseClocks from "./lease_clock.ts";
-import * as lifeEnds from "./life_end.ts";
-import * as presentLives from "./present_life.ts";
+import * as evidences from "./life_end.ts";
+import * as currentIncarnations from "./present_life.ts";
 import type * as sessionOptions from "./session_options.ts";
 
 /** Books of one endpoint, begun anew with each of its lives. */
-export class LifeBooks {
+export class IncarnationState {
   /** Which life answers. */
-  readonly present = new presentLives.PresentLife();
+  readonly current = new currentIncarnations.CurrentIncarnation();
   /** Whether the life that answered last has ended, and none has answered since. */
   hasEnded = false;
   readonly #options: sessionOptions.SessionOptions;
   #clock: leaseClocks.LeaseClock;
-  #ends = new endLedgers.EndLedger();
+  #ends = new reportedEnds.ReportedEnds();
   #health = new healths.EndpointHealth();
-  #ending: lifeEnds.LifeEnd;
+  #endEvidence: evidences.EndEvidence;
 
   constructor(options: sessionOptions.SessionOptions) {
     this.#options = options;
     this.#clock = new leaseClocks.LeaseClock(options.lapsesAtMs);
-    this.#ending = this.#watchEnding();
+    this.#endEvidence = this.#createEndEvidence();
   }
 
   /** Its own clock, and when its lease runs out. */
@@ -33,7 +33,7 @@
   }
 
   /** Ends that it has listed. */
-  get ends(): endLedgers.EndLedger {
+  get ends(): reportedEnds.ReportedEnds {
     return this.#ends;
   }
 
@@ -43,22 +43,22 @@
   }
 
   /** What is known of its own end. */
-  get ending(): lifeEnds.LifeEnd {
-    return this.#ending;
+  get endEvidence(): evidences.EndEvidence {
+    return this.#endEvidence;
   }
 
   /** Birth of the life that answered last; null: none did, or it tells none. */
   get bornMs(): number | null {
-    return this.present.bornMs;
+    return this.current.bornMs;
   }
 
   /** Birth of the life that a start is likely to reach; null: nothing tells it. */
   get likelyBornMs(): number | null {
-    return this.present.wasHeard ? this.bornMs : this.#options.listedBornMs;
+    return this.current.hasAnswered ? this.bornMs : this.#options.listedBornMs;
   }
 
   /** Whether an entry with this birth is of another life than is known here. */
-  isOfOther(listedBornMs: number | null): boolean {
+  differsFrom(listedBornMs: number | null): boolean {
     if (listedBornMs === null) return false;
     return listedBornMs !== (this.bornMs ?? this.#options.listedBornMs);
   }
@@ -70,21 +70,21 @@
   }
 
   /** Another life begins. */
-  begin(): void {
+  reset(): void {
     const { clock, bounds } = this.#options.ports;
     const lapsesAtMs = leaseClocks.foreignLapseMs(
       clock.monotonicMs(),
       bounds.longestLeaseMs,
     );
     this.#clock = new leaseClocks.LeaseClock(lapsesAtMs);
-    this.#ends = new endLedgers.EndLedger();
+    this.#ends = new reportedEnds.ReportedEnds();
     this.#health = new healths.EndpointHealth();
-    this.#ending = this.#watchEnding();
+    this.#endEvidence = this.#createEndEvidence();
     this.hasEnded = false;
   }
 
-  #watchEnding(): lifeEnds.LifeEnd {
+  #createEndEvidence(): evidences.EndEvidence {
     const { ref, silences, ports: { clock, log } } = this.#options;
-    return new lifeEnds.LifeEnd({ clock, log, ref, silences });
+    return new evidences.EndEvidence({ clock, log, ref, silences });
   }
 }
--- a/packages/coordinator/src/sessions/life_end.ts
+++ b/packages/coordinator/src/sessions/life_end.ts
@@ -5,10 +5,10 @@
 import type * as Logger from "@cairngate/logger";
 import type * as Ports from "@cairngate/ports";
 import * as Workflow from "@cairngate/workflow";
-import * as occupants from "./occupant.ts";
+import * as assignments from "./occupant.ts";
 import * as listeners from "./session_listener.ts";
 import type * as silences from "../endpoints/silence_log.ts";
-import type * as unheards from "./unheard_runs.ts";
+import type * as unreportedRuns from "./unheard_runs.ts";
 
 /**
  * Time in ms. An endpoint that answered so shortly before a start was sent was alive
@@ -28,25 +28,25 @@
  * An endpoint that has answered within this time, in ms, is alive: the longest wait
  * of a look and the slack that it gets.
  */
-const HEARD_LATELY_MS = 2800;
+const RECENT_ANSWER_MS = 2800;
 
 /**
  * Time in ms. A look that waits at an endpoint breaks as it crashes, and the next one
  * or the one after it (0.3 s later) is refused. Where an endpoint answered nobody for
  * longer before it was found dead, a run may have ended untold in between.
  */
-const MOST_UNTOLD_MS = 350;
+const MAX_UNREPORTED_MS = 350;
 
 /** What shows that a life has ended. */
-export enum LifeEndSign {
-  OtherAnswers = "another one answers there",
-  BeganAgain = "another life answers under its id",
+export enum EndProof {
+  OtherEndpointAnswers = "another one answers there",
+  Restarted = "another life answers under its id",
   /** Its lease is out and it is not listed, so it is not only busy. */
-  NobodyListens = "nobody listens there",
+  ConnectionRefused = "nobody listens there",
 }
 
 /** What the end of a life works with. */
-export interface LifeEndOptions {
+export interface EndEvidenceOptions {
   readonly clock: Ports.Clock;
   readonly log: Logger.Logger;
   readonly ref: Ports.EndpointRef;
@@ -55,24 +55,24 @@
 }
 
 /** What is known of the end of one life, before it comes and when it has come. */
-export class LifeEnd {
+export class EndEvidence {
   readonly #clock: Ports.Clock;
   readonly #log: Logger.Logger;
   readonly #ref: Ports.EndpointRef;
   readonly #silences: silences.SilenceLog;
   /** Our time of its last answer to a look. */
-  #heardAtMs = Number.NEGATIVE_INFINITY;
+  #answeredAtMs = Number.NEGATIVE_INFINITY;
   /** Our time at which nobody listened there any more; infinite for never. */
   #refusedAtMs = Number.POSITIVE_INFINITY;
   /**
    * Our time since which it may have ended runs untold; infinite while a look tells of
    * each end.
    */
-  #untoldSinceMs = Number.POSITIVE_INFINITY;
+  #unreportedSinceMs = Number.POSITIVE_INFINITY;
   /** Whether it is known to leave, so that its end is no crash. */
   #isLeaving = false;
 
-  constructor({ clock, log, ref, silences }: LifeEndOptions) {
+  constructor({ clock, log, ref, silences }: EndEvidenceOptions) {
     this.#clock = clock;
     this.#log = log;
     this.#ref = ref;
@@ -80,10 +80,10 @@
   }
 
   /** It has answered. */
-  noteHeard(): void {
-    this.#heardAtMs = this.#clock.monotonicMs();
+  noteAnswered(): void {
+    this.#answeredAtMs = this.#clock.monotonicMs();
     this.#refusedAtMs = Number.POSITIVE_INFINITY;
-    this.#untoldSinceMs = Number.POSITIVE_INFINITY;
+    this.#unreportedSinceMs = Number.POSITIVE_INFINITY;
   }
 
   /**
@@ -91,10 +91,10 @@
    * would have told of ends; one that fell silent may have been so since the last answer.
    */
   noteUnanswered(isBroken: boolean): void {
-    if (Number.isFinite(this.#untoldSinceMs)) return;
-    this.#untoldSinceMs = isBroken
+    if (Number.isFinite(this.#unreportedSinceMs)) return;
+    this.#unreportedSinceMs = isBroken
       ? this.#clock.monotonicMs()
-      : this.#heardAtMs;
+      : this.#answeredAtMs;
   }
 
   /** Nobody listens at its address: it has ended by now, and is not just cut off. */
@@ -123,63 +123,63 @@
    * answers has not crashed.
    */
   noteUnlisted(isReachable: boolean): void {
-    const heardBeforeMs = this.#clock.monotonicMs() - this.#heardAtMs;
-    this.#isLeaving ||= isReachable && heardBeforeMs <= HEARD_LATELY_MS;
+    const heardBeforeMs = this.#clock.monotonicMs() - this.#answeredAtMs;
+    this.#isLeaving ||= isReachable && heardBeforeMs <= RECENT_ANSWER_MS;
   }
 
   /**
    * It is shown to have ended, as entries and silence alone never do. Returns how runs ended of which it is so sure that they were there.
    */
   end(
-    sign: LifeEndSign,
-    held: readonly occupants.Occupant[],
-    unheard: readonly unheards.UnheardRun[],
+    proof: EndProof,
+    runs: readonly assignments.Occupant[],
+    ended: readonly unreportedRuns.UnheardRun[],
   ): (presence: Workflow.Presence) => listeners.SessionEnd {
-    if (held.length + unheard.length > 0) this.#logEnd(sign, held, unheard);
+    if (runs.length + ended.length > 0) this.#logEnd(proof, runs, ended);
     if (this.#isLeaving) {
       return () => listeners.lost(listeners.LostCause.Left);
     }
     const victims = [
-      ...held.map((one) => ({
+      ...runs.map((one) => ({
         task: one.task,
         run: one.run,
         presence: this.presenceOf(one, this.#clock.monotonicMs()),
       })),
-      ...unheard,
+      ...ended,
     ];
-    const wasAlone = isOneUnit(victims.map(({ task }) => task));
+    const wasAlone = isOneTaskOrGang(victims.map(({ task }) => task));
     const fellows = this.#silences.noteCrash(this.#ref, victims);
     return (presence) => listeners.crashed({ wasAlone, fellows, presence });
   }
 
   /** One line with all that tells a crash under a run from one before its start. */
   #logEnd(
-    sign: LifeEndSign,
-    held: readonly occupants.Occupant[],
-    unheard: readonly unheards.UnheardRun[],
+    proof: EndProof,
+    runs: readonly assignments.Occupant[],
+    ended: readonly unreportedRuns.UnheardRun[],
   ): void {
     const { id, address } = this.#ref;
-    const heard = this.#ago(this.#heardAtMs);
+    const answered = this.#ago(this.#answeredAtMs);
     const silent = this.#ago(this.#silences.silentSinceMs(this.#ref));
     const leaving = this.#isLeaving ? "; it was going to leave" : "";
-    const runs = [
-      ...held.map((one) => this.#describeHeld(one)),
-      ...unheard.map(({ task, run }) => `${task.name} run ${run}, given up`),
+    const descriptions = [
+      ...runs.map((one) => this.#describeRun(one)),
+      ...ended.map(({ task, run }) => `${task.name} run ${run}, given up`),
     ];
     this.#log.info(
-      `Endpoint ${id} at ${address} has ended, as ${sign}: last heard ` +
-        `${heard}, silent since ${silent}${leaving}. It had ` +
-        `${runs.join("; ")}.`,
+      `Endpoint ${id} at ${address} has ended, as ${proof}: last heard ` +
+        `${answered}, silent since ${silent}${leaving}. It had ` +
+        `${descriptions.join("; ")}.`,
     );
   }
 
-  #describeHeld(occupant: occupants.Occupant): string {
-    const { task, run, sentAtMs } = occupant;
-    const isSeen = occupants.isConfirmed(occupant) ||
+  #describeRun(assignment: assignments.Occupant): string {
+    const { task, run, sentAtMs } = assignment;
+    const isConfirmed = assignments.isConfirmed(assignment) ||
       task.confirmedRun === run;
     const sent = sentAtMs === null ? "by an earlier term" : this.#ago(sentAtMs);
     return `${task.name} run ${run}, sent ${sent}, ` +
-      (isSeen ? "seen there" : "never seen there");
+      (isConfirmed ? "seen there" : "never seen there");
   }
 
   /** A time of ours, as a text: how long ago it was. */
@@ -193,19 +193,19 @@
    * by this time of ours at the latest.
    */
   presenceOf(
-    occupant: occupants.Occupant,
+    assignment: assignments.Occupant,
     crashedByMs: number,
   ): Workflow.Presence {
-    const { sentAtMs, task, run } = occupant;
-    if (occupants.isConfirmed(occupant)) {
-      return this.#presenceOfSeen(occupant, crashedByMs);
+    const { sentAtMs, task, run } = assignment;
+    if (assignments.isConfirmed(assignment)) {
+      return this.#presenceConfirmedHere(assignment, crashedByMs);
     }
     if (task.confirmedRun === run) {
-      return this.#presenceOfConfirmed(task, crashedByMs);
+      return this.#presenceConfirmedEarlier(task, crashedByMs);
     }
     // Its record was written before the order left: perhaps none ever did.
     if (sentAtMs === null) return Workflow.Presence.Unknown;
-    const beforeMs = sentAtMs - this.#heardAtMs;
+    const beforeMs = sentAtMs - this.#answeredAtMs;
     if (beforeMs < 0 || beforeMs > ALIVE_BEFORE_START_MS) {
       return Workflow.Presence.Unknown;
     }
@@ -219,7 +219,7 @@
    * An earlier coordinator saw it there. What it saw says nothing of the time after
    * the run was done: that it was, may be what nobody was told of.
    */
-  #presenceOfConfirmed(
+  #presenceConfirmedEarlier(
     { step, confirmedEndsAtWallMs }: Workflow.Task,
     crashedByMs: number,
   ): Workflow.Presence {
@@ -240,16 +240,19 @@
    * known, it is likely if its time was not up at the last answer: an endpoint that is
    * cut off, runs on and crashes then is rarer than one that just crashes.
    */
-  #presenceOfSeen(
-    occupant: occupants.Occupant,
+  #presenceConfirmedHere(
+    assignment: assignments.Occupant,
     crashedByMs: number,
   ): Workflow.Presence {
-    const endsMs = this.#endsAtMs(occupant);
+    const endsMs = this.#endsAtMs(assignment);
     const byMs = Math.min(crashedByMs, this.#refusedAtMs);
-    if (byMs <= endsMs && !this.#mayHaveEndedBefore(occupant, byMs)) {
+    if (byMs <= endsMs && !this.#mayHaveEndedBefore(assignment, byMs)) {
       return Workflow.Presence.Certain;
     }
-    const answeredMs = Math.max(this.#heardAtMs, occupant.knownSinceMs ?? 0);
+    const answeredMs = Math.max(
+      this.#answeredAtMs,
+      assignment.expectedSinceMs ?? 0,
+    );
     return answeredMs <= endsMs
       ? Workflow.Presence.Likely
       : Workflow.Presence.Unknown;
@@ -259,11 +262,11 @@
    * When a run is done by its pace, or by its estimate before it was looked at. An answer
    * that tells no end after the estimate was up shows that the estimate was wrong.
    */
-  #endsAtMs(occupant: occupants.Occupant): number {
-    const endsMs = occupants.endsAtMs(occupant);
-    const hasOutlasted = occupant.task.endsAtMs === null &&
-      this.#heardAtMs > endsMs;
-    return hasOutlasted ? Number.POSITIVE_INFINITY : endsMs;
+  #endsAtMs(assignment: assignments.Occupant): number {
+    const endsMs = assignments.expectedEndMs(assignment);
+    const hasOutlastedEstimate = assignment.task.endsAtMs === null &&
+      this.#answeredAtMs > endsMs;
+    return hasOutlastedEstimate ? Number.POSITIVE_INFINITY : endsMs;
   }
 
   /**
@@ -272,19 +275,22 @@
    * and its endpoint had answered nobody for a while.
    */
   #mayHaveEndedBefore(
-    { task, run, stoppingSinceMs, knownSinceMs }: occupants.Occupant,
+    { task, run, stoppingSinceMs, expectedSinceMs }: assignments.Occupant,
     byMs: number,
   ): boolean {
     if (stoppingSinceMs !== null && stoppingSinceMs <= byMs) return true;
     if (task.workflow.hasLostMember(task, run)) return true;
     if (task.step.lasting || task.endsAtMs !== null) return false;
-    const untoldSinceMs = Math.max(this.#untoldSinceMs, knownSinceMs ?? 0);
-    return byMs - untoldSinceMs > MOST_UNTOLD_MS;
+    const unreportedSinceMs = Math.max(
+      this.#unreportedSinceMs,
+      expectedSinceMs ?? 0,
+    );
+    return byMs - unreportedSinceMs > MAX_UNREPORTED_MS;
   }
 }
 
 /** Whether all tasks were started together: one task, or members of one gang. */
-function isOneUnit(tasks: readonly Workflow.Task[]): boolean {
+function isOneTaskOrGang(tasks: readonly Workflow.Task[]): boolean {
   const units = tasks.map((task) =>
     task.step.gang ? task.workflow.siblings(task) : task
   );
--- a/packages/coordinator/src/sessions/life_end_test.ts
+++ b/packages/coordinator/src/sessions/life_end_test.ts
@@ -9,13 +9,13 @@
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
 import * as silences from "../endpoints/silence_log.ts";
-import * as lifeEnds from "./life_end.ts";
-import * as occupants from "./occupant.ts";
+import * as evidences from "./life_end.ts";
+import * as assignments from "./occupant.ts";
 
 /** Time that a run takes by its estimate, in ms: any will do. */
 const ESTIMATE_MS = 2000;
 
-function play(
+function createFixture(
   clock: TestUtils.FakeClock,
   lasting: boolean,
   step: Partial<Workflow.StepSpec> = {},
@@ -33,13 +33,13 @@
   });
   const [task] = workflow.tasks;
   task.place("i-1", 1, clock.monotonicMs());
-  const lifeEnd = new lifeEnds.LifeEnd({
+  const endEvidence = new evidences.EndEvidence({
     clock,
     log: Logger.silentLogger(),
     ref: { id: "i-1", address: "10.0.0.1:80" },
     silences: new silences.SilenceLog({ clock, onExcused: () => {} }),
   });
-  return { task, lifeEnd, workflow };
+  return { task, endEvidence, workflow };
 }
 
 vitest.describe("a run that an earlier coordinator has seen", () => {
@@ -49,13 +49,13 @@
     { lasting = false, isKept = true } = {},
   ): Promise<Workflow.Presence> {
     const clock = new TestUtils.FakeClock();
-    const { task, lifeEnd } = play(clock, lasting);
+    const { task, endEvidence } = createFixture(clock, lasting);
     task.confirmedRun = 1;
     const endsAtMs = clock.wallMs() + ESTIMATE_MS;
     task.confirmedEndsAtWallMs = isKept ? endsAtMs : null;
     await clock.advance(ms);
-    const adopted = occupants.adoptOccupant(task);
-    return lifeEnd.presenceOf(adopted, clock.monotonicMs());
+    const adopted = assignments.adoptAssignment(task);
+    return endEvidence.presenceOf(adopted, clock.monotonicMs());
   }
 
   vitest.it("was there while its time was not up", async () => {
@@ -85,61 +85,63 @@
 vitest.describe("a run that was seen on an endpoint that crashed", () => {
   /** What happens before the endpoint is found dead 600 ms after the start. */
   async function presenceAfter(
-    happen: (world: {
-      lifeEnd: lifeEnds.LifeEnd;
-      occupant: occupants.Occupant;
+    simulate: (scenario: {
+      endEvidence: evidences.EndEvidence;
+      assignment: assignments.Occupant;
       other: Workflow.Task;
       clock: TestUtils.FakeClock;
     }) => Promise<void> | void,
     step: Partial<Workflow.StepSpec> = {},
   ): Promise<Workflow.Presence> {
     const clock = new TestUtils.FakeClock();
-    const { task, lifeEnd, workflow } = play(clock, false, step);
+    const { task, endEvidence, workflow } = createFixture(clock, false, step);
     const [, other] = [...workflow.tasks];
     other?.place("i-2", 1, clock.monotonicMs());
-    const occupant = occupants.createOccupant(task, null);
-    occupant.sent = true;
-    occupant.sentAtMs = clock.monotonicMs();
-    occupant.knownSinceMs = clock.monotonicMs();
-    lifeEnd.noteHeard();
+    const assignment = assignments.createOccupant(task, null);
+    assignment.isSent = true;
+    assignment.sentAtMs = clock.monotonicMs();
+    assignment.expectedSinceMs = clock.monotonicMs();
+    endEvidence.noteAnswered();
     const endMs = clock.monotonicMs() + 600;
-    await happen({ lifeEnd, occupant, other, clock });
+    await simulate({ endEvidence, assignment, other, clock });
     await clock.advance(endMs - clock.monotonicMs());
-    lifeEnd.noteRefused();
+    endEvidence.noteRefused();
     await clock.advance(6000);
-    return lifeEnd.presenceOf(occupant, clock.monotonicMs());
+    return endEvidence.presenceOf(assignment, clock.monotonicMs());
   }
 
   const { Certain, Likely } = Workflow.Presence;
 
   vitest.it("was surely there where a look was open until then", async () => {
-    const found = await presenceAfter(async ({ lifeEnd, clock }) => {
+    const presence = await presenceAfter(async ({ endEvidence, clock }) => {
       await clock.advance(500);
-      lifeEnd.noteUnanswered(true);
+      endEvidence.noteUnanswered(true);
     });
-    vitest.expect(found).toBe(Certain);
+    vitest.expect(presence).toBe(Certain);
   });
 
   vitest.it("may have ended while the endpoint answered nobody", async () => {
-    const found = await presenceAfter(async ({ lifeEnd, clock }) => {
+    const presence = await presenceAfter(async ({ endEvidence, clock }) => {
       await clock.advance(200);
-      lifeEnd.noteUnanswered(true);
+      endEvidence.noteUnanswered(true);
     });
-    vitest.expect(found).toBe(Likely);
-    const silent = await presenceAfter(async ({ lifeEnd, clock }) => {
+    vitest.expect(presence).toBe(Likely);
+    const afterSilence = await presenceAfter(async ({ endEvidence, clock }) => {
       await clock.advance(500);
-      lifeEnd.noteUnanswered(false);
+      endEvidence.noteUnanswered(false);
     });
-    vitest.expect(silent).toBe(Likely);
+    vitest.expect(afterSilence).toBe(Likely);
   });
 
   vitest.it("was there by its pace, whoever was answered", async () => {
-    const found = await presenceAfter(async ({ lifeEnd, occupant, clock }) => {
-      await clock.advance(200);
-      lifeEnd.noteUnanswered(true);
-      occupant.task.endsAtMs = clock.monotonicMs() + 1000;
-    });
-    vitest.expect(found).toBe(Certain);
+    const presence = await presenceAfter(
+      async ({ endEvidence, assignment, clock }) => {
+        await clock.advance(200);
+        endEvidence.noteUnanswered(true);
+        assignment.task.endsAtMs = clock.monotonicMs() + 1000;
+      },
+    );
+    vitest.expect(presence).toBe(Certain);
   });
 
   /**
@@ -149,32 +151,32 @@
    */
   vitest.it("was there though its estimate was up", async () => {
     const step = { estimateMs: 300 };
-    const found = await presenceAfter(async ({ lifeEnd, clock }) => {
+    const presence = await presenceAfter(async ({ endEvidence, clock }) => {
       await clock.advance(550);
-      lifeEnd.noteHeard();
+      endEvidence.noteAnswered();
     }, step);
-    vitest.expect(found).toBe(Certain);
-    const unheard = await presenceAfter(async ({ lifeEnd, clock }) => {
+    vitest.expect(presence).toBe(Certain);
+    const unanswered = await presenceAfter(async ({ endEvidence, clock }) => {
       await clock.advance(200);
-      lifeEnd.noteHeard();
+      endEvidence.noteAnswered();
     }, step);
-    vitest.expect(unheard).toBe(Likely);
+    vitest.expect(unanswered).toBe(Likely);
   });
 
   vitest.it("may have ended by the stop that it was told", async () => {
-    const found = await presenceAfter(({ occupant, clock }) => {
-      occupant.stoppingSinceMs = clock.monotonicMs();
+    const presence = await presenceAfter(({ assignment, clock }) => {
+      assignment.stoppingSinceMs = clock.monotonicMs();
     });
-    vitest.expect(found).toBe(Likely);
+    vitest.expect(presence).toBe(Likely);
   });
 
   vitest.it("may have ended with another member of its gang", async () => {
     const gang = { count: 2, gang: true };
     vitest.expect(await presenceAfter(() => {}, gang)).toBe(Certain);
-    const found = await presenceAfter(({ other, clock }) => {
+    const presence = await presenceAfter(({ other, clock }) => {
       other.release(clock.monotonicMs());
     }, gang);
-    vitest.expect(found).toBe(Likely);
+    vitest.expect(presence).toBe(Likely);
   });
 });
 
@@ -187,16 +189,16 @@
 vitest.describe("a start without an answer", () => {
   async function presenceWith(refusedAfterMs: number) {
     const clock = new TestUtils.FakeClock();
-    const { task, lifeEnd } = play(clock, false);
-    const occupant = occupants.createOccupant(task, null);
-    lifeEnd.noteHeard();
+    const { task, endEvidence } = createFixture(clock, false);
+    const assignment = assignments.createOccupant(task, null);
+    endEvidence.noteAnswered();
     await clock.advance(10);
-    occupant.sent = true;
-    occupant.sentAtMs = clock.monotonicMs();
+    assignment.isSent = true;
+    assignment.sentAtMs = clock.monotonicMs();
     await clock.advance(refusedAfterMs);
-    lifeEnd.noteRefused();
+    endEvidence.noteRefused();
     await clock.advance(3000);
-    return lifeEnd.presenceOf(occupant, clock.monotonicMs());
+    return endEvidence.presenceOf(assignment, clock.monotonicMs());
   }
 
   vitest.it("was there if the endpoint ended as it came", async () => {
--- a/packages/coordinator/src/sessions/loose_starts.ts
+++ b/packages/coordinator/src/sessions/loose_starts.ts
@@ -5,7 +5,7 @@
  * these runs: a stop makes a run that has not arrived impossible.
  */
 import type * as Ports from "@cairngate/ports";
-import * as strays from "./stray_runs.ts";
+import * as unexpectedRuns from "./stray_runs.ts";
 
 /**
  * Time after which an order without an answer is not carried out any more, in ms. The
@@ -13,14 +13,14 @@
  */
 export const LONGEST_ORDER_DELAY_MS = 15_000;
 
-interface LooseStart extends Ports.RunRef {
+interface UnansweredStart extends Ports.RunRef {
   readonly sentAtMs: number;
 }
 
 /** Those of one endpoint. */
 export class LooseStarts {
   readonly #clock: Ports.Clock;
-  readonly #starts = new Map<string, LooseStart>();
+  readonly #starts = new Map<string, UnansweredStart>();
 
   constructor(clock: Ports.Clock) {
     this.#clock = clock;
@@ -29,7 +29,11 @@
   /** A start had no answer: it may arrive later. */
   add({ task, run }: Ports.RunRef): void {
     const sentAtMs = this.#clock.monotonicMs();
-    this.#starts.set(strays.nameOf({ task, run }), { task, run, sentAtMs });
+    this.#starts.set(unexpectedRuns.runName({ task, run }), {
+      task,
+      run,
+      sentAtMs,
+    });
   }
 
   /** Those that may still arrive. */
--- a/packages/coordinator/src/sessions/occupant.ts
+++ b/packages/coordinator/src/sessions/occupant.ts
@@ -9,9 +9,9 @@
   /** Permission of the advice service; null where none is needed. */
   readonly ticket: string | null;
   /** Since when the worker must know of it; null while it may not. */
-  knownSinceMs: number | null;
+  expectedSinceMs: number | null;
   /** Whether the start was sent. */
-  sent: boolean;
+  isSent: boolean;
   /** When, by our clock; null where an earlier coordinator sent it. */
   sentAtMs: number | null;
   /** Birth of the life that it was sent to; null: not told, or not known. */
@@ -40,8 +40,8 @@
     task,
     run: task.run,
     ticket,
-    knownSinceMs: null,
-    sent: false,
+    expectedSinceMs: null,
+    isSent: false,
     sentAtMs: null,
     bornMs: null,
     stoppingSinceMs: null,
@@ -53,66 +53,66 @@
 }
 
 /** A run that the records of an earlier coordinator name. */
-export function adoptOccupant(task: Workflow.Task): Occupant {
-  const occupant = createOccupant(task, null);
-  occupant.knownSinceMs = EARLIER_TERM;
-  occupant.sent = true;
-  occupant.bornMs = task.bornMs;
-  return occupant;
+export function adoptAssignment(task: Workflow.Task): Occupant {
+  const assignment = createOccupant(task, null);
+  assignment.expectedSinceMs = EARLIER_TERM;
+  assignment.isSent = true;
+  assignment.bornMs = task.bornMs;
+  return assignment;
 }
 
 /** A run that was held where its endpoint stood before. */
-export function takeOverOccupant(former: Occupant): Occupant {
-  return { ...former, knownSinceMs: EARLIER_TERM, pace: null };
+export function takeOverAssignment(former: Occupant): Occupant {
+  return { ...former, expectedSinceMs: EARLIER_TERM, pace: null };
 }
 
 /**
  * Whether it was sent to another life than this one. An earlier coordinator may not
  * have told which one it was sent to; what this one sent, it knows.
  */
-export function isOfOtherLife(
-  { sent, sentAtMs, bornMs }: Occupant,
+export function isOfOtherIncarnation(
+  { isSent, sentAtMs, bornMs }: Occupant,
   presentBornMs: number | null,
 ): boolean {
-  if (!sent || bornMs === presentBornMs) return false;
+  if (!isSent || bornMs === presentBornMs) return false;
   return sentAtMs !== null || bornMs !== null;
 }
 
 /** The life that is present shows it: it began there, whichever it was sent to. */
-export function noteShown(
-  occupant: Occupant,
+export function noteReported(
+  assignment: Occupant,
   presentBornMs: number | null,
 ): void {
-  if (occupant.bornMs === presentBornMs) return;
-  occupant.bornMs = presentBornMs;
-  occupant.task.bornMs = presentBornMs;
-  occupant.pace = null;
+  if (assignment.bornMs === presentBornMs) return;
+  assignment.bornMs = presentBornMs;
+  assignment.task.bornMs = presentBornMs;
+  assignment.pace = null;
 }
 
 /** Whether its worker has confirmed it to this coordinator. */
-export function isConfirmed(occupant: Occupant): boolean {
-  const { knownSinceMs } = occupant;
-  return knownSinceMs !== null && knownSinceMs !== EARLIER_TERM;
+export function isConfirmed(assignment: Occupant): boolean {
+  const { expectedSinceMs } = assignment;
+  return expectedSinceMs !== null && expectedSinceMs !== EARLIER_TERM;
 }
 
 /** Takes in the progress that the worker tells, at its own time and ours. */
 export function noteProgress(
-  occupant: Occupant,
+  assignment: Occupant,
   percent: number,
   at: { readonly clockMs: number; readonly nowMs: number },
 ): void {
-  if (occupant.pace === null) {
-    occupant.pace = new paces.RunPace(at.clockMs, percent);
-  } else occupant.pace.note(at.clockMs, percent);
-  const { leftMs } = occupant.pace;
-  if (leftMs !== null) occupant.task.endsAtMs = at.nowMs + leftMs;
+  if (assignment.pace === null) {
+    assignment.pace = new paces.RunPace(at.clockMs, percent);
+  } else assignment.pace.addSample(at.clockMs, percent);
+  const { remainingMs } = assignment.pace;
+  if (remainingMs !== null) assignment.task.endsAtMs = at.nowMs + remainingMs;
 }
 
 /**
  * When a run is done by its pace, or by its estimate before it was looked at. One
  * that is done may wait to be told of when its endpoint crashes.
  */
-export function endsAtMs({ task, sentAtMs }: Occupant): number {
+export function expectedEndMs({ task, sentAtMs }: Occupant): number {
   if (task.step.lasting) return Number.POSITIVE_INFINITY;
   return task.endsAtMs ?? (sentAtMs ?? 0) + task.step.estimateMs;
 }
--- a/packages/coordinator/src/sessions/outlived_runs.ts
+++ b/packages/coordinator/src/sessions/outlived_runs.ts
@@ -7,12 +7,12 @@
 import type * as Metrics from "@cairngate/metrics";
 import type * as Ports from "@cairngate/ports";
 import * as Workflow from "@cairngate/workflow";
-import type * as occupants from "./occupant.ts";
+import type * as assignments from "./occupant.ts";
 import * as listeners from "./session_listener.ts";
-import * as strays from "./stray_runs.ts";
+import * as unexpectedRuns from "./stray_runs.ts";
 
 /** What they work with. */
-export interface OutlivedRunsOptions {
+export interface PrematureEndsOptions {
   readonly clock: Ports.Clock;
   readonly log: Logger.Logger;
   readonly metrics: Metrics.Metrics;
@@ -20,63 +20,66 @@
   readonly endpoint: string;
 }
 
-interface OverRun {
+interface PresumedEnd {
   readonly evidence: string;
   readonly atMs: number;
 }
 
 /** Runs are remembered this long, in ms: longer than any lease goes on. */
-const KEPT_MS = 15_000;
+const RETENTION_MS = 15_000;
 
 /** Those of one endpoint. */
-export class OutlivedRuns {
-  readonly #options: OutlivedRunsOptions;
-  readonly #over = new Map<string, OverRun>();
+export class PrematureEnds {
+  readonly #options: PrematureEndsOptions;
+  readonly #presumedEnds = new Map<string, PresumedEnd>();
 
-  constructor(options: OutlivedRunsOptions) {
+  constructor(options: PrematureEndsOptions) {
     this.#options = options;
   }
 
   /** A run is over for the coordinator. */
-  note(
-    { task: { name: task }, run, sent }: occupants.Occupant,
+  noteEnd(
+    { task: { name: task }, run, isSent }: assignments.Occupant,
     { how, cause }: listeners.SessionEnd,
   ): void {
-    const wasListed = how !== Workflow.RunEnd.Lost &&
+    const wasReported = how !== Workflow.RunEnd.Lost &&
       how !== Workflow.RunEnd.Crashed;
-    if (wasListed || !sent) return;
+    if (wasReported || !isSent) return;
     const atMs = this.#options.clock.monotonicMs();
     const evidence = cause ?? how;
-    this.#over.set(strays.nameOf({ task, run }), { evidence, atMs });
+    this.#presumedEnds.set(unexpectedRuns.runName({ task, run }), {
+      evidence,
+      atMs,
+    });
   }
 
   /** Tells of each run once that an answer shows although it counted as over. */
-  compare({ held, ended }: Ports.EndpointView): void {
-    if (this.#over.size === 0) return;
-    for (const run of held) this.#tell(run, "is still there");
-    for (const run of ended) this.#tell(run, `has ended as ${run.how}`);
-    this.#forgetOld();
+  checkView({ held, ended }: Ports.EndpointView): void {
+    if (this.#presumedEnds.size === 0) return;
+    for (const run of held) this.#logOnce(run, "is still there");
+    for (const run of ended) this.#logOnce(run, `has ended as ${run.how}`);
+    this.#removeExpired();
   }
 
-  #tell(shown: Ports.RunRef, what: string): void {
-    const name = strays.nameOf(shown);
-    const over = this.#over.get(name);
+  #logOnce(reported: Ports.RunRef, what: string): void {
+    const name = unexpectedRuns.runName(reported);
+    const over = this.#presumedEnds.get(name);
     if (over === undefined) return;
-    this.#over.delete(name);
+    this.#presumedEnds.delete(name);
     const { clock, log, metrics, endpoint } = this.#options;
     const { evidence, atMs } = over;
     const agoMs = Math.round(clock.monotonicMs() - atMs);
     metrics.count("cairngate_runs_outlived_total", { evidence });
     log.warn(
-      `Run ${shown.run} of ${shown.task} counted as over ${agoMs} ms ago ` +
+      `Run ${reported.run} of ${reported.task} counted as over ${agoMs} ms ago ` +
         `(${evidence}), and on ${endpoint} it ${what}.`,
     );
   }
 
-  #forgetOld(): void {
+  #removeExpired(): void {
     const nowMs = this.#options.clock.monotonicMs();
-    for (const [name, { atMs }] of this.#over) {
-      if (nowMs - atMs > KEPT_MS) this.#over.delete(name);
+    for (const [name, { atMs }] of this.#presumedEnds) {
+      if (nowMs - atMs > RETENTION_MS) this.#presumedEnds.delete(name);
     }
   }
 }
--- a/packages/coordinator/src/sessions/outlived_runs_test.ts
+++ b/packages/coordinator/src/sessions/outlived_runs_test.ts
@@ -6,14 +6,14 @@
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
-import * as occupants from "./occupant.ts";
-import * as outliveds from "./outlived_runs.ts";
+import * as assignments from "./occupant.ts";
+import * as prematureEnds from "./outlived_runs.ts";
 import * as listeners from "./session_listener.ts";
 
 const ENDPOINT = "i-1";
 
 /** A run that was sent, and what watches runs of its endpoint. */
-function play() {
+function createFixture() {
   const clock = new TestUtils.FakeClock();
   const log = new TestUtils.KeptLog();
   const workflow = new Workflow.Workflow({
@@ -27,16 +27,16 @@
   });
   const [task] = workflow.tasks;
   task.place(ENDPOINT, 1, clock.monotonicMs());
-  const occupant = occupants.createOccupant(task, null);
-  occupant.sent = true;
+  const assignment = assignments.createOccupant(task, null);
+  assignment.isSent = true;
   const metrics = new Metrics.Metrics();
-  const outlived = new outliveds.OutlivedRuns({
+  const ends = new prematureEnds.PrematureEnds({
     clock,
     log,
     metrics,
     endpoint: ENDPOINT,
   });
-  return { clock, occupant, outlived, metrics, sentences: log.sentences };
+  return { clock, assignment, ends, metrics, sentences: log.sentences };
 }
 
 /** An answer that shows the run as held, or as ended. */
@@ -51,17 +51,17 @@
   };
 }
 
-const ENDED_FIRST = listeners.lost(listeners.LostCause.EndedFirst);
+const ENDED_FIRST = listeners.lost(listeners.LostCause.EndedBeforeGang);
 
 vitest.describe("a run that counted as over", () => {
   vitest.it(
     "is told of once, with its evidence, when it is shown",
     async () => {
-      const { clock, occupant, outlived, metrics, sentences } = play();
-      outlived.note(occupant, ENDED_FIRST);
+      const { clock, assignment, ends, metrics, sentences } = createFixture();
+      ends.noteEnd(assignment, ENDED_FIRST);
       await clock.advance(300);
-      outlived.compare(viewOf({ held: true }));
-      outlived.compare(viewOf({ held: true }));
+      ends.checkView(viewOf({ held: true }));
+      ends.checkView(viewOf({ held: true }));
       vitest.expect(sentences).toEqual([
         "Run 1 of w.0.0.0 counted as over 300 ms ago (ended-first), and on i-1 " +
         "it is still there.",
@@ -73,9 +73,9 @@
   );
 
   vitest.it("is told of when its end is listed later", () => {
-    const { occupant, outlived, sentences } = play();
-    outlived.note(occupant, ENDED_FIRST);
-    outlived.compare(viewOf({ ended: true }));
+    const { assignment, ends, sentences } = createFixture();
+    ends.noteEnd(assignment, ENDED_FIRST);
+    ends.checkView(viewOf({ ended: true }));
     vitest.expect(sentences).toEqual([
       "Run 1 of w.0.0.0 counted as over 0 ms ago (ended-first), and on i-1 " +
       "it has ended as broken.",
@@ -83,10 +83,10 @@
   });
 
   vitest.it("is not told of where its endpoint listed the end", () => {
-    const { occupant, outlived, sentences } = play();
+    const { assignment, ends, sentences } = createFixture();
     const how = Workflow.RunEnd.Broken;
-    outlived.note(occupant, { how, checkpoint: "", cause: null });
-    outlived.compare(viewOf({ ended: true }));
+    ends.noteEnd(assignment, { how, checkpoint: "", cause: null });
+    ends.checkView(viewOf({ ended: true }));
     vitest.expect(sentences).toEqual([]);
   });
 });
--- a/packages/coordinator/src/sessions/present_life.ts
+++ b/packages/coordinator/src/sessions/present_life.ts
@@ -6,24 +6,24 @@
  */
 
 /** A moment of this session; moments rise with each order and each answer. */
-export type Moment = number;
+export type EventNumber = number;
 
 /** Whose answer it is. */
-export enum Speaker {
+export enum AnswerOrigin {
   /** The life that is known, or the first one that is heard. */
-  Known = "known",
+  Current = "known",
   /** One that has begun since the known one answered last. */
-  Later = "later",
+  Newer = "later",
   /** Perhaps a former one: the order left before the known one answered last. */
   Unclear = "unclear",
 }
 
 /** The life that answered last. */
-export class PresentLife {
+export class CurrentIncarnation {
   #bornMs: number | null = null;
-  #wasHeard = false;
-  #moment: Moment = 0;
-  #heardAt: Moment = 0;
+  #hasAnswered = false;
+  #lastEvent: EventNumber = 0;
+  #answeredAt: EventNumber = 0;
 
   /** Its birth; null before it was heard, or where it tells none. */
   get bornMs(): number | null {
@@ -31,13 +31,13 @@
   }
 
   /** Whether any life was heard. */
-  get wasHeard(): boolean {
-    return this.#wasHeard;
+  get hasAnswered(): boolean {
+    return this.#hasAnswered;
   }
 
   /** The moment at which an order leaves. */
-  leave(): Moment {
-    return ++this.#moment;
+  noteSent(): EventNumber {
+    return ++this.#lastEvent;
   }
 
   /**
@@ -45,12 +45,12 @@
    * after the known life's last answer lives after it, so it is that life or a later
    * one.
    */
-  hear(bornMs: number | null, leftAt: Moment): Speaker {
-    const isOther = this.#wasHeard && bornMs !== this.#bornMs;
-    if (isOther && leftAt < this.#heardAt) return Speaker.Unclear;
-    this.#heardAt = ++this.#moment;
+  noteAnswer(bornMs: number | null, leftAt: EventNumber): AnswerOrigin {
+    const isOther = this.#hasAnswered && bornMs !== this.#bornMs;
+    if (isOther && leftAt < this.#answeredAt) return AnswerOrigin.Unclear;
+    this.#answeredAt = ++this.#lastEvent;
     this.#bornMs = bornMs;
-    this.#wasHeard = true;
-    return isOther ? Speaker.Later : Speaker.Known;
+    this.#hasAnswered = true;
+    return isOther ? AnswerOrigin.Newer : AnswerOrigin.Current;
   }
 }
--- a/packages/coordinator/src/sessions/run_pace.ts
+++ b/packages/coordinator/src/sessions/run_pace.ts
@@ -9,11 +9,11 @@
 }
 
 /** Progress within this time is recent. */
-const RECENT_MS = 1300;
+const RECENT_WINDOW_MS = 1300;
 /** Progress over less time says too little. */
-const LEAST_RECENT_MS = 450;
+const MIN_RECENT_SPAN_MS = 450;
 /** The same for what came before, in ms: twice as long, as it is compared with. */
-const LEAST_EARLIER_MS = 1000;
+const MIN_EARLIER_SPAN_MS = 1000;
 /** A member of a gang that waits for the others comes no further. */
 const DONE_PERCENT = 100;
 
@@ -29,10 +29,10 @@
   }
 
   /** Takes in what a look has shown. */
-  note(atMs: number, percent: number): void {
+  addSample(atMs: number, percent: number): void {
     if (this.percent >= DONE_PERCENT || atMs <= this.#last.atMs) return;
     this.#samples.push({ atMs, percent });
-    const beforeMs = atMs - RECENT_MS;
+    const beforeMs = atMs - RECENT_WINDOW_MS;
     while (this.#samples.length > 2 && this.#samples[1].atMs <= beforeMs) {
       this.#samples.shift();
     }
@@ -55,18 +55,18 @@
 
   /** Percent per millisecond of late; null while too little is known. */
   get recentRate(): number | null {
-    return rateBetween(this.#samples[0], this.#last, LEAST_RECENT_MS);
+    return rateBetween(this.#samples[0], this.#last, MIN_RECENT_SPAN_MS);
   }
 
   /** Percent per millisecond before that; null while too little is known. */
   get earlierRate(): number | null {
-    return rateBetween(this.#first, this.#samples[0], LEAST_EARLIER_MS);
+    return rateBetween(this.#first, this.#samples[0], MIN_EARLIER_SPAN_MS);
   }
 
   /** Time that is left at the pace so far; null while too little is known. */
-  get leftMs(): number | null {
+  get remainingMs(): number | null {
     const rate = this.recentRate ??
-      rateBetween(this.#first, this.#last, LEAST_RECENT_MS);
+      rateBetween(this.#first, this.#last, MIN_RECENT_SPAN_MS);
     if (rate === null || rate <= 0) return null;
     return (DONE_PERCENT - this.percent) / rate;
   }
--- a/packages/coordinator/src/sessions/run_pace_test.ts
+++ b/packages/coordinator/src/sessions/run_pace_test.ts
@@ -3,16 +3,16 @@
 import * as paces from "./run_pace.ts";
 
 /** A run that is looked at every half second. */
-function look(...percents: number[]): paces.RunPace {
+function createPace(...percents: number[]): paces.RunPace {
   const [first, ...rest] = percents;
   const pace = new paces.RunPace(10_000, first);
-  rest.forEach((percent, i) => pace.note(10_000 + (i + 1) * 500, percent));
+  rest.forEach((percent, i) => pace.addSample(10_000 + (i + 1) * 500, percent));
   return pace;
 }
 
 vitest.describe("RunPace", () => {
   vitest.it("tells the recent pace from the one before", () => {
-    const pace = look(0, 5, 10, 15, 20, 25, 26, 27, 28);
+    const pace = createPace(0, 5, 10, 15, 20, 25, 26, 27, 28);
     vitest.expect(pace.earlierRate).toBeCloseTo(0.01, 3);
     vitest.expect(pace.recentRate).toBeCloseTo(0.002, 3);
     vitest.expect(pace.watchedMs).toBe(4000);
@@ -21,26 +21,29 @@
 
   vitest.it("does not know either of a run that has just begun", () => {
     const pace = new paces.RunPace(10_000, 0);
-    pace.note(10_300, 4);
+    pace.addSample(10_300, 4);
     vitest.expect(pace.recentRate).toBeNull();
     vitest.expect(pace.earlierRate).toBeNull();
   });
 
   vitest.it("does not count the wait of a member that is done", () => {
-    const pace = look(0, 50, 100, 100, 100, 100);
+    const pace = createPace(0, 50, 100, 100, 100, 100);
     vitest.expect(pace.watchedMs).toBe(1000);
     vitest.expect(pace.recentRate).toBeCloseTo(0.1, 3);
   });
 
   vitest.it("tells what is left at the recent pace", () => {
-    vitest.expect(look(0, 10, 20, 30, 40).leftMs).toBeCloseTo(3000, 0);
-    vitest.expect(look(0, 0).leftMs).toBeNull();
-    vitest.expect(look(0).leftMs).toBeNull();
+    vitest.expect(createPace(0, 10, 20, 30, 40).remainingMs).toBeCloseTo(
+      3000,
+      0,
+    );
+    vitest.expect(createPace(0, 0).remainingMs).toBeNull();
+    vitest.expect(createPace(0).remainingMs).toBeNull();
   });
 
   vitest.it("ignores a look that is older than the last", () => {
-    const pace = look(0, 5, 10);
-    pace.note(10_700, 7);
+    const pace = createPace(0, 5, 10);
+    pace.addSample(10_700, 7);
     vitest.expect(pace.percent).toBe(10);
   });
 });
--- a/packages/coordinator/src/sessions/run_starter.ts
+++ b/packages/coordinator/src/sessions/run_starter.ts
@@ -4,7 +4,7 @@
 import * as Effect from "effect/Effect";
 import type * as loads from "./box_load.ts";
 import type * as terms from "../election/term.ts";
-import type * as occupants from "./occupant.ts";
+import type * as assignments from "./occupant.ts";
 import type * as ports from "../ports.ts";
 
 /** What is known after the tries. */
@@ -12,13 +12,13 @@
   /** The worker holds the run. */
   Running = "running",
   /** It ran or was stopped there before: a look tells which. */
-  Earlier = "earlier",
+  AlreadyHandled = "earlier",
   /** The worker is well and did not take it. */
   Refused = "refused",
   /** The worker could not be reached, or is not well: it is not there. */
-  NotThere = "not-there",
+  NotDelivered = "not-there",
   /** It may be there, or arrive later. */
-  MayBeThere = "may-be-there",
+  MayBeDelivered = "may-be-there",
   /** Another life of the worker answered; a try before may have reached it. */
   Replaced = "replaced",
   /** Another life answered the first try: the run never was there. */
@@ -35,7 +35,7 @@
 
 /** Nothing was sent, so nothing can be there. */
 export const NEVER_SENT: StartReport = {
-  outcome: StartOutcome.NotThere,
+  outcome: StartOutcome.NotDelivered,
   clockMs: null,
 };
 
@@ -49,14 +49,14 @@
   /** End of a lease that begins now, on the worker's clock. */
   readonly leaseEnd: () => number;
   /** A try had no answer: it may be carried out later. */
-  readonly onLoose: (run: Ports.RunRef) => void;
+  readonly onUnanswered: (run: Ports.RunRef) => void;
   /** Whether the run is still wanted. */
-  readonly isWanted: (occupant: occupants.Occupant) => boolean;
+  readonly isWanted: (assignment: assignments.Occupant) => boolean;
 }
 
-const LIMIT_MS = 450;
-const TRIES = 2;
-const RETRY_MS = 150;
+const START_LIMIT_MS = 450;
+const MAX_ATTEMPTS = 2;
+const RETRY_DELAY_MS = 150;
 
 /** Starts runs on one worker. */
 export class RunStarter {
@@ -71,32 +71,34 @@
    * does nothing where it has arrived. A refusal proves nothing about an earlier
    * try that got no answer: that one may still arrive.
    */
-  send(occupant: occupants.Occupant): Effect.Effect<StartReport> {
+  send(assignment: assignments.Occupant): Effect.Effect<StartReport> {
     return Effect.gen({ self: this }, function* () {
-      let mayBeThere = false;
-      for (let attempt = 0; attempt < TRIES; attempt++) {
-        if (!this.#options.isWanted(occupant)) break;
-        const report = yield* this.#try(occupant);
+      let mayBeDelivered = false;
+      for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+        if (!this.#options.isWanted(assignment)) break;
+        const report = yield* this.#sendOnce(assignment);
         const { outcome } = report;
-        const isOpen = outcome === StartOutcome.NotThere ||
-          outcome === StartOutcome.MayBeThere ||
-          (outcome === StartOutcome.Refused && mayBeThere);
-        const isUncertain = mayBeThere &&
+        const isUnsettled = outcome === StartOutcome.NotDelivered ||
+          outcome === StartOutcome.MayBeDelivered ||
+          (outcome === StartOutcome.Refused && mayBeDelivered);
+        const mayHaveRun = mayBeDelivered &&
           outcome === StartOutcome.ReplacedBefore;
-        if (isUncertain) return reportOf(StartOutcome.Replaced);
-        if (!isOpen) return report;
-        mayBeThere ||= outcome === StartOutcome.MayBeThere;
-        yield* this.#options.ports.clock.sleep(RETRY_MS);
+        if (mayHaveRun) return reportOf(StartOutcome.Replaced);
+        if (!isUnsettled) return report;
+        mayBeDelivered ||= outcome === StartOutcome.MayBeDelivered;
+        yield* this.#options.ports.clock.sleep(RETRY_DELAY_MS);
       }
       return reportOf(
-        mayBeThere ? StartOutcome.MayBeThere : StartOutcome.NotThere,
+        mayBeDelivered
+          ? StartOutcome.MayBeDelivered
+          : StartOutcome.NotDelivered,
       );
     });
   }
 
-  #try(occupant: occupants.Occupant): Effect.Effect<StartReport> {
+  #sendOnce(assignment: assignments.Occupant): Effect.Effect<StartReport> {
     const { term, ref, load, ports: { workers, clock } } = this.#options;
-    const { task, run, ticket } = occupant;
+    const { task, run, ticket } = assignment;
     return Effect.gen({ self: this }, function* () {
       const order = workers.start(ref, {
         task: task.name,
@@ -108,39 +110,44 @@
         leaseUntilMs: this.#options.leaseEnd(),
       });
       const timed = yield* Effect.result(
-        clock.within(load.allow(LIMIT_MS), order),
+        clock.within(load.extendLimit(START_LIMIT_MS), order),
       );
       if (timed._tag === "Success" && timed.success !== null) {
         const clockMs = timed.success.value;
         return { outcome: StartOutcome.Running, clockMs };
       }
       const outcome = timed._tag === "Failure"
-        ? this.#judge(occupant, timed.failure)
-        : StartOutcome.MayBeThere;
-      if (outcome === StartOutcome.MayBeThere) {
-        this.#options.onLoose({ task: task.name, run });
+        ? this.#outcomeOf(assignment, timed.failure)
+        : StartOutcome.MayBeDelivered;
+      if (outcome === StartOutcome.MayBeDelivered) {
+        this.#options.onUnanswered({ task: task.name, run });
       }
       return reportOf(outcome);
     });
   }
 
-  #judge(occupant: occupants.Occupant, err: Ports.OrderError): StartOutcome {
+  #outcomeOf(
+    assignment: assignments.Occupant,
+    err: Ports.OrderError,
+  ): StartOutcome {
     if (err._tag === "WorkerLostError") {
-      return err.neverSent ? StartOutcome.NotThere : StartOutcome.MayBeThere;
+      return err.neverSent
+        ? StartOutcome.NotDelivered
+        : StartOutcome.MayBeDelivered;
     }
     const { log, metrics } = this.#options.ports;
     const reason = err._tag === "OrderRefusedError" ? err.reason : "replaced";
     metrics.count("cairngate_starts_refused_total", { reason });
-    const { task, run } = occupant;
+    const { task, run } = assignment;
     log.info(`Start of ${task.name} run ${run}: ${err.message}`);
     if (err._tag === "WorkerReplacedError") return StartOutcome.ReplacedBefore;
     switch (err.reason) {
       case Errors.OrderRefusal.Fenced:
         return StartOutcome.Fenced;
       case Errors.OrderRefusal.OldRun:
-        return StartOutcome.Earlier;
+        return StartOutcome.AlreadyHandled;
       case Errors.OrderRefusal.Unhealthy:
-        return StartOutcome.NotThere;
+        return StartOutcome.NotDelivered;
       default:
         return StartOutcome.Refused;
     }
--- a/packages/coordinator/src/sessions/session_listener.ts
+++ b/packages/coordinator/src/sessions/session_listener.ts
@@ -3,17 +3,17 @@
 import * as Workflow from "@cairngate/workflow";
 import type * as Effect from "effect/Effect";
 import type * as silences from "../endpoints/silence_log.ts";
-import type * as occupants from "./occupant.ts";
-import type * as unheards from "./unheard_runs.ts";
+import type * as assignments from "./occupant.ts";
+import type * as unreportedRuns from "./unheard_runs.ts";
 import type * as healths from "../endpoints/endpoint_health.ts";
 
 /** Why a run counts as lost. */
 export enum LostCause {
   /** Its endpoint has gone, and had told so or was still answering. */
   Left = "left",
-  LeaseOut = "lease-out",
+  LeaseExpired = "lease-out",
   /** The ends of all others of its gang show it, and its endpoint is not heard. */
-  EndedFirst = "ended-first",
+  EndedBeforeGang = "ended-first",
   /** The endpoint answers and holds no such run. */
   NotHeld = "not-held",
   Refused = "refused",
@@ -25,10 +25,10 @@
   Evacuated = "evacuated",
 }
 
-const SENTENCE_OF: Readonly<Record<LostCause, string>> = {
+const REASON_OF: Readonly<Record<LostCause, string>> = {
   [LostCause.Left]: "its endpoint has left as announced",
-  [LostCause.LeaseOut]: "its lease ran out unheard",
-  [LostCause.EndedFirst]:
+  [LostCause.LeaseExpired]: "its lease ran out unheard",
+  [LostCause.EndedBeforeGang]:
     "all others of its gang broke, so it ended first, and its endpoint is not heard",
   [LostCause.NotHeld]: "its endpoint does not hold it",
   [LostCause.Refused]: "its start was refused",
@@ -40,7 +40,7 @@
 
 /** A cause for the log. */
 export function describeCause(cause: LostCause): string {
-  return SENTENCE_OF[cause];
+  return REASON_OF[cause];
 }
 
 /** The end of a run, for the coordinator. */
@@ -66,7 +66,7 @@
   /** A run is over; the effect ends when that is recorded. */
   abstract runEnded(
     worker: SessionWorker,
-    occupant: occupants.Occupant,
+    assignment: assignments.Occupant,
     end: SessionEnd,
   ): Effect.Effect<void>;
   /**
@@ -75,7 +75,7 @@
    */
   abstract lateEnd(
     worker: SessionWorker,
-    run: unheards.UnheardRun,
+    run: unreportedRuns.UnheardRun,
     end: SessionEnd,
   ): Effect.Effect<void>;
   /**
@@ -90,7 +90,7 @@
    * The endpoint of a run that is over is not heard, and not listed or the task is in
    * doubt.
    */
-  abstract runGone(worker: SessionWorker, run: unheards.UnheardRun): void;
+  abstract runGone(worker: SessionWorker, run: unreportedRuns.UnheardRun): void;
   /** More endpoints crashed at once than was known when these crashes were counted. */
   abstract crashExcused(
     victims: readonly silences.Victim[],
@@ -99,7 +99,7 @@
   /** Another life has begun under the endpoint's id: what was known of it is over. */
   abstract lifeBegan(worker: SessionWorker): void;
   /** A run is confirmed to be there. */
-  abstract runConfirmed(occupant: occupants.Occupant): void;
+  abstract runConfirmed(assignment: assignments.Occupant): void;
   /** The room or the reach of the worker has changed. */
   abstract roomChanged(): void;
 }
@@ -121,7 +121,7 @@
 
 /** The end of a run that is nowhere any more. */
 export function lost(cause: LostCause): SessionEnd {
-  const isOpen = cause === LostCause.EndedFirst;
+  const isOpen = cause === LostCause.EndedBeforeGang;
   return { how: Workflow.RunEnd.Lost, checkpoint: "", cause, isOpen };
 }
 
--- a/packages/coordinator/src/sessions/session_options.ts
+++ b/packages/coordinator/src/sessions/session_options.ts
@@ -6,7 +6,7 @@
 import type * as ports from "../ports.ts";
 import type * as recoveries from "../work/recovery.ts";
 import type * as loads from "./box_load.ts";
-import type * as looses from "./loose_starts.ts";
+import type * as unansweredStarts from "./loose_starts.ts";
 import type * as listeners from "./session_listener.ts";
 
 /** What a session needs. */
@@ -19,7 +19,7 @@
   /** Birth that its entry tells; null: none. */
   readonly listedBornMs: number | null;
   /** Unanswered starts, including those of earlier sessions with this endpoint. */
-  readonly loose: looses.LooseStarts;
+  readonly loose: unansweredStarts.LooseStarts;
   /** Our time by which leases of earlier coordinators have run out. */
   readonly lapsesAtMs: number;
   /** Delay of this box; one for all sessions. */
--- a/packages/coordinator/src/sessions/start_looks.ts
+++ b/packages/coordinator/src/sessions/start_looks.ts
@@ -1,28 +1,28 @@
 /** Looks that are made at an endpoint before a run starts there. */
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
-import * as endpointLooks from "./endpoint_look.ts";
+import * as pollers from "./endpoint_look.ts";
 import type * as endpointStates from "./endpoint_state.ts";
 
 /** What they work with. */
-export interface StartLooksOptions {
+export interface PreStartPollsOptions {
   readonly state: endpointStates.EndpointState;
-  readonly look: endpointLooks.EndpointLook;
+  readonly poller: pollers.EndpointPoller;
 }
 
 /**
  * Looks that are made for the endpoint's clock before a start: the first one may
  * go over a connection that has turned silent, the second goes over a new one.
  */
-const CLOCK_LOOKS = 2;
+const MAX_CLOCK_POLLS = 2;
 
 /** Those of one endpoint. */
-export class StartLooks {
-  readonly #options: StartLooksOptions;
+export class PreStartPolls {
+  readonly #options: PreStartPollsOptions;
   /** Done when the look that starts wait for has ended; null while there is none. */
-  #common: Deferred.Deferred<void> | null = null;
+  #sharedPoll: Deferred.Deferred<void> | null = null;
 
-  constructor(options: StartLooksOptions) {
+  constructor(options: PreStartPollsOptions) {
     this.#options = options;
   }
 
@@ -31,14 +31,14 @@
    * life tells. So no life is given a start before it has answered this coordinator;
    * from then on it takes no order of an earlier one.
    */
-  learnClock(): Effect.Effect<boolean> {
+  readClock(): Effect.Effect<boolean> {
     const { state } = this.#options;
     return Effect.gen({ self: this }, function* () {
-      for (let tries = 0; tries < CLOCK_LOOKS; tries++) {
-        if (state.life.clock.isKnown || state.isOver) break;
-        yield* this.#lookTogether();
+      for (let tries = 0; tries < MAX_CLOCK_POLLS; tries++) {
+        if (state.incarnation.clock.isKnown || state.isOver) break;
+        yield* this.#pollShared();
       }
-      return state.life.clock.isKnown;
+      return state.incarnation.clock.isKnown;
     });
   }
 
@@ -47,24 +47,24 @@
    * an answer tells whether the endpoint ended under it or before.
    */
   isAlive(): Effect.Effect<boolean> {
-    const { state, look } = this.#options;
+    const { state, poller } = this.#options;
     return Effect.map(
-      look.look(endpointLooks.AT_ONCE),
+      poller.poll(pollers.NO_WAIT_MS),
       () => state.isReachable && !state.isOver,
     );
   }
 
   /** One look for all starts that wait for it: up to eight come at once. */
-  #lookTogether(): Effect.Effect<void> {
+  #pollShared(): Effect.Effect<void> {
     return Effect.suspend(() => {
-      if (this.#common !== null) return Deferred.await(this.#common);
+      if (this.#sharedPoll !== null) return Deferred.await(this.#sharedPoll);
       const done = Deferred.makeUnsafe<void>();
-      this.#common = done;
+      this.#sharedPoll = done;
       const finish = Effect.sync(() => {
-        this.#common = null;
+        this.#sharedPoll = null;
         Deferred.doneUnsafe(done, Effect.void);
       });
-      return Effect.ensuring(this.#options.look.look(), finish);
+      return Effect.ensuring(this.#options.poller.poll(), finish);
     });
   }
 }
--- a/packages/coordinator/src/sessions/unheard_runs.ts
+++ b/packages/coordinator/src/sessions/unheard_runs.ts
@@ -4,7 +4,7 @@
  */
 import type * as Ports from "@cairngate/ports";
 import type * as Workflow from "@cairngate/workflow";
-import * as strays from "./stray_runs.ts";
+import * as unexpectedRuns from "./stray_runs.ts";
 
 /** A run whose end is not known. */
 export interface UnheardRun {
@@ -17,7 +17,7 @@
 }
 
 /** Those of one session. */
-export class UnheardRuns {
+export class UnreportedRuns {
   readonly #runs = new Map<string, UnheardRun>();
 
   /** All of them. */
@@ -27,12 +27,12 @@
 
   /** A run is over, and how it ended is not known. */
   add(run: UnheardRun): void {
-    this.#runs.set(nameOf(run), run);
+    this.#runs.set(taskRunName(run), run);
   }
 
   /** Forgets a run that is told of; null where it is none of these. */
-  take(told: Ports.RunRef): UnheardRun | null {
-    const name = strays.nameOf(told);
+  take(reported: Ports.RunRef): UnheardRun | null {
+    const name = unexpectedRuns.runName(reported);
     const found = this.#runs.get(name) ?? null;
     this.#runs.delete(name);
     return found;
@@ -42,11 +42,11 @@
    * Forgets the runs that an answering endpoint neither holds nor lists as ended:
    * it has told all that it knows of them.
    */
-  takeUnknown(held: readonly Ports.RunRef[]): readonly UnheardRun[] {
+  takeAbsent(held: readonly Ports.RunRef[]): readonly UnheardRun[] {
     if (this.#runs.size === 0) return [];
-    const names = new Set(held.map(strays.nameOf));
-    const unknown = this.all.filter((run) => !names.has(nameOf(run)));
-    for (const run of unknown) this.#runs.delete(nameOf(run));
+    const names = new Set(held.map(unexpectedRuns.runName));
+    const unknown = this.all.filter((run) => !names.has(taskRunName(run)));
+    for (const run of unknown) this.#runs.delete(taskRunName(run));
     return unknown;
   }
 
@@ -58,6 +58,6 @@
   }
 }
 
-function nameOf({ task, run }: UnheardRun): string {
-  return strays.nameOf({ task: task.name, run });
+function taskRunName({ task, run }: UnheardRun): string {
+  return unexpectedRuns.runName({ task: task.name, run });
 }
