--- a/packages/coordinator/src/sessions/box_load.ts
+++ b/packages/coordinator/src/sessions/box_load.ts
@@ -1,51 +1,52 @@
 /**
- * How late this box is with its own work. Endpoints answer a look after the time
- * that they were asked to wait; what an answer takes beyond that is mostly spent
- * here, in the queue of a processor or a link that has too much to do. A box
- * that is late makes fewer calls, and blames no endpoint for its own delay.
+ * Measures how late this box is with its own work. An endpoint answers a poll after
+ * the wait that was requested; any further time is mostly spent on this box, queueing
+ * for a busy processor or link. A box that is late makes fewer calls and does not
+ * blame endpoints for its own delay.
  */
 import type * as Metrics from "@cairngate/metrics";
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
 import * as Semaphore from "effect/Semaphore";
 
-/** Answers of which the middle one counts: some endpoints are late themselves. */
+/** Number of latest answers whose median counts: some endpoints are late themselves. */
 const WINDOW_SIZE = 48;
-/** Answers after which the middle one is looked for anew. */
+/** Number of answers after which the median is computed again. */
 const ANSWERS_PER_UPDATE = 8;
-/** Assumed until answers have come, in ms: a new term begins with care. */
+/** Delay assumed before the first answers, in ms: a new term starts cautiously. */
 const INITIAL_DELAY_MS = 40;
 /**
- * Time between two looks for each ms of delay: at 100 ms late a look each 5 ms. A
- * third of a core was seen to make 170 looks in a second beside its other calls.
+ * Time between two polls per ms of delay. A delay of 100 ms gives one poll every 5
+ * ms: a third of a core handles about 170 polls per second beside its other calls.
  */
 const SPACING_PER_DELAY = 0.05;
-/** Longest time between two looks, in ms: 300 endpoints in half a lease of 6 s. */
+/** Maximum time between polls, in ms: 300 endpoints within half a lease of 6 s. */
 const MAX_SPACING_MS = 10;
 /**
- * Calls under way at a time: 24 that take 6 ms each of a third of a core keep
- * others waiting for 0.15 s, well within the 0.35 s between two renewals.
+ * Maximum number of calls in flight. On a third of a core a call takes 6 ms, so 24
+ * calls delay other work by 0.15 s, well within the 0.35 s between two renewals of
+ * the term.
  */
 const MAX_CONCURRENT_CALLS = 24;
-/** A call without an answer for this time, in ms, counts no more. */
+/** Time in ms after which an unanswered call releases its slot. */
 const SLOT_HOLD_MS = 200;
-/** Calls get this many times the delay beyond their usual limits. */
+/** Factor by which the delay of this box extends the limit of a call. */
 const DELAY_ALLOWANCE_FACTOR = 3;
-/** Most that is added to a limit, in ms: a silent endpoint has to be noticed. */
+/** Maximum extension of a limit, in ms, so that a silent endpoint is still detected. */
 const MAX_DELAY_ALLOWANCE_MS = 1500;
 
-/** What the load is measured with. */
+/** Dependencies of the delay measurement. */
 export interface BoxLoadOptions {
   readonly clock: Ports.Clock;
   readonly metrics: Metrics.Metrics;
 }
 
-/** Delay of one box, learned from the answers to its looks. */
+/** Delay of one box, measured from the answers to its polls. */
 export class BoxLoad {
   readonly #clock: Ports.Clock;
   readonly #metrics: Metrics.Metrics;
   readonly #slots = Semaphore.makeUnsafe(MAX_CONCURRENT_CALLS);
-  /** The newest answers' times beyond what was asked, as a ring. */
+  /** Delays of the latest answers beyond the requested wait, as a ring buffer. */
   readonly #delaysMs: number[] = [];
   #sampleCount = 0;
   #delayMs = INITIAL_DELAY_MS;
@@ -55,19 +56,19 @@
     this.#metrics = metrics;
   }
 
-  /** How late this box is, in ms. */
+  /** Current delay of this box, in ms. */
   get lateMs(): number {
     return this.#delayMs;
   }
 
-  /** Time between two looks that this box bears, in ms. */
+  /** Time between two polls that this box can sustain, in ms. */
   get spacingMs(): number {
     return Math.min(MAX_SPACING_MS, this.#delayMs * SPACING_PER_DELAY);
   }
 
-  /** An answer came this much later than asked, in ms. */
-  addSample(lateMs: number): void {
-    this.#delaysMs[this.#sampleCount % WINDOW_SIZE] = Math.max(0, lateMs);
+  /** Records by how much an answer exceeded the requested wait, in ms. */
+  addSample(delayMs: number): void {
+    this.#delaysMs[this.#sampleCount % WINDOW_SIZE] = Math.max(0, delayMs);
     this.#sampleCount++;
     if (this.#sampleCount % ANSWERS_PER_UPDATE !== 0) return;
     const sorted = [...this.#delaysMs].sort((a, b) => a - b);
@@ -76,9 +77,9 @@
   }
 
   /**
-   * Makes a call that is answered at once. A few such calls are under way at a
-   * time, so that their pace is what the box bears, and whatever else it has to
-   * do, like the renewal of its term, waits for a few calls at most.
+   * Makes a call that is answered at once, as soon as a slot is free. The number of
+   * slots limits the rate to what the box sustains, and other work, such as the
+   * renewal of its term, waits for a few calls at most.
    */
   withSlot<A, E>(call: Effect.Effect<A, E>): Effect.Effect<A, E> {
     return Effect.gen({ self: this }, function* () {
@@ -89,7 +90,7 @@
         holdsSlot = false;
         return heldSlot ? this.#slots.release(1) : Effect.void;
       });
-      // An endpoint that is silent must not hold up the others.
+      // A silent endpoint must not block the calls to others.
       const releaseLate = Effect.andThen(
         this.#clock.sleep(SLOT_HOLD_MS),
         release,
@@ -101,7 +102,7 @@
     });
   }
 
-  /** A limit for calls, in ms, with what this box itself may take of it. */
+  /** Extends the limit of a call, in ms, by the delay that this box may add. */
   extendLimit(limitMs: number): number {
     return limitMs +
       Math.min(MAX_DELAY_ALLOWANCE_MS, this.#delayMs * DELAY_ALLOWANCE_FACTOR);
--- a/packages/coordinator/src/sessions/box_load_test.ts
+++ b/packages/coordinator/src/sessions/box_load_test.ts
@@ -1,4 +1,4 @@
-/** A box learns how late it is, and makes as many calls as it bears. */
+/** A box measures its own delay and limits its calls accordingly. */
 import * as Metrics from "@cairngate/metrics";
 import * as TestUtils from "@cairngate/test-utils";
 import * as Effect from "effect/Effect";
@@ -14,7 +14,7 @@
 }
 
 vitest.describe("BoxLoad", () => {
-  vitest.it("is as late as the middle one of the answers", () => {
+  vitest.it("uses the median delay of the answers", () => {
     const load = createLoad();
     noteAll(load, 4, 40);
     vitest.expect(load.lateMs).toBe(4);
@@ -24,7 +24,7 @@
     vitest.expect(load.lateMs).toBe(900);
   });
 
-  vitest.it("leaves longer times between looks while it is late", () => {
+  vitest.it("spaces polls further apart while it is late", () => {
     const load = createLoad();
     noteAll(load, 4, 48);
     const wellMs = load.spacingMs;
@@ -34,7 +34,7 @@
     vitest.expect(load.spacingMs).toBe(10);
   });
 
-  vitest.it("adds its own delay to limits, up to a bound", () => {
+  vitest.it("extends limits by its own delay, up to a maximum", () => {
     const load = createLoad();
     noteAll(load, 100, 48);
     vitest.expect(load.extendLimit(450)).toBe(750);
@@ -43,7 +43,7 @@
   });
 
   vitest.it(
-    "has few calls under way, and none waits for a silent one",
+    "limits calls in flight and does not wait for a silent one",
     async () => {
       const clock = new TestUtils.FakeClock();
       const load = createLoad(clock);
@@ -63,7 +63,7 @@
     },
   );
 
-  vitest.it("begins a call as soon as another is answered", async () => {
+  vitest.it("starts a call as soon as another is answered", async () => {
     const clock = new TestUtils.FakeClock();
     const load = createLoad(clock);
     const calls = Array.from(
--- a/packages/coordinator/src/sessions/end_ledger.ts
+++ b/packages/coordinator/src/sessions/end_ledger.ts
@@ -1,44 +1,45 @@
 /**
- * Ends that one worker has listed: which are new, which are recorded, and up to
- * which number the worker was told. A number stands for all below it.
+ * Ends of runs that one endpoint has reported: which are new, which are recorded, and
+ * up to which number they are acknowledged to the endpoint. A number includes all
+ * lower ones.
  */
 import type * as Ports from "@cairngate/ports";
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
 
-/** Ends of one worker life. */
+/** Reported ends of one incarnation of an endpoint. */
 export class ReportedEnds {
   #seen = 0;
   #recorded = 0;
   #acknowledged = 0;
-  /** Done once the ends of all looks so far are recorded. */
+  /** Completes when the ends of all polls so far are recorded. */
   #allRecorded = Deferred.makeUnsafe<void>();
 
   constructor() {
     Deferred.doneUnsafe(this.#allRecorded, Effect.void);
   }
 
-  /** Number up to which ends may be forgotten. */
+  /** Number up to which the endpoint may drop its ends. */
   get recorded(): number {
     return this.#recorded;
   }
 
-  /** Whether the worker has still to be told of recorded ends. */
+  /** Whether recorded ends are not yet acknowledged to the endpoint. */
   get hasUnacknowledged(): boolean {
     return this.#recorded > this.#acknowledged;
   }
 
-  /** Whether some ends are seen and not recorded. */
+  /** Whether some reported ends are not yet recorded. */
   get hasUnrecorded(): boolean {
     return this.#recorded < this.#seen;
   }
 
-  /** The worker has been told that ends up to a number are recorded. */
+  /** Notes that ends up to a number were acknowledged to the endpoint. */
   noteAcknowledged(upTo: number): void {
     this.#acknowledged = Math.max(this.#acknowledged, upTo);
   }
 
-  /** Those of the listed ends that were not seen before. */
+  /** Returns those of the reported ends that were not reported before. */
   takeNew(ended: readonly Ports.EndedRun[]): readonly Ports.EndedRun[] {
     const added = ended.filter(({ number }) => number > this.#seen);
     for (const { number } of added) this.#seen = Math.max(this.#seen, number);
@@ -46,8 +47,8 @@
   }
 
   /**
-   * Notes that the ends seen so far are recorded once these records, and those
-   * of all earlier looks, are written; then calls back.
+   * Marks the ends reported so far as recorded once these records, and those of all
+   * earlier polls, are written; then calls back.
    */
   recordAfter(
     records: readonly Effect.Effect<void>[],
@@ -69,7 +70,7 @@
     Effect.runFork(Effect.andThen(all, note));
   }
 
-  /** Ends when all ends seen so far are recorded. */
+  /** Completes when all ends reported so far are recorded. */
   awaitRecords(): Effect.Effect<void> {
     return Effect.suspend(() => Deferred.await(this.#allRecorded));
   }
--- a/packages/coordinator/src/sessions/endpoint_ends.ts
+++ b/packages/coordinator/src/sessions/endpoint_ends.ts
@@ -1,4 +1,4 @@
-/** What ends with a life of one endpoint: the runs that it had, and its session. */
+/** Ends the runs and the session of one endpoint when its incarnation has ended. */
 import type * as Workflow from "@cairngate/workflow";
 import * as Effect from "effect/Effect";
 import type * as endpointRuns from "./endpoint_runs.ts";
@@ -11,29 +11,30 @@
 
 const { LostCause, lost } = listeners;
 
-/** What the ends work with. */
+/** Dependencies of the handling of ends. */
 export interface EndpointEndsOptions {
   readonly options: sessionOptions.SessionOptions;
   readonly state: endpointStates.EndpointState;
   readonly runs: endpointRuns.EndpointRuns;
 }
 
-/** How runs ended of which it is so sure that they were there. */
+/** Returns the end of a run for how certain it is that the endpoint had the run. */
 type EndByPresence = (presence: Workflow.Presence) => listeners.SessionEnd;
 
 /**
- * No endpoint ends and is back as another life within this time, in ms: those of the
- * users take about 3 s, the quickest that flap 1 s.
+ * Shortest time in ms in which an endpoint ends and answers again as another
+ * incarnation: a restart takes about 3 s, and 1 s where an endpoint restarts
+ * repeatedly.
  */
 const MIN_RESTART_MS = 300;
 
 /**
- * An endpoint that lives has written its own entry again within this time, in ms:
- * two heartbeats of 1.5 s and what a listing takes to be told.
+ * Time in ms within which a live endpoint rewrites its entry: two heartbeats of 1.5 s
+ * and the propagation of the listing.
  */
 const ENTRY_REFRESH_MS = 3500;
 
-/** Ends of one endpoint's lives. */
+/** Handles the ends of one endpoint's incarnations. */
 export class EndpointEnds {
   readonly #options: EndpointEndsOptions;
 
@@ -41,25 +42,24 @@
     this.#options = options;
   }
 
-  /** It is shown to have ended: nothing of this life runs any more. */
+  /** Ends the session and its runs: the incarnation is proven to have ended. */
   endAll(proof = evidences.EndProof.OtherEndpointAnswers): Effect.Effect<void> {
-    const { state, runs: { tracked, unreported: unreported }, options } =
-      this.#options;
+    const { state, runs: { tracked, unreported }, options } = this.#options;
     return Effect.gen({ self: this }, function* () {
       if (state.isOver) return;
       state.end();
       const nowMs = options.ports.clock.monotonicMs();
       const unreportedList = unreported.takeAll();
-      const mayHaveStarted = tracked.all.filter((one) =>
+      const possiblyStarted = tracked.all.filter((one) =>
         this.#mayHaveStarted(one)
       );
       const endOf = state.incarnation.endEvidence.end(
         proof,
-        mayHaveStarted,
+        possiblyStarted,
         unreportedList,
       );
       const records = tracked.all.map((one) =>
-        mayHaveStarted.includes(one)
+        possiblyStarted.includes(one)
           ? this.#endTracked(one, endOf, nowMs)
           : this.#endRun(one, lost(LostCause.NeverSent))
       );
@@ -69,8 +69,9 @@
   }
 
   /**
-   * Nobody listens any more where this life has answered, and its lease is out: it has
-   * ended, whatever its entry says. The session stays, as another life may begin.
+   * Ends the runs of an incarnation whose address refuses connections and whose lease
+   * has expired, whatever its entry says. The session stays open, since another
+   * incarnation may start.
    */
   endIncarnation(): Effect.Effect<void> {
     const { state: { incarnation }, runs, options } = this.#options;
@@ -91,10 +92,10 @@
   }
 
   /**
-   * Another endpoint answers at the address. An endpoint that never answered there
-   * may stand elsewhere, where its entry was written by somebody else: what an
-   * earlier coordinator started on it is not given up before it had the time to
-   * write its own entry again, nor while it may be leased.
+   * Handles an answer of another endpoint at this address. An endpoint that never
+   * answered here may be at another address if its entry was written by somebody
+   * else: runs that an earlier coordinator started on it are kept until it had time
+   * to rewrite its entry and its lease has expired.
    */
   noteReplaced(): Effect.Effect<void> {
     const { state, runs, options } = this.#options;
@@ -107,10 +108,11 @@
   }
 
   /**
-   * It is neither heard nor listed for so long that it may have ended; its entry
-   * lapses as well where it is cut off. What ran there is told of as gone, and the
-   * session is kept: whoever answers there later shows what became of it. Where
-   * connections were refused, nobody listens: that is an end, and no cut.
+   * Handles an endpoint that has neither answered nor been listed for so long that it
+   * may have ended; the entry of an endpoint that is cut off expires as well. Its
+   * runs are reported as gone, and the session is kept: a later answer from the
+   * address shows how they ended. Where connections were refused, no process listens,
+   * which proves the end.
    */
   suspectGone(): void {
     const { state, runs: { unreported }, options } = this.#options;
@@ -120,14 +122,14 @@
       return;
     }
     state.suspectGone();
-    // One that was going to leave has left; nobody waits for news of it.
+    // An endpoint that was leaving has left, so its outstanding ends are not needed.
     if (state.incarnation.endEvidence.isLeaving) unreported.takeAll();
     for (const run of unreported.all) options.listener.runGone(state, run);
   }
 
   /**
-   * Whether a run may have been there when this life ended. Another life answers by
-   * then, so a start sent a moment ago came too late for this one.
+   * Whether the ended incarnation may have had a run. Another incarnation answers
+   * already, so a start sent just before came too late for the ended one.
    */
   #mayHaveStarted(assignment: assignments.Occupant): boolean {
     const { isSent, sentAtMs } = assignment;
@@ -150,12 +152,12 @@
     );
   }
 
-  /** What a former life had, ended with that one. */
+  /** Ends a run; one of a previous incarnation gets the end noted with that one. */
   #endRun(
     assignment: assignments.Occupant,
     end: listeners.SessionEnd,
   ): Effect.Effect<void> {
-    const { tracked, previous: previous } = this.#options.runs;
+    const { tracked, previous } = this.#options.runs;
     return tracked.end(assignment, previous.take(assignment) ?? end);
   }
 
--- a/packages/coordinator/src/sessions/endpoint_look.ts
+++ b/packages/coordinator/src/sessions/endpoint_look.ts
@@ -1,6 +1,6 @@
 /**
- * Looks at one endpoint: each of them renews the lease and reads what runs and what
- * has ended, after it has told whose life answers.
+ * Polls one endpoint. Each poll renews the lease, determines which incarnation
+ * answers, and reads which runs it holds and which have ended.
  */
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
@@ -14,7 +14,7 @@
 import type * as sessionOptions from "./session_options.ts";
 import type * as views from "./view_reader.ts";
 
-/** What the looks work with. */
+/** Dependencies of the poller. */
 export interface EndpointPollerOptions {
   readonly options: sessionOptions.SessionOptions;
   readonly state: endpointStates.EndpointState;
@@ -24,56 +24,57 @@
   readonly viewReader: views.ViewReader;
 }
 
-/** What one look asks. */
+/** Parameters of one poll. */
 interface PollRequest {
   readonly ends: reportedEnds.ReportedEnds;
-  /** Number up to which ends are told to be recorded. */
+  /** Number up to which the poll acknowledges ends as recorded. */
   readonly recordedEnds: number;
   readonly waitMs: number;
 }
 
-/** What it was answered. */
+/** Answer to one poll. */
 interface PollAnswer {
   readonly view: Ports.EndpointView;
-  /** When the order left. */
+  /** Time at which the poll was sent, in ms of the monotonic clock of this box. */
   readonly sentAtMs: number;
   readonly sentEvent: currentIncarnations.EventNumber;
 }
 
-/** A look that waits for no end, in ms: somebody waits for what it tells. */
+/** Wait of a poll that is answered at once, in ms, for callers that need its answer. */
 export const NO_WAIT_MS = 0;
-/** A look may take this much longer than it was asked to wait, in ms. */
+/** Time in ms that a poll may take beyond the requested wait. */
 const POLL_SLACK_MS = 800;
-/** Longest wait of a look at a worker with lasting tasks only, in ms. */
+/** Maximum wait of a poll at an endpoint that has lasting tasks only, in ms. */
 const MAX_LASTING_WAIT_MS = 1000;
-/** Endpoints wait no longer than this for an end, in ms, by their protocol. */
+/** Maximum time that endpoints wait for an end, in ms, defined by their protocol. */
 const MAX_WAIT_MS = 2000;
 /**
- * A store that answers nothing for this long, in ms, is not heard: together with the
- * time in which a call fails less than what others wait before they take a term over.
+ * Silence of the store, in ms, after which it counts as unreachable. Together with
+ * the time in which a call fails, it is shorter than the wait of other boxes before a
+ * takeover.
  */
 const STORE_UNREACHABLE_MS = 300;
-/** Delay before each hedged look while the first one is unanswered, in ms. */
+/** Delay before each hedged poll while the first one is unanswered, in ms. */
 const HEDGE_DELAY_MS = 150;
-/** Maximum number of hedged looks sent while one look is unanswered. */
+/** Maximum number of hedged polls sent while one poll is unanswered. */
 const MAX_HEDGES = 4;
-/** Looks in the time of one lease, so that two may be lost. */
+/** Number of polls within one lease, so that two may be lost. */
 const POLLS_PER_LEASE = 3;
 
-/** Looks at one endpoint. */
+/** Polls one endpoint. */
 export class EndpointPoller {
   readonly #options: EndpointPollerOptions;
   #isPollingNow = false;
-  /** Number of looks answered so far. */
+  /** Number of polls answered so far. */
   #answerCount = 0;
-  /** When the newest look left whose answer was read. */
+  /** Time at which the newest processed poll was sent. */
   #lastReadSentAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(options: EndpointPollerOptions) {
     this.#options = options;
   }
 
-  /** One more look beside the one that may be open; one at a time. */
+  /** Sends one more poll beside the one that may be open; one at a time. */
   pollNow(): Effect.Effect<void> {
     return Effect.suspend(() => {
       if (this.#options.state.isOver || this.#isPollingNow) return Effect.void;
@@ -88,9 +89,9 @@
   }
 
   /**
-   * Sends one look. While it is unanswered and the endpoint may still accept starts from
-   * an earlier coordinator, sends further looks in parallel: any of them can deliver the
-   * fencing token with which the endpoint refuses such starts.
+   * Sends one poll. While it is unanswered and the endpoint may still accept starts
+   * from an earlier coordinator, sends further polls in parallel: any of them can
+   * deliver the fencing token with which the endpoint refuses such starts.
    */
   pollHedged(): Effect.Effect<void> {
     const { state, options: { load, ports: { clock } } } = this.#options;
@@ -109,7 +110,7 @@
     );
   }
 
-  /** One look at the endpoint, which also renews its lease. */
+  /** Sends one poll, which also renews the lease of the endpoint. */
   poll(mostWaitMs = MAX_WAIT_MS): Effect.Effect<void> {
     const { state, unansweredPolls, options: { load } } = this.#options;
     return Effect.gen({ self: this }, function* () {
@@ -121,7 +122,7 @@
       const countBefore = this.#answerCount;
       const answer = yield* isAnsweredAtOnce ? load.withSlot(renew) : renew;
       if (answer === null) {
-        // Another look was answered meanwhile: only this connection is silent.
+        // Where another poll was answered meanwhile, only this connection is silent.
         if (this.#answerCount === countBefore) yield* unansweredPolls.handle();
         return;
       }
@@ -139,7 +140,7 @@
     const sentEvent = incarnation.current.noteSent();
     const order = ports.workers.renew(state.ref, {
       fencingToken: term.token,
-      // A worker that is not heard gets no longer lease: it has to lapse.
+      // Not extended while the endpoint does not answer, so that the lease expires.
       leaseUntilMs:
         incarnation.clock.isKnown && state.isReachable && this.#mayLease
           ? incarnation.leaseEnd(sentAtMs)
@@ -155,15 +156,16 @@
   }
 
   /**
-   * A box that does not hear the store may have been followed by another one: it gives
-   * leases only where others say that they don't hear it either.
+   * Whether this box may grant leases. Without contact to the store another box may
+   * have taken over, so leases are granted only while other boxes lack that contact,
+   * too.
    */
   get #mayLease(): boolean {
     const { store, outage } = this.#options.options.ports;
     return store.silentForMs() < STORE_UNREACHABLE_MS || outage.isShared();
   }
 
-  /** Takes in the answer of the life that is present. */
+  /** Processes the answer of the current incarnation. */
   #process(
     { view, sentAtMs }: PollAnswer,
     { ends, recordedEnds, waitMs }: PollRequest,
@@ -173,14 +175,15 @@
       state.incarnation.endEvidence.noteAnswered();
       this.#noteDelay(clock.monotonicMs() - sentAtMs, waitMs);
       this.#noteAnswered();
-      // What a later look was answered is newer; ends that it did not tell come again.
+      // The answer to a later poll is newer; ends missing from it are reported again.
       if (sentAtMs < this.#lastReadSentAtMs) return;
       this.#lastReadSentAtMs = sentAtMs;
       runs.prematureEnds.checkView(view);
       ends.noteAcknowledged(view.toldEnds);
       state.incarnation.clock.read(view.clockMs, clock.monotonicMs());
       yield* this.#options.viewReader.process(view, sentAtMs);
-      // It was not sure who would answer; the next look goes where this one did.
+      // The acknowledgement was withheld, as it was not certain which incarnation
+      // would answer. The next poll goes where this one went.
       if (ends.hasUnacknowledged && recordedEnds > view.toldEnds) {
         yield* clock.sleep(endpointOrders.RETRY_DELAY_MS);
       }
@@ -196,7 +199,7 @@
     options.listener.roomChanged();
   }
 
-  /** Notes which life answers; false where that is not clear. */
+  /** Determines which incarnation answers; false where that is unclear. */
   #identify({ view, sentEvent }: PollAnswer): boolean {
     const { state: { incarnation }, runs } = this.#options;
     const previousBornMs = incarnation.bornMs;
@@ -221,8 +224,8 @@
     const { id, address } = state.ref;
     metrics.count("cairngate_endpoint_rebirths_total");
     log.info(
-      `Endpoint ${id} at ${address} has begun again: it was born at ` +
-        `${state.incarnation.bornMs}, the life before at ${previousBornMs}.`,
+      `Endpoint ${id} at ${address} has begun again: its process started at ` +
+        `${state.incarnation.bornMs}, the previous one at ${previousBornMs}.`,
     );
   }
 
@@ -233,13 +236,13 @@
     listener.lifeBegan(state);
   }
 
-  /** An answer that came before the time brings an end: it tells no delay. */
+  /** Ignores answers before the requested wait is over: ends cause those. */
   #noteDelay(tookMs: number, waitMs: number): void {
     const { load } = this.#options.options;
     if (tookMs >= waitMs) load.addSample(tookMs - waitMs);
   }
 
-  /** How long the endpoint may wait for an end: not where there is something to do. */
+  /** Time to wait for an end, in ms; 0 while something has to be sent or read. */
   #waitMs(): number {
     if (!this.#isSettled) return 0;
     const { runs: { tracked }, options } = this.#options;
--- a/packages/coordinator/src/sessions/endpoint_orders.ts
+++ b/packages/coordinator/src/sessions/endpoint_orders.ts
@@ -1,4 +1,4 @@
-/** Makes the orders of one session; a failure tells something of the endpoint. */
+/** Makes the calls of one session that carry orders, and evaluates their failures. */
 import * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
@@ -6,7 +6,7 @@
 import type * as endpointStates from "./endpoint_state.ts";
 import type * as sessionOptions from "./session_options.ts";
 
-/** What the orders work with. */
+/** Dependencies of the orders. */
 export interface EndpointOrdersOptions {
   readonly options: sessionOptions.SessionOptions;
   readonly state: endpointStates.EndpointState;
@@ -24,7 +24,7 @@
     this.#options = options;
   }
 
-  /** Makes an order; null where no answer came or it was refused. */
+  /** Makes a call; null where it was refused or had no answer within the limit. */
   call<A>(
     order: Effect.Effect<A, Ports.OrderError>,
     limitMs: number,
@@ -57,14 +57,14 @@
     const { state: { incarnation }, options: { term } } = this.#options;
     const isRefused = err._tag === "WorkerLostError" && err.neverSent;
     if (isRefused) incarnation.endEvidence.noteRefused();
-    this.#logFirstFailure(err);
+    this.#logFailure(err);
     const isFenced = err._tag === "OrderRefusedError" &&
       err.reason === Errors.OrderRefusal.Fenced;
     if (isFenced) term.lose(err.message);
   }
 
-  /** The first order without an answer tells most of what became of it. */
-  #logFirstFailure(err: Ports.OrderError): void {
+  /** Logs failures while the endpoint counts as reachable: later ones add nothing. */
+  #logFailure(err: Ports.OrderError): void {
     const { state, options } = this.#options;
     if (!state.isReachable) return;
     const { id, address } = state.ref;
--- a/packages/coordinator/src/sessions/endpoint_runs.ts
+++ b/packages/coordinator/src/sessions/endpoint_runs.ts
@@ -1,7 +1,7 @@
 /**
- * Runs that have to do with one endpoint, each kind in its own book: held there, over
- * without a word of their end, sent without an answer, of former lives, and shown
- * although they had counted as over.
+ * Runs of one endpoint by their status: tracked, over without a reported end, started
+ * without an answer, of previous incarnations, and reported although they were
+ * presumed ended.
  */
 import type * as Ports from "@cairngate/ports";
 import type * as endpointStates from "./endpoint_state.ts";
@@ -13,31 +13,31 @@
 import type * as sessionOptions from "./session_options.ts";
 import * as unreportedRuns from "./unheard_runs.ts";
 
-/** What the books work with. */
+/** Dependencies of the runs. */
 export interface EndpointRunsOptions {
   readonly options: sessionOptions.SessionOptions;
   readonly state: endpointStates.EndpointState;
-  /** Tells the present life to stop a run that is still waited for. */
+  /** Orders the current incarnation to stop a run that is still tracked. */
   readonly blockStart: (assignment: assignments.Occupant) => void;
-  /** The same for a run that nobody waits for. */
+  /** Orders the current incarnation to stop a run that is not tracked any more. */
   readonly blockRun: (run: Ports.RunRef) => void;
 }
 
-/** Those of one endpoint. */
+/** Runs of one endpoint. */
 export class EndpointRuns {
-  /** Runs that it holds or may hold. */
+  /** Runs that the endpoint holds or may hold. */
   readonly tracked: trackedRuns.TrackedRuns;
-  /** Runs that are over, and whose ends it has not told. */
+  /** Runs that are over and whose ends the endpoint has not reported. */
   readonly unreported = new unreportedRuns.UnreportedRuns();
-  /** Starts that had no answer. */
+  /** Starts without an answer. */
   readonly unansweredStarts: unansweredStarts.LooseStarts;
-  /** Runs that former lives had. */
+  /** Runs of previous incarnations. */
   readonly previous: previousRuns.PreviousRuns;
-  /** Runs that it may show although they count as over. */
+  /** Runs that the endpoint may still report although they are presumed ended. */
   readonly prematureEnds: prematureEnds.PrematureEnds;
 
   constructor(
-    { options, state, blockStart, blockRun: blockRun }: EndpointRunsOptions,
+    { options, state, blockStart, blockRun }: EndpointRunsOptions,
   ) {
     const { listener, ports: { clock, log, metrics } } = options;
     const endpoint = options.ref.id;
--- a/packages/coordinator/src/sessions/endpoint_session.ts
+++ b/packages/coordinator/src/sessions/endpoint_session.ts
@@ -1,10 +1,10 @@
 /**
- * What the coordinator has to do with one endpoint: it keeps the lease, carries out
- * starts and stops, and learns what runs and what has ended. Lives may follow one
- * another under the endpoint's id (present_life.ts); numbers, clock, health and
- * strays are those of the present one, and runs know to which one they were sent.
- * Each of its jobs is a part of its own (session_parts.ts); this is what the rest of
- * the coordinator sees of them.
+ * Session of the coordinator with one endpoint: keeps its lease, starts and stops
+ * runs, and reads which runs it holds and which have ended. Several incarnations may
+ * follow one another under the endpoint's id (present_life.ts). Numbers, clock,
+ * health and unexpected runs belong to the current incarnation, and each run records
+ * the incarnation that it was sent to. The parts of a session are in
+ * session_parts.ts; this class is its interface to the rest of the coordinator.
  */
 import type * as Ports from "@cairngate/ports";
 import * as Workflow from "@cairngate/workflow";
@@ -18,13 +18,13 @@
 import type * as healths from "../endpoints/endpoint_health.ts";
 
 /**
- * A task under which an endpoint has crashed has its endpoint for itself for this
- * time, in ms. The crashes of the users' record came 10 ms after the start; longer
- * would keep room idle for the many that only stood beside such a task.
+ * Time in ms for which a task that may have crashed an endpoint runs alone on its
+ * endpoint. Such crashes come about 10 ms after the start; a longer time would leave
+ * capacity idle for the many tasks that only ran beside a crashing one.
  */
 const PROBATION_MS = 1000;
 
-/** One endpoint, under one id at one address. */
+/** Session with one endpoint, identified by its id and address. */
 export class EndpointSession {
   readonly ref: Ports.EndpointRef;
   readonly #parts: sessionParts.SessionParts;
@@ -38,37 +38,40 @@
     this.#runs = this.#parts.runs;
   }
 
-  /** As its newest entry tells; empty: it was not listed since the record named it. */
+  /**
+   * Data centre named by the latest entry; empty if it was not listed since the
+   * record named it.
+   */
   get dataCentre(): string {
     return this.#state.dataCentre;
   }
 
-  /** What is known of how it treats what it is given. */
+  /** How reliably it executes its runs. */
   get health(): healths.EndpointHealth {
     return this.#state.incarnation.health;
   }
 
-  /** Birth of the life that answered last; null: none did, or it tells none. */
+  /** Birth time of the last incarnation that answered; null if none is known. */
   get bornMs(): number | null {
     return this.#state.incarnation.bornMs;
   }
 
-  /** Birth of the life that a start is likely to reach; null: nothing tells it. */
+  /** Birth time of the incarnation that a start probably reaches; null if unknown. */
   get likelyBornMs(): number | null {
     return this.#state.incarnation.likelyBornMs;
   }
 
-  /** Whether an entry with this birth is of another life than is known here. */
+  /** Whether an entry with this birth time is of another incarnation. */
   isOfOtherLife(listedBornMs: number | null): boolean {
     return this.#state.incarnation.differsFrom(listedBornMs);
   }
 
-  /** Runs that the worker holds or may hold. */
+  /** Runs that the endpoint holds or may hold. */
   get occupants(): readonly assignments.Occupant[] {
     return this.#runs.tracked.all;
   }
 
-  /** Whether new work may be sent here. */
+  /** Whether new work may be sent to the endpoint. */
   get isUsable(): boolean {
     const { state, viewReader, options: { ports: { clock } } } = this.#parts;
     return !state.isOver && state.isReachable && !state.mustAnswerFirst &&
@@ -76,31 +79,31 @@
       !this.health.isAside(clock.monotonicMs());
   }
 
-  /** Whether nothing is left to learn or to tell. */
+  /** Whether no run is tracked and nothing is left to acknowledge. */
   get isIdle(): boolean {
     const { isOver, isReachable, incarnation } = this.#state;
     return this.#runs.tracked.isEmpty &&
       (isOver || !isReachable || !incarnation.ends.hasUnacknowledged);
   }
 
-  /** Whether runs that were here may still turn out to have ended otherwise. */
+  /** Whether some runs that are over may still turn out to have ended otherwise. */
   get hasUnheard(): boolean {
     return this.#runs.unreported.all.length > 0;
   }
 
-  /** Whether an unanswered start may still be delivered there after a restart. */
+  /** Whether an unanswered start may be delivered after the endpoint restarts. */
   get hasLooseStarts(): boolean {
     return this.#parts.lateStarts.hasUnansweredStarts;
   }
 
-  /** Whether it holds a task that may crash it and has only just begun. */
+  /** Whether it holds a task that may crash it and that started only a moment ago. */
   isOnProbation(nowMs: number): boolean {
     return this.occupants.some(({ task }) =>
       task.isSuspect && nowMs - task.startedAtMs < PROBATION_MS
     );
   }
 
-  /** It is listed, and tells where it stands and whether it is going to leave. */
+  /** Notes that it is listed, with its data centre and whether it is draining. */
   noteListed(
     { dataCentre, draining }: Pick<
       Ports.EndpointListing,
@@ -113,68 +116,68 @@
   }
 
   /**
-   * An entry names its address for another endpoint. That proves nothing: entries
-   * outlast their endpoints, and others write them. The address itself is asked.
+   * Polls the endpoint because the entry of another one names its address. The entry
+   * proves nothing: entries outlast their endpoints and may be written by others.
    */
   ask(): Effect.Effect<void> {
     return this.#parts.poller.pollNow();
   }
 
-  /** It is neither heard nor listed for so long that it may have ended. */
+  /** Handles an endpoint that was silent and unlisted for long and may be gone. */
   suspectGone(): void {
     this.#parts.ends.suspectGone();
   }
 
-  /** Whether anybody may still want to know what became of its runs. */
+  /** Whether a workflow still needs to know how one of its runs ended here. */
   get isAwaited(): boolean {
     return this.#runs.unreported.all.some(({ task }) =>
       !task.workflow.isOver && task.state !== Workflow.TaskState.Done
     );
   }
 
-  /** Leases that earlier coordinators gave have run out by this time of ours. */
+  /** Notes when leases of earlier coordinators expire, by this box's clock. */
   coverLeases(lapsesAtMs: number): void {
     this.#state.incarnation.clock.coverUntil(lapsesAtMs);
     this.#state.noteTermStarted();
   }
 
-  /** It is listed no more. */
+  /** Notes that it is not listed any more. */
   noteUnlisted(): void {
     this.#state.incarnation.endEvidence.noteUnlisted(this.#state.isReachable);
   }
 
-  /** Takes in a run that an earlier coordinator gave up before its end. */
+  /** Adds a run that an earlier coordinator gave up before its end was reported. */
   adoptUnheard(run: unreportedRuns.UnheardRun): void {
     this.#runs.unreported.add(run);
     this.#state.resumePolling();
   }
 
-  /** Whether this life has answered this coordinator at its address. */
+  /** Whether the current incarnation has answered this coordinator at this address. */
   get wasHeard(): boolean {
     return this.#state.hasAnswered;
   }
 
-  /** Runs whose ends are not known and that it may still tell of. */
+  /** Runs that are over and whose ends the endpoint may still report. */
   get unreported(): readonly unreportedRuns.UnheardRun[] {
     return this.#runs.unreported.all;
   }
 
-  /** Another endpoint answers at the address. */
+  /** Handles an answer of another endpoint at this address. */
   noteReplaced(): Effect.Effect<void> {
     return this.#parts.ends.noteReplaced();
   }
 
-  /** Another session has taken over what it held. */
+  /** Ends this session after another one has taken over its runs. */
   retire(): void {
     this.#state.end();
   }
 
-  /** Whether this life of the worker has ended. */
+  /** Whether the incarnation has ended or another session has taken over. */
   get isOver(): boolean {
     return this.#state.isOver;
   }
 
-  /** Takes in a run that the records say may be here. */
+  /** Adds a run that the records place on this endpoint. */
   adopt(task: Workflow.Task): void {
     this.#runs.tracked.adopt(task);
     this.#parts.viewReader.noteAdopted(task);
@@ -182,8 +185,9 @@
   }
 
   /**
-   * Takes in what may be at the endpoint since it stood at another address. What was
-   * not sent yet is planned anew: the former session sends nothing any more.
+   * Takes over the runs of the session at the former address of this endpoint. Runs
+   * whose start was not sent are planned again: the former session sends nothing any
+   * more.
    */
   takeOver(former: EndpointSession): void {
     for (const one of former.#runs.tracked.sent) {
@@ -196,25 +200,25 @@
     this.#state.resumePolling();
   }
 
-  /** Keeps room for a run whose start is not sent yet. */
+  /** Reserves capacity for a run whose start is not sent yet. */
   reserve(task: Workflow.Task, ticket: string | null): assignments.Occupant {
     return this.#runs.tracked.reserve(task, ticket);
   }
 
-  /** Starts a run; one whose fate stays open is stopped. */
+  /** Starts a run; one whose start may still be delivered is stopped. */
   start(assignment: assignments.Occupant): Effect.Effect<void> {
     return this.#parts.starts.start(assignment);
   }
 
-  /** Stops a run; ends when the worker has heard it or the run is over. */
+  /** Stops a run; completes when the endpoint has confirmed it or the run is over. */
   stop(assignment: assignments.Occupant): Effect.Effect<void> {
     return this.#parts.stops.stop(assignment);
   }
 
-  /** Keeps the lease while there is something to keep it for. */
+  /** Polls the endpoint, which renews its lease, as long as that is needed. */
   run(): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
-      // Recorded runs are added first: an answer may end the session.
+      // Recorded runs have to be added first, because an answer may end the session.
       yield* Effect.yieldNow;
       while (!this.#state.isOver) {
         if (!this.#needsPolling()) {
--- a/packages/coordinator/src/sessions/endpoint_silence.ts
+++ b/packages/coordinator/src/sessions/endpoint_silence.ts
@@ -1,4 +1,4 @@
-/** What follows where an endpoint does not answer a look: leases run out unheard. */
+/** Handles unanswered polls and ends runs whose leases expire meanwhile. */
 import * as Effect from "effect/Effect";
 import type * as endpointEnds from "./endpoint_ends.ts";
 import * as endpointOrders from "./endpoint_orders.ts";
@@ -11,7 +11,7 @@
 
 const { LostCause, lost } = listeners;
 
-/** What the silence works with. */
+/** Dependencies of the handling of unanswered polls. */
 export interface UnansweredPollsOptions {
   readonly options: sessionOptions.SessionOptions;
   readonly state: endpointStates.EndpointState;
@@ -20,7 +20,7 @@
   readonly lateStarts: lateStartGuards.LateStartGuard;
 }
 
-/** Silence of one endpoint. */
+/** Handles unanswered polls of one endpoint. */
 export class UnansweredPolls {
   readonly #options: UnansweredPollsOptions;
 
@@ -28,7 +28,7 @@
     this.#options = options;
   }
 
-  /** A look had no answer. */
+  /** Handles one unanswered poll. */
   handle(): Effect.Effect<void> {
     const { state, ends, options: { ports: { clock } } } = this.#options;
     return Effect.gen({ self: this }, function* () {
@@ -41,27 +41,28 @@
       }
       yield* this.#endLapsedRuns(hasLapsed);
       if (hasLapsed) this.#closeUnreported();
-      // Perhaps only the connection is silent: the next look takes a new one.
+      // Possibly only the connection is silent: the next poll opens a new one.
       if (!isFirst) yield* clock.sleep(endpointOrders.RETRY_DELAY_MS * 2);
     });
   }
 
-  /** Returns whether the look before had an answer. */
+  /** Returns whether the previous poll was answered. */
   #markUnreachable(): boolean {
     const { state, options: { silences, listener } } = this.#options;
     const isFirst = state.markUnreachable();
     if (isFirst) {
       silences.noteSilent(state.ref);
       listener.roomChanged();
-      // A start may have asked: somebody has to ask until it answers again.
+      // A start may have sent this poll while the session was idle, which has to poll
+      // until the endpoint answers.
       state.wake();
     }
     return isFirst;
   }
 
-  /** Ends the runs that must be over by now, whatever became of their endpoint. */
+  /** Ends the runs that must be over by now, whatever happened to their endpoint. */
   #endLapsedRuns(hasLapsed: boolean): Effect.Effect<void> {
-    const { tracked, previous: previous } = this.#options.runs;
+    const { tracked, previous } = this.#options.runs;
     return Effect.gen({ self: this }, function* () {
       for (const assignment of tracked.all) {
         if (!assignment.isSent) continue;
@@ -73,14 +74,14 @@
     });
   }
 
-  /** How it ended may still be told. */
+  /** Ends a run whose actual end may still be reported. */
   #giveUp(
     assignment: assignments.Occupant,
     hasLapsed: boolean,
   ): Effect.Effect<void> {
     const { state, runs, options: { ports, listener } } = this.#options;
     const { task, run, bornMs } = assignment;
-    // A run whose lease is out has ended, whatever became of its endpoint.
+    // A run whose lease has expired is over, whatever happened to its endpoint.
     const byMs = hasLapsed
       ? Number.POSITIVE_INFINITY
       : ports.clock.monotonicMs();
@@ -92,12 +93,12 @@
       : LostCause.EndedBeforeGang;
     return Effect.gen({ self: this }, function* () {
       yield* runs.tracked.end(assignment, lost(cause));
-      // It may have crashed its endpoint: the next coordinator has to ask for it too.
+      // It may have crashed its endpoint: the next coordinator needs its end, too.
       if (hasLapsed && task.isSuspect) listener.runGone(state, unreported);
     });
   }
 
-  /** What ended before a lease ran out does not count when it is told later. */
+  /** An end before the expiry of the lease does not count if it is reported later. */
   #closeUnreported(): void {
     for (const { task, run } of this.#options.runs.unreported.all) {
       task.workflow.openEnds.closeUntold(task, run);
@@ -106,11 +107,11 @@
 }
 
 /**
- * Whether the ends of all others of its gang show that a run has ended. That one of
- * them broke is not enough: members end one after another, and a run that counts as
- * over too early is started a second time beside itself. One that was never confirmed
- * may still arrive, late, and wait for the others. One that an earlier coordinator sent
- * may have been told to stop by it: no record tells that.
+ * Whether the ends of all other members of its gang show that a run has ended. One
+ * broken member is not enough: members end one after another, and a run that is
+ * presumed ended too early is started a second time in parallel. A run that was never
+ * confirmed may arrive late and wait for the others. A run sent by an earlier
+ * coordinator may have been stopped by it, which no record shows.
  */
 function hasEndedBeforeGang(assignment: assignments.Occupant): boolean {
   const { task, run, sentAtMs, stoppingSinceMs } = assignment;
--- a/packages/coordinator/src/sessions/endpoint_starts.ts
+++ b/packages/coordinator/src/sessions/endpoint_starts.ts
@@ -1,4 +1,4 @@
-/** Starts runs at one endpoint, as far as nothing stands against them by then. */
+/** Starts runs at one endpoint, unless something has made the start obsolete. */
 import * as Effect from "effect/Effect";
 import type * as endpointRuns from "./endpoint_runs.ts";
 import type * as endpointStates from "./endpoint_state.ts";
@@ -11,7 +11,7 @@
 
 const { LostCause, lost } = listeners;
 
-/** What the starts work with. */
+/** Dependencies of the starts. */
 export interface EndpointStartsOptions {
   readonly options: sessionOptions.SessionOptions;
   readonly state: endpointStates.EndpointState;
@@ -20,7 +20,7 @@
   readonly reports: startReports.StartReportHandler;
 }
 
-/** Starts at one endpoint. */
+/** Starts runs at one endpoint. */
 export class EndpointStarts {
   readonly #options: EndpointStartsOptions;
   readonly #starter: starters.RunStarter;
@@ -41,9 +41,9 @@
     });
   }
 
-  /** Starts a run; one whose fate stays open is stopped. */
+  /** Starts a run; one whose start may still be delivered is stopped. */
   start(assignment: assignments.Occupant): Effect.Effect<void> {
-    const { runs: { tracked }, polls, reports: reports } = this.#options;
+    const { runs: { tracked }, polls, reports } = this.#options;
     return Effect.gen({ self: this }, function* () {
       const isClockKnown = yield* polls.readClock();
       const isAlive = assignment.task.possibleCrashes === 0 ||
@@ -67,7 +67,9 @@
     state.wake();
   }
 
-  /** Why a run may not start now: its plan may be seconds old. */
+  /**
+   * Why a run may not start now although it was planned; the plan may be seconds old.
+   */
   #obstacleTo(assignment: assignments.Occupant): listeners.LostCause | null {
     const { state, runs: { tracked }, options } = this.#options;
     const { task, stoppingSinceMs } = assignment;
--- a/packages/coordinator/src/sessions/endpoint_state.ts
+++ b/packages/coordinator/src/sessions/endpoint_state.ts
@@ -1,6 +1,6 @@
 /**
- * What one session knows of its endpoint, for all its parts: the books of the present
- * life, whether the endpoint answers, and whether anybody still asks it.
+ * State of one session, shared by its parts: the current incarnation, whether the
+ * endpoint answers, and whether it is still polled.
  */
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
@@ -14,14 +14,19 @@
 /** State of one session. */
 export class EndpointState implements listeners.SessionWorker {
   readonly ref: Ports.EndpointRef;
-  /** As its newest entry tells; empty: it was not listed since the record named it. */
+  /**
+   * Data centre named by the latest entry; empty if it was not listed since the
+   * record named it.
+   */
   dataCentre: string;
-  /** What is known of its present life. */
+  /** State of the current incarnation. */
   readonly incarnation: incarnationStates.IncarnationState;
-  /** Our time at which the session began. */
+  /** Time at which the session began, in ms of the monotonic clock of this box. */
   readonly openedAtMs: number;
   readonly #clock: Ports.Clock;
-  /** Our time until which an earlier coordinator may have sent orders. */
+  /**
+   * Time until which an earlier coordinator may have sent orders, on the same clock.
+   */
   #previousOrdersUntilMs: number;
   #isReachable = true;
   #isOver = false;
@@ -44,22 +49,22 @@
     return this.incarnation.health;
   }
 
-  /** Whether the last look had an answer. */
+  /** Whether the last poll was answered. */
   get isReachable(): boolean {
     return this.#isReachable;
   }
 
-  /** Whether an answer has to show first that this life is at the address. */
+  /** Whether an answer has to prove first that this incarnation is at the address. */
   get mustAnswerFirst(): boolean {
     return this.#mustAnswerFirst;
   }
 
-  /** Nothing is started there before it has answered. */
+  /** Prevents starts until the endpoint has answered. */
   requireAnswer(): void {
     this.#mustAnswerFirst = true;
   }
 
-  /** Whether this life has answered this coordinator at its address. */
+  /** Whether the current incarnation has answered this coordinator at this address. */
   get hasAnswered(): boolean {
     return this.#hasAnswered;
   }
@@ -77,35 +82,38 @@
     return elapsedMs < unansweredStarts.LONGEST_ORDER_DELAY_MS;
   }
 
-  /** Neither heard nor listed for long: nobody asks it until it is listed again. */
+  /** Whether it was silent and unlisted for long; not polled until it is listed. */
   get isSuspectedGone(): boolean {
     return this.#isSuspectedGone;
   }
 
-  /** Endpoints are called from now on; until now an earlier coordinator may have been. */
+  /**
+   * Notes that the endpoint is called from now on; an earlier coordinator may have
+   * called it until now.
+   */
   noteTermStarted(): void {
     this.#previousOrdersUntilMs = this.#clock.monotonicMs();
   }
 
-  /** Whether this life of the endpoint has ended, or another session has it. */
+  /** Whether the incarnation has ended or another session has taken over. */
   get isOver(): boolean {
     return this.#isOver;
   }
 
-  /** It has answered a look. */
+  /** Notes the answer to a poll. */
   noteAnswered(): void {
     this.#isSuspectedGone = false;
     this.#hasAnswered = true;
     this.incarnation.hasEnded = false;
   }
 
-  /** It has taken a start. */
+  /** Notes that a start was accepted. */
   noteStartAccepted(): void {
     this.#isReachable = true;
     this.#hasAnswered = true;
   }
 
-  /** Work may be sent there; false where that was known. */
+  /** Allows work to be sent there; returns false if it was allowed before. */
   markUsable(): boolean {
     if (this.#isReachable && !this.#mustAnswerFirst) return false;
     this.#isReachable = true;
@@ -113,36 +121,38 @@
     return true;
   }
 
-  /** It did not answer a look; false where it did not answer the one before. */
+  /**
+   * Notes an unanswered poll; returns false if the one before was unanswered as well.
+   */
   markUnreachable(): boolean {
     const wasReachable = this.#isReachable;
     this.#isReachable = false;
     return wasReachable;
   }
 
-  /** It may have ended: nobody asks it. */
+  /** Stops polling, as the endpoint may have ended. */
   suspectGone(): void {
     this.#isSuspectedGone = true;
   }
 
-  /** There is something to ask it for. */
+  /** Resumes polling, as there is something to learn or to send. */
   resumePolling(): void {
     this.#isSuspectedGone = false;
     this.wake();
   }
 
-  /** Nothing is asked or sent any more. */
+  /** Ends all calls of the session. */
   end(): void {
     this.#isOver = true;
     this.wake();
   }
 
-  /** There may be something to do. */
+  /** Wakes the session to check whether polling is needed. */
   wake(): void {
     Deferred.doneUnsafe(this.#signal, Effect.void);
   }
 
-  /** Ends when there may be something to do. */
+  /** Completes when the session is woken. */
   awaitWake(): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       yield* Deferred.await(this.#signal);
--- a/packages/coordinator/src/sessions/endpoint_stops.ts
+++ b/packages/coordinator/src/sessions/endpoint_stops.ts
@@ -1,4 +1,4 @@
-/** Stops runs at one endpoint, also those whose starts may still arrive there. */
+/** Stops runs at one endpoint, including runs whose start may still be delivered. */
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
 import * as endpointOrders from "./endpoint_orders.ts";
@@ -8,13 +8,13 @@
 import type * as sessionOptions from "./session_options.ts";
 import * as unexpectedRuns from "./stray_runs.ts";
 
-/** What the stops work with. */
+/** Dependencies of the stops. */
 export interface EndpointStopsOptions {
   readonly options: sessionOptions.SessionOptions;
   readonly state: endpointStates.EndpointState;
   readonly runs: endpointRuns.EndpointRuns;
   readonly orders: endpointOrders.EndpointOrders;
-  /** One more look beside the one that may be open. */
+  /** Sends one more poll beside the one that may be open. */
   readonly pollNow: () => Effect.Effect<void>;
 }
 
@@ -22,20 +22,23 @@
   readonly fencingToken: number;
 }
 
-/** An order without an answer counts as lost after this time, in ms. */
+/** Time in ms after which an order without an answer counts as lost. */
 const ORDER_LIMIT_MS = 450;
 /**
- * The look that waits at the endpoint tells an end this much later than it came at
- * most, in ms; our own delay comes on top.
+ * Maximum time in ms after which a waiting poll reports an end; the delay of this box
+ * comes on top.
  */
 const END_REPORT_DELAY_MS = 100;
-/** Looks beside one that hangs, and the time between them in ms: it ends by then. */
+/**
+ * Number of polls beside one that hangs, and the time between them in ms. After
+ * these, the hanging one has ended.
+ */
 const MAX_END_POLLS = 3;
 const END_POLL_INTERVAL_MS = 300;
-/** Tries of a stop that nobody waits for: 12 s of them, as late as starts arrive. */
+/** Attempts to stop an untracked run: 12 s in total, as late as starts may be. */
 const MAX_BLOCK_ATTEMPTS = 20;
 
-/** Stops at one endpoint. */
+/** Stops runs at one endpoint. */
 export class EndpointStops {
   readonly #options: EndpointStopsOptions;
 
@@ -43,7 +46,7 @@
     this.#options = options;
   }
 
-  /** Stops a run; ends when the endpoint has heard it or the run is over. */
+  /** Stops a run; completes when the endpoint has confirmed it or the run is over. */
   stop(assignment: assignments.Occupant): Effect.Effect<void> {
     const { state, runs: { tracked }, options } = this.#options;
     const { clock } = options.ports;
@@ -63,7 +66,7 @@
     });
   }
 
-  /** Asks for the end of a stopped run that is not told in time: the look may hang. */
+  /** Polls for the end of a stopped run if it is overdue: the open poll may hang. */
   #pollForEnd(assignment: assignments.Occupant): Effect.Effect<void> {
     const { state, runs: { tracked }, options, pollNow } = this.#options;
     const { load, ports: { clock, metrics, bounds } } = options;
@@ -78,13 +81,16 @@
     });
   }
 
-  /** What is stopped before it arrives never starts; a look then shows its end. */
+  /**
+   * Prevents a start that may still be delivered: an endpoint never starts a run that
+   * it was told to stop before. A later poll shows its end.
+   */
   blockStart(assignment: assignments.Occupant): void {
     assignment.expectedSinceMs = null;
     Effect.runFork(this.stop(assignment));
   }
 
-  /** The same for a run that nobody waits for. */
+  /** Prevents the start of a run that is not tracked any more. */
   blockRun(run: Ports.RunRef): void {
     const { state, options: { ports: { clock } } } = this.#options;
     const { bornMs } = state.incarnation;
@@ -99,11 +105,11 @@
     Effect.runFork(sendStops);
   }
 
-  /** Stops a run that nobody expects there. */
+  /** Stops a run that is not expected at this endpoint. */
   stopUnexpected(run: Ports.RunRef): void {
     const { state, options: { ports: { log } } } = this.#options;
     const name = unexpectedRuns.runName(run);
-    log.warn(`Worker ${state.ref.id} runs ${name}, which nobody expects.`);
+    log.warn(`Endpoint ${state.ref.id} runs ${name}, which nobody expects.`);
     Effect.runFork(this.#send(this.#orderOf(run)));
   }
 
--- a/packages/coordinator/src/sessions/former_runs.ts
+++ b/packages/coordinator/src/sessions/former_runs.ts
@@ -1,8 +1,8 @@
 /**
- * Runs that former lives of one endpoint had, as far as it is known: how each of them
- * ends unless the present life shows it. An order for a former life may be carried
- * out late, in the present one; so a run is over only where an answer of the present
- * life, asked for after it was told to stop that run, does not show it.
+ * Runs of previous incarnations of one endpoint, and how each of them ends unless the
+ * current incarnation reports it. An order for a previous incarnation may be executed
+ * late, by the current one. So a run is over only if the current incarnation was
+ * ordered to stop it, and a later poll does not show it.
  */
 import type * as Ports from "@cairngate/ports";
 import type * as Workflow from "@cairngate/workflow";
@@ -14,38 +14,38 @@
 import * as unexpectedRuns from "./stray_runs.ts";
 import type * as unreportedRuns from "./unheard_runs.ts";
 
-/** A run of a task. */
+/** Identifies a run of a task. */
 export interface RunOfTask {
   readonly task: Workflow.Task;
   readonly run: number;
 }
 
-/** What they work with. */
+/** Dependencies of the previous runs. */
 export interface PreviousRunsOptions {
   readonly clock: Ports.Clock;
   readonly tracked: trackedRuns.TrackedRuns;
   readonly unreported: unreportedRuns.UnreportedRuns;
   readonly unansweredStarts: unansweredStarts.LooseStarts;
-  /** Tells the present life to stop a run that is still waited for. */
+  /** Orders the current incarnation to stop a run that is still tracked. */
   readonly blockStart: (assignment: assignments.Occupant) => void;
-  /** The same for a run that nobody waits for. */
+  /** Orders the current incarnation to stop a run that is not tracked any more. */
   readonly blockRun: (run: Ports.RunRef) => void;
 }
 
-/** The answer of a life, beside what was known before it. */
+/** An answer of an incarnation, with what was known before it. */
 export interface IncarnationAnswer {
   readonly view: Ports.EndpointView;
-  /** Whether this life has begun since the known one answered last. */
+  /** Whether this incarnation started after the last answer of the known one. */
   readonly isNew: boolean;
   /** Whether none was known: starts may have been sent to one at another address. */
   readonly isFirst: boolean;
-  /** What is known of the end of the life before. */
+  /** Evidence on the end of the previous incarnation. */
   readonly evidence: evidences.EndEvidence;
-  /** Whether that end was taken in already. */
+  /** Whether that end was processed already. */
   readonly hasEnded: boolean;
 }
 
-/** Those of one endpoint. */
+/** Runs of previous incarnations of one endpoint. */
 export class PreviousRuns {
   readonly #options: PreviousRunsOptions;
   readonly #ends = new Map<string, listeners.SessionEnd>();
@@ -54,12 +54,14 @@
     this.#options = options;
   }
 
-  /** Whether a life that has ended had it, and the present one has not shown it. */
+  /**
+   * Whether an ended incarnation had the run and the current one has not reported it.
+   */
   has(run: RunOfTask): boolean {
     return this.#ends.has(taskRunName(run));
   }
 
-  /** How a run ended with the life that had it; null where it is none of these. */
+  /** Removes and returns the end of a run with its incarnation; null if none. */
   take(run: RunOfTask): listeners.SessionEnd | null {
     const end = this.#ends.get(taskRunName(run)) ?? null;
     this.#ends.delete(taskRunName(run));
@@ -67,9 +69,9 @@
   }
 
   /**
-   * Runs that were sent to another life than the one that answers, and that this one
-   * does not show, have ended with that life. Orders of ours that had no answer may
-   * still reach the present life: it is told to stop these runs before they are over.
+   * Ends the runs that were sent to another incarnation than the answering one and
+   * that this one does not report. Unanswered orders may still reach it, so it is
+   * ordered to stop these runs before they count as over.
    */
   endAbsent(answer: IncarnationAnswer): void {
     const { runs, unreported } = this.#findAbsent(answer.view);
@@ -113,7 +115,7 @@
         taskRunName(one),
         endOf(evidence.presenceOf(one, nowMs)),
       );
-      // What an earlier coordinator sent, the present life takes no more.
+      // The current incarnation refuses orders of an earlier coordinator.
       if (one.sentAtMs !== null) blockStart(one);
     }
     for (const one of unreported) {
@@ -129,7 +131,7 @@
   }
 }
 
-/** Name of a run, as endpoints name it. */
+/** Name of a run as used by endpoints. */
 function taskRunName({ task, run }: RunOfTask): string {
   return unexpectedRuns.runName({ task: task.name, run });
 }
--- a/packages/coordinator/src/sessions/held_runs.ts
+++ b/packages/coordinator/src/sessions/held_runs.ts
@@ -1,16 +1,16 @@
-/** Runs that one endpoint holds or may hold, and how they end. */
+/** Tracks the runs that one endpoint holds or may hold, and ends them. */
 import type * as Workflow from "@cairngate/workflow";
 import * as Effect from "effect/Effect";
 import * as assignments from "./occupant.ts";
 import type * as listeners from "./session_listener.ts";
 
-/** Told of each end; the effect ends when it is recorded. */
+/** Receives each end of a run; the effect completes when the end is recorded. */
 export type EndHandler = (
   assignment: assignments.Occupant,
   end: listeners.SessionEnd,
 ) => Effect.Effect<void>;
 
-/** Runs of one life of an endpoint, by task. */
+/** Runs of one endpoint by task. */
 export class TrackedRuns {
   readonly #byTask = new Map<string, assignments.Occupant>();
   readonly #onEnd: EndHandler;
@@ -19,51 +19,51 @@
     this.#onEnd = onEnd;
   }
 
-  /** All of them. */
+  /** All tracked runs. */
   get all(): readonly assignments.Occupant[] {
     return [...this.#byTask.values()];
   }
 
-  /** Those whose start was sent. */
+  /** Runs whose start was sent. */
   get sent(): readonly assignments.Occupant[] {
     return this.all.filter((one) => one.isSent);
   }
 
-  /** Whether there is none. */
+  /** Whether no run is tracked. */
   get isEmpty(): boolean {
     return this.#byTask.size === 0;
   }
 
-  /** The run of a task that is held; undefined for none. */
+  /** The tracked run of a task; undefined if there is none. */
   get(task: string): assignments.Occupant | undefined {
     return this.#byTask.get(task);
   }
 
-  /** Whether this very run is still held. */
+  /** Whether exactly this run is still tracked. */
   holds(assignment: assignments.Occupant): boolean {
     return this.#byTask.get(assignment.task.name) === assignment;
   }
 
-  /** Takes in a run that the records of an earlier coordinator name. */
+  /** Adds a run that the records of an earlier coordinator name. */
   adopt(task: Workflow.Task): void {
     this.#byTask.set(task.name, assignments.adoptAssignment(task));
   }
 
-  /** Takes in a run that was held where its endpoint stood before. */
+  /** Adds a run that was tracked at the former address of the endpoint. */
   takeOver(former: assignments.Occupant): assignments.Occupant {
     const assignment = assignments.takeOverAssignment(former);
     this.#byTask.set(assignment.task.name, assignment);
     return assignment;
   }
 
-  /** Keeps room for a run whose start is not sent yet. */
+  /** Reserves capacity for a run whose start is not sent yet. */
   reserve(task: Workflow.Task, ticket: string | null): assignments.Occupant {
     const assignment = assignments.createOccupant(task, ticket);
     this.#byTask.set(task.name, assignment);
     return assignment;
   }
 
-  /** A run is over; old news are passed over. */
+  /** Ends a run; ignored where it is not tracked any more. */
   end(
     assignment: assignments.Occupant,
     end: listeners.SessionEnd,
--- a/packages/coordinator/src/sessions/late_start_guard.ts
+++ b/packages/coordinator/src/sessions/late_start_guard.ts
@@ -1,8 +1,8 @@
 /**
- * Prevents a restarted endpoint from accepting late starts. A start without an answer may
- * be delivered seconds later, and an endpoint that restarts meanwhile under its id has
- * no record of the stop that followed. While the endpoint does not answer, the stops are
- * sent repeatedly, because it may have restarted at any moment.
+ * Prevents a restarted endpoint from accepting late starts. A start without an answer
+ * may be delivered seconds later, and an endpoint that restarts meanwhile under its
+ * id has no record of the stop that followed. While the endpoint does not answer, the
+ * stops are sent repeatedly, because it may have restarted at any moment.
  */
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
@@ -11,7 +11,7 @@
 import type * as sessionOptions from "./session_options.ts";
 import * as unexpectedRuns from "./stray_runs.ts";
 
-/** What the guard works with. */
+/** Dependencies of the guard. */
 export interface LateStartGuardOptions {
   readonly options: sessionOptions.SessionOptions;
   readonly state: endpointStates.EndpointState;
@@ -33,7 +33,7 @@
   }
 
   /**
-   * Whether an unanswered start may still be delivered after a restart. An endpoint that
+   * Whether an unanswered start may still be delivered after a restart. One that
    * reports no birth time gets a new id with each restart and refuses such a start.
    */
   get hasUnansweredStarts(): boolean {
@@ -61,7 +61,7 @@
 
   /** Unanswered starts, except those of wanted runs, which the endpoint may execute. */
   get #unwantedRuns(): readonly Ports.RunRef[] {
-    const { unansweredStarts, tracked: tracked } = this.#options.runs;
+    const { unansweredStarts, tracked } = this.#options.runs;
     const wanted = new Set(
       tracked.all.filter(({ stoppingSinceMs }) => stoppingSinceMs === null)
         .map(({ task: { name: task }, run }) =>
@@ -73,7 +73,7 @@
     );
   }
 
-  /** Ignores the outcome: the next look reports the state of the endpoint. */
+  /** Ignores the outcome: the next poll reports the state of the endpoint. */
   #stop({ task, run }: Ports.RunRef): Effect.Effect<void> {
     const { ports: { clock, workers, metrics }, term, ref } =
       this.#options.options;
--- a/packages/coordinator/src/sessions/lease_clock.ts
+++ b/packages/coordinator/src/sessions/lease_clock.ts
@@ -1,36 +1,41 @@
-/** What is known of a worker's own clock and of the end of its lease. */
+/** Estimates the clock of an endpoint and the end of its lease. */
 
-/** Worker clocks may be this much slower than ours. */
+/** Factor by which the clock of an endpoint may be slower than that of this box. */
 const MAX_CLOCK_SLOWDOWN = 1.03;
-/** Least pace of a worker's clock; keeps estimates from running ahead. */
+/**
+ * Minimum rate of an endpoint's clock relative to this box. Estimates assume it, so
+ * that they do not run ahead.
+ */
 const MIN_CLOCK_RATE = 0.98;
-/** Covers rounding and estimates that are slightly ahead. */
+/** Margin in ms for rounding and for estimates that are slightly ahead. */
 const MARGIN_MS = 250;
 
-/** Reads a worker's clock and bounds its lease. */
+/** Reads the clock of an endpoint and bounds its lease. */
 export class LeaseClock {
   #clockMs: number | null = null;
   #readAtMs = 0;
   #lapsesAtMs: number;
 
-  /** @param lapsesAtMs our time by which an earlier lease has run out */
+  /**
+   * @param lapsesAtMs time of this box's clock by which an earlier lease has expired
+   */
   constructor(lapsesAtMs: number) {
     this.#lapsesAtMs = lapsesAtMs;
   }
 
-  /** Takes in a reading; an older one than known changes nothing. */
+  /** Takes a reading of the endpoint's clock; ignores one behind the estimate. */
   read(clockMs: number, nowMs: number): void {
     if (this.#clockMs !== null && clockMs < this.#endpointNowMs(nowMs)) return;
     this.#clockMs = clockMs;
     this.#readAtMs = nowMs;
   }
 
-  /** Whether the clock is known. */
+  /** Whether the clock of the endpoint is known. */
   get isKnown(): boolean {
     return this.#clockMs !== null;
   }
 
-  /** End of a lease that begins now, on the worker's clock. */
+  /** End of a lease that begins now, on the endpoint's clock. */
   leaseEnd(nowMs: number, leaseMs: number): number {
     this.#lapsesAtMs = Math.max(
       this.#lapsesAtMs,
@@ -39,12 +44,15 @@
     return Math.round(this.#endpointNowMs(nowMs) + leaseMs);
   }
 
-  /** Others may have given a lease that has run out by this time of ours. */
+  /**
+   * Notes that another coordinator may have granted a lease that expires by this time
+   * of this box's clock.
+   */
   coverUntil(lapsesAtMs: number): void {
     this.#lapsesAtMs = Math.max(this.#lapsesAtMs, lapsesAtMs);
   }
 
-  /** Whether every lease has surely run out. */
+  /** Whether every lease has certainly expired. */
   hasLapsed(nowMs: number): boolean {
     return nowMs >= this.#lapsesAtMs;
   }
@@ -54,7 +62,7 @@
   }
 }
 
-/** Our time by which a lease that others gave until now has run out. */
+/** Time by which leases that others granted until now expire, by this box's clock. */
 export function foreignLapseMs(nowMs: number, longestLeaseMs: number): number {
   return nowMs + longestLeaseMs * MAX_CLOCK_SLOWDOWN + MARGIN_MS;
 }
--- a/packages/coordinator/src/sessions/life_books.ts
+++ b/packages/coordinator/src/sessions/life_books.ts
@@ -1,6 +1,6 @@
 /**
- * What is known of the present life of one endpoint. Nothing that was numbered or
- * timed by a former life holds for the next one, so all of it begins anew with it.
+ * State of the current incarnation of one endpoint. Numbers and times of an earlier
+ * incarnation do not hold for the next one, so a new incarnation resets all of it.
  */
 import * as healths from "../endpoints/endpoint_health.ts";
 import * as reportedEnds from "./end_ledger.ts";
@@ -9,11 +9,13 @@
 import * as currentIncarnations from "./present_life.ts";
 import type * as sessionOptions from "./session_options.ts";
 
-/** Books of one endpoint, begun anew with each of its lives. */
+/** State of one endpoint that each of its incarnations resets. */
 export class IncarnationState {
-  /** Which life answers. */
+  /** Identifies the incarnation that answers. */
   readonly current = new currentIncarnations.CurrentIncarnation();
-  /** Whether the life that answered last has ended, and none has answered since. */
+  /**
+   * Whether the incarnation that answered last has ended and none has answered since.
+   */
   hasEnded = false;
   readonly #options: sessionOptions.SessionOptions;
   #clock: leaseClocks.LeaseClock;
@@ -27,49 +29,49 @@
     this.#endEvidence = this.#createEndEvidence();
   }
 
-  /** Its own clock, and when its lease runs out. */
+  /** Clock of the endpoint and end of its lease. */
   get clock(): leaseClocks.LeaseClock {
     return this.#clock;
   }
 
-  /** Ends that it has listed. */
+  /** Ends of runs that the endpoint has reported. */
   get ends(): reportedEnds.ReportedEnds {
     return this.#ends;
   }
 
-  /** How it treats what it is given. */
+  /** How reliably the endpoint executes its runs. */
   get health(): healths.EndpointHealth {
     return this.#health;
   }
 
-  /** What is known of its own end. */
+  /** Evidence on the end of this incarnation. */
   get endEvidence(): evidences.EndEvidence {
     return this.#endEvidence;
   }
 
-  /** Birth of the life that answered last; null: none did, or it tells none. */
+  /** Birth time of the last incarnation that answered; null if none is known. */
   get bornMs(): number | null {
     return this.current.bornMs;
   }
 
-  /** Birth of the life that a start is likely to reach; null: nothing tells it. */
+  /** Birth time of the incarnation that a start probably reaches; null if unknown. */
   get likelyBornMs(): number | null {
     return this.current.hasAnswered ? this.bornMs : this.#options.listedBornMs;
   }
 
-  /** Whether an entry with this birth is of another life than is known here. */
+  /** Whether an entry with this birth time is of another incarnation. */
   differsFrom(listedBornMs: number | null): boolean {
     if (listedBornMs === null) return false;
     return listedBornMs !== (this.bornMs ?? this.#options.listedBornMs);
   }
 
-  /** End of a lease that begins now, on its clock. */
+  /** End of a lease that begins now, on the endpoint's clock. */
   leaseEnd(nowMs: number): number {
     const { longestLeaseMs } = this.#options.ports.bounds;
     return this.#clock.leaseEnd(nowMs, longestLeaseMs);
   }
 
-  /** Another life begins. */
+  /** Resets the state for a new incarnation. */
   reset(): void {
     const { clock, bounds } = this.#options.ports;
     const lapsesAtMs = leaseClocks.foreignLapseMs(
--- a/packages/coordinator/src/sessions/life_end.ts
+++ b/packages/coordinator/src/sessions/life_end.ts
@@ -1,6 +1,6 @@
 /**
- * How the life of an endpoint ends: as it was announced, or by a crash, with which
- * the tasks that it held may have something to do.
+ * Evaluates how an incarnation of an endpoint ended: as announced, or by a crash that
+ * one of its tasks may have caused.
  */
 import type * as Logger from "@cairngate/logger";
 import type * as Ports from "@cairngate/ports";
@@ -11,65 +11,67 @@
 import type * as unreportedRuns from "./unheard_runs.ts";
 
 /**
- * Time in ms. An endpoint that answered so shortly before a start was sent was alive
- * when the start came. If it never answers again and another life is there, it
- * probably had the run. Without such an answer it may have ended long before, while
- * its entry was still listed: up to 3.5 s, on a day with endpoints that end in
- * groups. From a look to the start behind it pass some ms, 100 ms on a late box.
+ * Time in ms. An endpoint that answered at most this long before a start was sent was
+ * alive when the start arrived. If another incarnation answers next, the ended one
+ * probably had the run. Without such an answer the endpoint may have ended long before,
+ * while its entry was still listed: up to 3.5 s where endpoints end in groups. A start
+ * follows its poll after some ms, or after 100 ms on a box that is late.
  */
 const ALIVE_BEFORE_START_MS = 150;
 /**
- * Time in ms. An endpoint that answered just before a start was sent and at which nobody
- * listened so shortly after it ended as the start came: a task that ends endpoints at
- * its start is never confirmed.
+ * Time in ms. An endpoint that answered just before a start was sent, and whose
+ * address refused connections at most this long after it, ended when the start
+ * arrived. This covers tasks that crash endpoints at their start, whose runs are
+ * never confirmed.
  */
 const ENDED_AT_START_MS = 100;
 /**
- * An endpoint that has answered within this time, in ms, is alive: the longest wait
- * of a look and the slack that it gets.
+ * Time in ms since its last answer within which an endpoint counts as alive: the
+ * maximum wait of a poll and its slack.
  */
 const RECENT_ANSWER_MS = 2800;
 
 /**
- * Time in ms. A look that waits at an endpoint breaks as it crashes, and the next one
- * or the one after it (0.3 s later) is refused. Where an endpoint answered nobody for
- * longer before it was found dead, a run may have ended untold in between.
+ * Time in ms. The connection of a waiting poll breaks when its endpoint crashes, and
+ * the next poll or the one after it (0.3 s later) is refused. If an endpoint was
+ * silent for longer before its address refused connections, a run may have ended
+ * unreported in between.
  */
 const MAX_UNREPORTED_MS = 350;
 
-/** What shows that a life has ended. */
+/** Proof that an incarnation has ended. */
 export enum EndProof {
   OtherEndpointAnswers = "another one answers there",
   Restarted = "another life answers under its id",
-  /** Its lease is out and it is not listed, so it is not only busy. */
+  /**
+   * Counts only once its lease has expired or it is not listed any more, as a busy
+   * endpoint may refuse connections, too.
+   */
   ConnectionRefused = "nobody listens there",
 }
 
-/** What the end of a life works with. */
+/** Dependencies of the evidence. */
 export interface EndEvidenceOptions {
   readonly clock: Ports.Clock;
   readonly log: Logger.Logger;
   readonly ref: Ports.EndpointRef;
-  /** Which endpoints have fallen silent or crashed; one for all sessions. */
+  /** Endpoints that are silent or have crashed; shared by all sessions. */
   readonly silences: silences.SilenceLog;
 }
 
-/** What is known of the end of one life, before it comes and when it has come. */
+/** Evidence on the end of one incarnation, collected before and after its end. */
 export class EndEvidence {
   readonly #clock: Ports.Clock;
   readonly #log: Logger.Logger;
   readonly #ref: Ports.EndpointRef;
   readonly #silences: silences.SilenceLog;
-  /** Our time of its last answer to a look. */
+  /** Time of its last answer to a poll, in ms of the monotonic clock of this box. */
   #answeredAtMs = Number.NEGATIVE_INFINITY;
-  /** Our time at which nobody listened there any more; infinite for never. */
+  /** Time since which its address refuses connections; infinite if it does not. */
   #refusedAtMs = Number.POSITIVE_INFINITY;
-  /**
-   * Our time since which it may have ended runs untold; infinite while a look tells of
-   * each end.
-   */
+  /** Time since which ends may be unreported; infinite while polls report all. */
   #unreportedSinceMs = Number.POSITIVE_INFINITY;
-  /** Whether it is known to leave, so that its end is no crash. */
+  /** Whether it is known to be leaving, so that its end is no crash. */
   #isLeaving = false;
 
   constructor({ clock, log, ref, silences }: EndEvidenceOptions) {
@@ -79,7 +81,7 @@
     this.#silences = silences;
   }
 
-  /** It has answered. */
+  /** Notes an answer. */
   noteAnswered(): void {
     this.#answeredAtMs = this.#clock.monotonicMs();
     this.#refusedAtMs = Number.POSITIVE_INFINITY;
@@ -87,8 +89,9 @@
   }
 
   /**
-   * An order had no answer. One that broke was open until then, and so was a look that
-   * would have told of ends; one that fell silent may have been so since the last answer.
+   * Notes an unanswered order. Where the connection broke, a waiting poll could
+   * report ends until then; where it was silent, ends may be unreported since the
+   * last answer.
    */
   noteUnanswered(isBroken: boolean): void {
     if (Number.isFinite(this.#unreportedSinceMs)) return;
@@ -97,30 +100,30 @@
       : this.#answeredAtMs;
   }
 
-  /** Nobody listens at its address: it has ended by now, and is not just cut off. */
+  /** Notes a refused connection: the endpoint has ended and is not merely cut off. */
   noteRefused(): void {
     const nowMs = this.#clock.monotonicMs();
     this.#refusedAtMs = Math.min(this.#refusedAtMs, nowMs);
   }
 
-  /** Whether nobody listened at its address when it was asked last. */
+  /** Whether its address refused connections since its last answer. */
   get isRefused(): boolean {
     return Number.isFinite(this.#refusedAtMs);
   }
 
-  /** Whether it was going to leave. */
+  /** Whether it was leaving. */
   get isLeaving(): boolean {
     return this.#isLeaving;
   }
 
-  /** It is listed, and tells whether it is going to leave. */
+  /** Notes that it is listed, and whether it is draining. */
   noteListed(isDraining: boolean): void {
     this.#isLeaving = isDraining;
   }
 
   /**
-   * It is listed no more. Some leave without a word, and serve on: one that still
-   * answers has not crashed.
+   * Notes that it is not listed any more. Some endpoints leave without notice and
+   * continue to serve: one that still answers has not crashed.
    */
   noteUnlisted(isReachable: boolean): void {
     const heardBeforeMs = this.#clock.monotonicMs() - this.#answeredAtMs;
@@ -128,7 +131,9 @@
   }
 
   /**
-   * It is shown to have ended, as entries and silence alone never do. Returns how runs ended of which it is so sure that they were there.
+   * Evaluates the proven end of the incarnation; entries and silence alone prove
+   * none. Returns the end of a run for how certain it is that the endpoint had the
+   * run.
    */
   end(
     proof: EndProof,
@@ -152,7 +157,7 @@
     return (presence) => listeners.crashed({ wasAlone, fellows, presence });
   }
 
-  /** One line with all that tells a crash under a run from one before its start. */
+  /** Logs what distinguishes a crash during a run from one before its start. */
   #logEnd(
     proof: EndProof,
     runs: readonly assignments.Occupant[],
@@ -161,14 +166,16 @@
     const { id, address } = this.#ref;
     const answered = this.#ago(this.#answeredAtMs);
     const silent = this.#ago(this.#silences.silentSinceMs(this.#ref));
-    const leaving = this.#isLeaving ? "; it was going to leave" : "";
+    const leaving = this.#isLeaving ? "; it was leaving" : "";
     const descriptions = [
       ...runs.map((one) => this.#describeRun(one)),
-      ...ended.map(({ task, run }) => `${task.name} run ${run}, given up`),
+      ...ended.map(({ task, run }) =>
+        `${task.name} run ${run}, end unreported`
+      ),
     ];
     this.#log.info(
       `Endpoint ${id} at ${address} has ended, as ${proof}: last heard ` +
-        `${answered}, silent since ${silent}${leaving}. It had ` +
+        `${answered}, silent since ${silent}${leaving}. It held ` +
         `${descriptions.join("; ")}.`,
     );
   }
@@ -177,20 +184,22 @@
     const { task, run, sentAtMs } = assignment;
     const isConfirmed = assignments.isConfirmed(assignment) ||
       task.confirmedRun === run;
-    const sent = sentAtMs === null ? "by an earlier term" : this.#ago(sentAtMs);
+    const sent = sentAtMs === null
+      ? "by an earlier coordinator"
+      : this.#ago(sentAtMs);
     return `${task.name} run ${run}, sent ${sent}, ` +
-      (isConfirmed ? "seen there" : "never seen there");
+      (isConfirmed ? "confirmed" : "never confirmed");
   }
 
-  /** A time of ours, as a text: how long ago it was. */
+  /** Formats a time of this box's clock as its age. */
   #ago(atMs: number | null): string {
     if (atMs === null || !Number.isFinite(atMs)) return "never";
     return `${Math.round(this.#clock.monotonicMs() - atMs)} ms ago`;
   }
 
   /**
-   * How sure it is that a run was under way when the endpoint crashed, if it did so
-   * by this time of ours at the latest.
+   * How certain it is that a run was in progress when the endpoint crashed, given the
+   * time of this box's clock by which it had crashed.
    */
   presenceOf(
     assignment: assignments.Occupant,
@@ -203,7 +212,7 @@
     if (task.confirmedRun === run) {
       return this.#presenceConfirmedEarlier(task, crashedByMs);
     }
-    // Its record was written before the order left: perhaps none ever did.
+    // The record is written before the order is sent, which may never have happened.
     if (sentAtMs === null) return Workflow.Presence.Unknown;
     const beforeMs = sentAtMs - this.#answeredAtMs;
     if (beforeMs < 0 || beforeMs > ALIVE_BEFORE_START_MS) {
@@ -216,8 +225,8 @@
   }
 
   /**
-   * An earlier coordinator saw it there. What it saw says nothing of the time after
-   * the run was done: that it was, may be what nobody was told of.
+   * Presence of a run that an earlier coordinator confirmed. The confirmation covers
+   * only the expected duration of the run, since its end may be unreported.
    */
   #presenceConfirmedEarlier(
     { step, confirmedEndsAtWallMs }: Workflow.Task,
@@ -235,10 +244,11 @@
   }
 
   /**
-   * One that was seen there was under way if its time was not up when the endpoint
-   * had surely crashed, and nothing else may have ended it before. Where that is not
-   * known, it is likely if its time was not up at the last answer: an endpoint that is
-   * cut off, runs on and crashes then is rarer than one that just crashes.
+   * Presence of a run that was confirmed to this coordinator. It was in progress if
+   * its expected end is later than the crash and nothing else may have ended it
+   * before. Otherwise it is likely if the last answer came before the expected end:
+   * an endpoint that is cut off, continues and then crashes is rarer than one that
+   * just crashes.
    */
   #presenceConfirmedHere(
     assignment: assignments.Occupant,
@@ -259,8 +269,9 @@
   }
 
   /**
-   * When a run is done by its pace, or by its estimate before it was looked at. An answer
-   * that tells no end after the estimate was up shows that the estimate was wrong.
+   * Expected end of a run by its pace, or by its estimate if no progress is known. An
+   * answer after the estimated end that does not report the end proves the estimate
+   * wrong.
    */
   #endsAtMs(assignment: assignments.Occupant): number {
     const endsMs = assignments.expectedEndMs(assignment);
@@ -270,9 +281,9 @@
   }
 
   /**
-   * Whether a run may have ended by itself before its endpoint did: it was being stopped,
-   * or another member of its gang had ended, or only its estimate tells how long it takes
-   * and its endpoint had answered nobody for a while.
+   * Whether a run may have ended before its endpoint did: it was being stopped,
+   * another member of its gang had ended, or only its estimate gives its duration and
+   * its endpoint had been silent for a while.
    */
   #mayHaveEndedBefore(
     { task, run, stoppingSinceMs, expectedSinceMs }: assignments.Occupant,
--- a/packages/coordinator/src/sessions/life_end_test.ts
+++ b/packages/coordinator/src/sessions/life_end_test.ts
@@ -1,8 +1,9 @@
 /**
- * How sure it is that a run was under way when its endpoint ended. Good work was shown
- * as failed: an earlier coordinator had seen its runs, they were done and not told of
- * when their endpoints ended, and counted as under way all the same. The evidence: a
- * random play (seed 1019 with entries that lapse) in which such a run was the fourth.
+ * How certain it is that a run was in progress when its endpoint ended. Guards
+ * against workflows that fail for crashes that are not theirs: an earlier coordinator
+ * had confirmed the runs, and they were done, with their ends unreported, before
+ * their endpoints ended. Shown by the random faults test (seed 1019 with expiring
+ * entries), where such a run was the fourth.
  */
 import * as Logger from "@cairngate/logger";
 import * as TestUtils from "@cairngate/test-utils";
@@ -12,7 +13,7 @@
 import * as evidences from "./life_end.ts";
 import * as assignments from "./occupant.ts";
 
-/** Time that a run takes by its estimate, in ms: any will do. */
+/** Estimated duration of a run in ms; the value is arbitrary. */
 const ESTIMATE_MS = 2000;
 
 function createFixture(
@@ -42,8 +43,8 @@
   return { task, endEvidence, workflow };
 }
 
-vitest.describe("a run that an earlier coordinator has seen", () => {
-  /** Presence of such a run, its endpoint ended some time after it was seen. */
+vitest.describe("a run that an earlier coordinator has confirmed", () => {
+  /** Presence of such a run if its endpoint ended some time after the confirmation. */
   async function presenceAfter(
     ms: number,
     { lasting = false, isKept = true } = {},
@@ -58,17 +59,17 @@
     return endEvidence.presenceOf(adopted, clock.monotonicMs());
   }
 
-  vitest.it("was there while its time was not up", async () => {
+  vitest.it("is certain before its expected end", async () => {
     vitest.expect(await presenceAfter(ESTIMATE_MS - 100))
       .toBe(Workflow.Presence.Certain);
   });
 
-  vitest.it("was only likely there once its time was up", async () => {
+  vitest.it("is likely after its expected end", async () => {
     vitest.expect(await presenceAfter(ESTIMATE_MS + 100))
       .toBe(Workflow.Presence.Likely);
   });
 
-  vitest.it("was there where it lasts, or its time was not kept", async () => {
+  vitest.it("is certain if it is lasting or has no recorded end", async () => {
     vitest.expect(await presenceAfter(60_000, { lasting: true }))
       .toBe(Workflow.Presence.Certain);
     vitest.expect(await presenceAfter(60_000, { isKept: false }))
@@ -77,13 +78,14 @@
 });
 
 /**
- * Good work was shown as failed for crashes of endpoints on which its runs had ended
- * before. The evidence: of 384 crashes that counted as sure under good work in 67 random
- * plays 32 were none: the run had been stopped, had broken with its gang, or was done
- * or failed, and its endpoint, which answered nobody any more, had not told so.
+ * Guards against workflows that fail for crashes of endpoints on which their runs had
+ * ended before. In 67 random simulations, 32 of 384 crashes that counted as certain
+ * under working tasks were none: the run had been stopped, had broken with its gang,
+ * was done or had failed, and its endpoint had fallen silent before it reported the
+ * end.
  */
-vitest.describe("a run that was seen on an endpoint that crashed", () => {
-  /** What happens before the endpoint is found dead 600 ms after the start. */
+vitest.describe("a confirmed run on an endpoint that crashed", () => {
+  /** Simulates events until connections are refused, 600 ms after the start. */
   async function presenceAfter(
     simulate: (scenario: {
       endEvidence: evidences.EndEvidence;
@@ -112,7 +114,7 @@
 
   const { Certain, Likely } = Workflow.Presence;
 
-  vitest.it("was surely there where a look was open until then", async () => {
+  vitest.it("is certain if a poll was open until then", async () => {
     const presence = await presenceAfter(async ({ endEvidence, clock }) => {
       await clock.advance(500);
       endEvidence.noteUnanswered(true);
@@ -120,7 +122,7 @@
     vitest.expect(presence).toBe(Certain);
   });
 
-  vitest.it("may have ended while the endpoint answered nobody", async () => {
+  vitest.it("may have ended while the endpoint was silent", async () => {
     const presence = await presenceAfter(async ({ endEvidence, clock }) => {
       await clock.advance(200);
       endEvidence.noteUnanswered(true);
@@ -133,7 +135,7 @@
     vitest.expect(afterSilence).toBe(Likely);
   });
 
-  vitest.it("was there by its pace, whoever was answered", async () => {
+  vitest.it("is certain by its pace, even after silence", async () => {
     const presence = await presenceAfter(
       async ({ endEvidence, assignment, clock }) => {
         await clock.advance(200);
@@ -145,11 +147,12 @@
   });
 
   /**
-   * Work that crashes its endpoints was started once more than allowed: its fifth crash
-   * counted as one that nothing showed, as its estimate was up, though the endpoint had
-   * told 10 ms before that the run went on. The evidence: a random play (usual, seed 3).
+   * Guards against one start too many of a task that crashes its endpoints: the fifth
+   * crash did not count, as the estimate was over, although the endpoint had reported
+   * the run as in progress 10 ms before. Shown by a random simulation (usual, seed
+   * 3).
    */
-  vitest.it("was there though its estimate was up", async () => {
+  vitest.it("is certain although its estimate was over", async () => {
     const step = { estimateMs: 300 };
     const presence = await presenceAfter(async ({ endEvidence, clock }) => {
       await clock.advance(550);
@@ -163,7 +166,7 @@
     vitest.expect(unanswered).toBe(Likely);
   });
 
-  vitest.it("may have ended by the stop that it was told", async () => {
+  vitest.it("may have ended by its stop", async () => {
     const presence = await presenceAfter(({ assignment, clock }) => {
       assignment.stoppingSinceMs = clock.monotonicMs();
     });
@@ -181,10 +184,10 @@
 });
 
 /**
- * Work that ends its endpoints before its start is answered was started once more than
- * allowed: nothing but the moment of the end shows it. The evidence: in random plays 181
- * of 220 runs of such work that counted as likely, and that no endpoint had confirmed to
- * this coordinator, had ended their endpoints within 1 ms.
+ * Guards against one start too many of a task that crashes its endpoints before its
+ * start is answered: only the time of the crash shows the cause. In random
+ * simulations, 181 of 220 runs of such tasks that counted as likely, without a
+ * confirmation to this coordinator, had ended their endpoints within 1 ms.
  */
 vitest.describe("a start without an answer", () => {
   async function presenceWith(refusedAfterMs: number) {
@@ -201,11 +204,11 @@
     return endEvidence.presenceOf(assignment, clock.monotonicMs());
   }
 
-  vitest.it("was there if the endpoint ended as it came", async () => {
+  vitest.it("is certain if the endpoint ended when it arrived", async () => {
     vitest.expect(await presenceWith(50)).toBe(Workflow.Presence.Certain);
   });
 
-  vitest.it("was only likely there if the endpoint ended later", async () => {
+  vitest.it("is likely if the endpoint ended later", async () => {
     vitest.expect(await presenceWith(400)).toBe(Workflow.Presence.Likely);
   });
 });
--- a/packages/coordinator/src/sessions/loose_starts.ts
+++ b/packages/coordinator/src/sessions/loose_starts.ts
@@ -1,15 +1,16 @@
 /**
- * Starts that had no answer. Endpoints carry such orders out seconds later, and one
- * for a former life may be carried out in the present one, where it would begin work
- * that was done since, or that runs elsewhere. So each new life is told first to stop
- * these runs: a stop makes a run that has not arrived impossible.
+ * Starts without an answer. Endpoints may execute such orders seconds later. One that
+ * was sent to a previous incarnation may be executed by the current one and start
+ * work that is already done or runs elsewhere. So each new incarnation is first
+ * ordered to stop these runs: an endpoint never starts a run that it was told to stop
+ * before.
  */
 import type * as Ports from "@cairngate/ports";
 import * as unexpectedRuns from "./stray_runs.ts";
 
 /**
- * Time after which an order without an answer is not carried out any more, in ms. The
- * operators' page says "seconds"; 12 s is the longest that has been told of.
+ * Time in ms after which an unanswered order is not executed any more: operators
+ * report delays of seconds, up to 12 s.
  */
 export const LONGEST_ORDER_DELAY_MS = 15_000;
 
@@ -17,7 +18,7 @@
   readonly sentAtMs: number;
 }
 
-/** Those of one endpoint. */
+/** Unanswered starts of one endpoint. */
 export class LooseStarts {
   readonly #clock: Ports.Clock;
   readonly #starts = new Map<string, UnansweredStart>();
@@ -26,7 +27,7 @@
     this.#clock = clock;
   }
 
-  /** A start had no answer: it may arrive later. */
+  /** Adds a start without an answer, which may be delivered later. */
   add({ task, run }: Ports.RunRef): void {
     const sentAtMs = this.#clock.monotonicMs();
     this.#starts.set(unexpectedRuns.runName({ task, run }), {
@@ -36,7 +37,7 @@
     });
   }
 
-  /** Those that may still arrive. */
+  /** Starts that may still be delivered. */
   get all(): readonly Ports.RunRef[] {
     const nowMs = this.#clock.monotonicMs();
     for (const [name, { sentAtMs }] of this.#starts) {
--- a/packages/coordinator/src/sessions/occupant.ts
+++ b/packages/coordinator/src/sessions/occupant.ts
@@ -1,37 +1,37 @@
-/** A run that a worker holds or may hold. */
+/** The assignment of a run to an endpoint, which holds it or may hold it. */
 import type * as Workflow from "@cairngate/workflow";
 import * as paces from "./run_pace.ts";
 
-/** One run on one worker. Mutable; owned by the worker's session. */
+/** One run on one endpoint. Mutable; owned by the session with the endpoint. */
 export interface Occupant {
   readonly task: Workflow.Task;
   readonly run: number;
   /** Permission of the advice service; null where none is needed. */
   readonly ticket: string | null;
-  /** Since when the worker must know of it; null while it may not. */
+  /** Time since which the endpoint has to report it; null before that. */
   expectedSinceMs: number | null;
   /** Whether the start was sent. */
   isSent: boolean;
-  /** When, by our clock; null where an earlier coordinator sent it. */
+  /** Time of sending, by this box's clock; null if an earlier coordinator sent it. */
   sentAtMs: number | null;
-  /** Birth of the life that it was sent to; null: not told, or not known. */
+  /** Birth time of the incarnation that it was sent to; null if unknown. */
   bornMs: number | null;
-  /** Our time since which it is being stopped; null while it is not. */
+  /** Time since which it is being stopped, by this box's clock; null if it is not. */
   stoppingSinceMs: number | null;
-  /** How it comes on; null before the first look. */
+  /** Its progress over time; null before the first report. */
   pace: paces.RunPace | null;
   /** Whether its pace was compared with that of its siblings. */
   compared: boolean;
-  /** Whether its endpoint was cold during some of its time. */
+  /** Whether its endpoint was cold during part of the run. */
   wasCold: boolean;
-  /** Since when it is slow, by our clock; null while it is not. */
+  /** Time since which it is slow, by this box's clock; null while it is not. */
   slowSinceMs: number | null;
 }
 
-/** Known before this coordinator's time. */
+/** Value of `expectedSinceMs` for runs of an earlier coordinator. */
 export const EARLIER_TERM = Number.NEGATIVE_INFINITY;
 
-/** A run whose start is not sent yet. */
+/** Creates the assignment of a run whose start is not sent yet. */
 export function createOccupant(
   task: Workflow.Task,
   ticket: string | null,
@@ -52,7 +52,7 @@
   };
 }
 
-/** A run that the records of an earlier coordinator name. */
+/** Adopts a run that the records of an earlier coordinator name. */
 export function adoptAssignment(task: Workflow.Task): Occupant {
   const assignment = createOccupant(task, null);
   assignment.expectedSinceMs = EARLIER_TERM;
@@ -61,14 +61,15 @@
   return assignment;
 }
 
-/** A run that was held where its endpoint stood before. */
+/** Takes over a run that was tracked at the former address of its endpoint. */
 export function takeOverAssignment(former: Occupant): Occupant {
   return { ...former, expectedSinceMs: EARLIER_TERM, pace: null };
 }
 
 /**
- * Whether it was sent to another life than this one. An earlier coordinator may not
- * have told which one it was sent to; what this one sent, it knows.
+ * Whether it was sent to another incarnation than this one. The records of an earlier
+ * coordinator may not name the incarnation; for a run that this coordinator sent it
+ * is always known.
  */
 export function isOfOtherIncarnation(
   { isSent, sentAtMs, bornMs }: Occupant,
@@ -78,7 +79,10 @@
   return sentAtMs !== null || bornMs !== null;
 }
 
-/** The life that is present shows it: it began there, whichever it was sent to. */
+/**
+ * Notes that the current incarnation reports it, so it runs there, whichever
+ * incarnation it was sent to.
+ */
 export function noteReported(
   assignment: Occupant,
   presentBornMs: number | null,
@@ -89,13 +93,13 @@
   assignment.pace = null;
 }
 
-/** Whether its worker has confirmed it to this coordinator. */
+/** Whether its endpoint has confirmed it to this coordinator. */
 export function isConfirmed(assignment: Occupant): boolean {
   const { expectedSinceMs } = assignment;
   return expectedSinceMs !== null && expectedSinceMs !== EARLIER_TERM;
 }
 
-/** Takes in the progress that the worker tells, at its own time and ours. */
+/** Records reported progress, with the times of the endpoint's and this box's clock. */
 export function noteProgress(
   assignment: Occupant,
   percent: number,
@@ -109,8 +113,8 @@
 }
 
 /**
- * When a run is done by its pace, or by its estimate before it was looked at. One
- * that is done may wait to be told of when its endpoint crashes.
+ * Expected end of a run by its pace, or by its estimate if no progress is known. Its
+ * actual end may be unreported when its endpoint crashes.
  */
 export function expectedEndMs({ task, sentAtMs }: Occupant): number {
   if (task.step.lasting) return Number.POSITIVE_INFINITY;
--- a/packages/coordinator/src/sessions/outlived_runs.ts
+++ b/packages/coordinator/src/sessions/outlived_runs.ts
@@ -1,7 +1,7 @@
 /**
- * Runs that counted as over before their endpoint had listed an end, and that it
- * shows afterwards. Each of them may have run beside the next run of its task, so the
- * log tells by which evidence it counted as over.
+ * Runs that were presumed ended before their endpoint reported an end, and that it
+ * still reports afterwards. Such a run may have run in parallel with the next run of
+ * its task, so the log names the evidence on which it was presumed ended.
  */
 import type * as Logger from "@cairngate/logger";
 import type * as Metrics from "@cairngate/metrics";
@@ -11,7 +11,7 @@
 import * as listeners from "./session_listener.ts";
 import * as unexpectedRuns from "./stray_runs.ts";
 
-/** What they work with. */
+/** Dependencies of the detection. */
 export interface PrematureEndsOptions {
   readonly clock: Ports.Clock;
   readonly log: Logger.Logger;
@@ -25,10 +25,10 @@
   readonly atMs: number;
 }
 
-/** Runs are remembered this long, in ms: longer than any lease goes on. */
+/** Time in ms for which presumed ends are kept: longer than any lease lasts. */
 const RETENTION_MS = 15_000;
 
-/** Those of one endpoint. */
+/** Detects premature ends of runs of one endpoint. */
 export class PrematureEnds {
   readonly #options: PrematureEndsOptions;
   readonly #presumedEnds = new Map<string, PresumedEnd>();
@@ -37,7 +37,7 @@
     this.#options = options;
   }
 
-  /** A run is over for the coordinator. */
+  /** Notes the end of a run; only an end that the endpoint did not report is kept. */
   noteEnd(
     { task: { name: task }, run, isSent }: assignments.Occupant,
     { how, cause }: listeners.SessionEnd,
@@ -53,11 +53,11 @@
     });
   }
 
-  /** Tells of each run once that an answer shows although it counted as over. */
+  /** Logs each run once that an answer still reports although it was presumed ended. */
   checkView({ held, ended }: Ports.EndpointView): void {
     if (this.#presumedEnds.size === 0) return;
-    for (const run of held) this.#logOnce(run, "is still there");
-    for (const run of ended) this.#logOnce(run, `has ended as ${run.how}`);
+    for (const run of held) this.#logOnce(run, "still holds it");
+    for (const run of ended) this.#logOnce(run, `reports it as ${run.how}`);
     this.#removeExpired();
   }
 
@@ -71,8 +71,8 @@
     const agoMs = Math.round(clock.monotonicMs() - atMs);
     metrics.count("cairngate_runs_outlived_total", { evidence });
     log.warn(
-      `Run ${reported.run} of ${reported.task} counted as over ${agoMs} ms ago ` +
-        `(${evidence}), and on ${endpoint} it ${what}.`,
+      `Run ${reported.run} of ${reported.task} was presumed ended ${agoMs} ms ago ` +
+        `(${evidence}), but endpoint ${endpoint} ${what}.`,
     );
   }
 
--- a/packages/coordinator/src/sessions/outlived_runs_test.ts
+++ b/packages/coordinator/src/sessions/outlived_runs_test.ts
@@ -1,6 +1,7 @@
 /**
- * Two runs of a task were on endpoints at once, and no line told that the first one
- * had counted as over, nor why. The log has to tell such runs by their evidence.
+ * Guards against unexplained parallel runs of a task: the first run was presumed
+ * ended while it was still on its endpoint, and nothing was logged. The log has to
+ * name such runs with the evidence of their presumed end.
  */
 import * as Metrics from "@cairngate/metrics";
 import * as TestUtils from "@cairngate/test-utils";
@@ -12,7 +13,7 @@
 
 const ENDPOINT = "i-1";
 
-/** A run that was sent, and what watches runs of its endpoint. */
+/** A run that was sent, and the detection for its endpoint. */
 function createFixture() {
   const clock = new TestUtils.FakeClock();
   const log = new TestUtils.KeptLog();
@@ -39,7 +40,7 @@
   return { clock, assignment, ends, metrics, sentences: log.sentences };
 }
 
-/** An answer that shows the run as held, or as ended. */
+/** An answer that reports the run as held or as ended. */
 function viewOf({ held = false, ended = false }) {
   const run = { task: "w.0.0.0", run: 1, checkpoint: "" };
   return {
@@ -53,9 +54,9 @@
 
 const ENDED_FIRST = listeners.lost(listeners.LostCause.EndedBeforeGang);
 
-vitest.describe("a run that counted as over", () => {
+vitest.describe("a run that was presumed ended", () => {
   vitest.it(
-    "is told of once, with its evidence, when it is shown",
+    "is logged once, with its evidence, when it is reported",
     async () => {
       const { clock, assignment, ends, metrics, sentences } = createFixture();
       ends.noteEnd(assignment, ENDED_FIRST);
@@ -63,8 +64,8 @@
       ends.checkView(viewOf({ held: true }));
       ends.checkView(viewOf({ held: true }));
       vitest.expect(sentences).toEqual([
-        "Run 1 of w.0.0.0 counted as over 300 ms ago (ended-first), and on i-1 " +
-        "it is still there.",
+        "Run 1 of w.0.0.0 was presumed ended 300 ms ago (ended-first), but " +
+        "endpoint i-1 still holds it.",
       ]);
       const evidence = "ended-first";
       vitest.expect(metrics.get("cairngate_runs_outlived_total", { evidence }))
@@ -72,17 +73,17 @@
     },
   );
 
-  vitest.it("is told of when its end is listed later", () => {
+  vitest.it("is logged when its end is reported later", () => {
     const { assignment, ends, sentences } = createFixture();
     ends.noteEnd(assignment, ENDED_FIRST);
     ends.checkView(viewOf({ ended: true }));
     vitest.expect(sentences).toEqual([
-      "Run 1 of w.0.0.0 counted as over 0 ms ago (ended-first), and on i-1 " +
-      "it has ended as broken.",
+      "Run 1 of w.0.0.0 was presumed ended 0 ms ago (ended-first), but " +
+      "endpoint i-1 reports it as broken.",
     ]);
   });
 
-  vitest.it("is not told of where its endpoint listed the end", () => {
+  vitest.it("is not logged if its endpoint reported the end", () => {
     const { assignment, ends, sentences } = createFixture();
     const how = Workflow.RunEnd.Broken;
     ends.noteEnd(assignment, { how, checkpoint: "", cause: null });
--- a/packages/coordinator/src/sessions/present_life.ts
+++ b/packages/coordinator/src/sessions/present_life.ts
@@ -1,49 +1,48 @@
 /**
- * Which life of an endpoint answers under its id. Lives of one id follow one
- * another, and each answer tells the birth of its own. Which of two births is the
- * later one follows from the order of our calls and not from the births: a time of
- * day may have been set back between them.
+ * Identifies the incarnation of an endpoint that answers under its id. Incarnations
+ * of one id follow one another, and each answer contains a birth time. The order of
+ * calls decides which of two incarnations is newer, not their birth times: the clock
+ * may have been set back in between.
  */
 
-/** A moment of this session; moments rise with each order and each answer. */
+/** Sequence number of an order or an answer within this session. */
 export type EventNumber = number;
 
-/** Whose answer it is. */
+/** Incarnation from which an answer came. */
 export enum AnswerOrigin {
-  /** The life that is known, or the first one that is heard. */
+  /** The known incarnation, or the first one that answers. */
   Current = "known",
-  /** One that has begun since the known one answered last. */
+  /** An incarnation that started after the last answer of the known one. */
   Newer = "later",
-  /** Perhaps a former one: the order left before the known one answered last. */
+  /** Possibly an earlier one: the order was sent before the last known answer. */
   Unclear = "unclear",
 }
 
-/** The life that answered last. */
+/** The incarnation that answered last. */
 export class CurrentIncarnation {
   #bornMs: number | null = null;
   #hasAnswered = false;
   #lastEvent: EventNumber = 0;
   #answeredAt: EventNumber = 0;
 
-  /** Its birth; null before it was heard, or where it tells none. */
+  /** Its birth time; null before the first answer, or if it reports none. */
   get bornMs(): number | null {
     return this.#bornMs;
   }
 
-  /** Whether any life was heard. */
+  /** Whether any incarnation has answered. */
   get hasAnswered(): boolean {
     return this.#hasAnswered;
   }
 
-  /** The moment at which an order leaves. */
+  /** Returns the sequence number of an order that is sent now. */
   noteSent(): EventNumber {
     return ++this.#lastEvent;
   }
 
   /**
-   * Takes in the birth that an answer tells. Whoever answers an order that left
-   * after the known life's last answer lives after it, so it is that life or a later
-   * one.
+   * Evaluates the birth time in an answer. An incarnation that answers an order sent
+   * after the last answer of the known one is the known one or a newer one.
    */
   noteAnswer(bornMs: number | null, leftAt: EventNumber): AnswerOrigin {
     const isOther = this.#hasAnswered && bornMs !== this.#bornMs;
--- a/packages/coordinator/src/sessions/present_life_test.ts
+++ b/packages/coordinator/src/sessions/present_life_test.ts
@@ -1,57 +1,61 @@
-/** Which of two lives is the later one. */
+/** Determines which of two incarnations is the newer one. */
 import * as vitest from "vitest";
 import * as currentIncarnations from "./present_life.ts";
 
 const { AnswerOrigin } = currentIncarnations;
 
-vitest.describe("the life that answers", () => {
-  vitest.it("is the first one that is heard, also one without a birth", () => {
+vitest.describe("the incarnation that answers", () => {
+  vitest.it("is the first one to answer, even without a birth time", () => {
     for (const bornMs of [null, 5000]) {
-      const life = new currentIncarnations.CurrentIncarnation();
-      vitest.expect(life.noteAnswer(bornMs, life.noteSent())).toBe(
-        AnswerOrigin.Current,
-      );
-      vitest.expect(life.noteAnswer(bornMs, life.noteSent())).toBe(
-        AnswerOrigin.Current,
-      );
-      vitest.expect(life.bornMs).toBe(bornMs);
+      const incarnation = new currentIncarnations.CurrentIncarnation();
+      vitest.expect(incarnation.noteAnswer(bornMs, incarnation.noteSent()))
+        .toBe(
+          AnswerOrigin.Current,
+        );
+      vitest.expect(incarnation.noteAnswer(bornMs, incarnation.noteSent()))
+        .toBe(
+          AnswerOrigin.Current,
+        );
+      vitest.expect(incarnation.bornMs).toBe(bornMs);
     }
   });
 
-  vitest.it("is a later one where it answers a later order", () => {
-    const life = new currentIncarnations.CurrentIncarnation();
-    life.noteAnswer(5000, life.noteSent());
-    vitest.expect(life.noteAnswer(9000, life.noteSent())).toBe(
+  vitest.it("is a newer one if it answers a later order", () => {
+    const incarnation = new currentIncarnations.CurrentIncarnation();
+    incarnation.noteAnswer(5000, incarnation.noteSent());
+    vitest.expect(incarnation.noteAnswer(9000, incarnation.noteSent())).toBe(
       AnswerOrigin.Newer,
     );
-    vitest.expect(life.bornMs).toBe(9000);
+    vitest.expect(incarnation.bornMs).toBe(9000);
   });
 
-  vitest.it("is a later one though its time of day was set back", () => {
-    const life = new currentIncarnations.CurrentIncarnation();
-    life.noteAnswer(5000, life.noteSent());
-    vitest.expect(life.noteAnswer(3000, life.noteSent())).toBe(
+  vitest.it("is a newer one although its clock was set back", () => {
+    const incarnation = new currentIncarnations.CurrentIncarnation();
+    incarnation.noteAnswer(5000, incarnation.noteSent());
+    vitest.expect(incarnation.noteAnswer(3000, incarnation.noteSent())).toBe(
       AnswerOrigin.Newer,
     );
-    vitest.expect(life.noteAnswer(3000, life.noteSent())).toBe(
+    vitest.expect(incarnation.noteAnswer(3000, incarnation.noteSent())).toBe(
       AnswerOrigin.Current,
     );
   });
 
-  vitest.it("is not shown by an answer that was overtaken", () => {
-    const life = new currentIncarnations.CurrentIncarnation();
-    life.noteAnswer(5000, life.noteSent());
-    const slow = life.noteSent();
-    const quick = life.noteSent();
-    vitest.expect(life.noteAnswer(9000, quick)).toBe(AnswerOrigin.Newer);
-    vitest.expect(life.noteAnswer(5000, slow)).toBe(AnswerOrigin.Unclear);
-    vitest.expect(life.bornMs).toBe(9000);
+  vitest.it("is not determined by an answer that was overtaken", () => {
+    const incarnation = new currentIncarnations.CurrentIncarnation();
+    incarnation.noteAnswer(5000, incarnation.noteSent());
+    const slow = incarnation.noteSent();
+    const quick = incarnation.noteSent();
+    vitest.expect(incarnation.noteAnswer(9000, quick)).toBe(AnswerOrigin.Newer);
+    vitest.expect(incarnation.noteAnswer(5000, slow)).toBe(
+      AnswerOrigin.Unclear,
+    );
+    vitest.expect(incarnation.bornMs).toBe(9000);
   });
 
-  vitest.it("is another one where it tells no birth any more", () => {
-    const life = new currentIncarnations.CurrentIncarnation();
-    life.noteAnswer(5000, life.noteSent());
-    vitest.expect(life.noteAnswer(null, life.noteSent())).toBe(
+  vitest.it("is another one if it stops reporting a birth time", () => {
+    const incarnation = new currentIncarnations.CurrentIncarnation();
+    incarnation.noteAnswer(5000, incarnation.noteSent());
+    vitest.expect(incarnation.noteAnswer(null, incarnation.noteSent())).toBe(
       AnswerOrigin.Newer,
     );
   });
--- a/packages/coordinator/src/sessions/run_pace.ts
+++ b/packages/coordinator/src/sessions/run_pace.ts
@@ -1,6 +1,6 @@
 /**
- * How a run comes on, by what its worker tells. Times are those of the worker's
- * own clock, so that an answer that is late says nothing about the pace.
+ * Measures the progress that an endpoint reports for a run. Times are those of the
+ * endpoint's clock, so that the delay of an answer does not affect the pace.
  */
 
 interface Sample {
@@ -8,19 +8,19 @@
   readonly percent: number;
 }
 
-/** Progress within this time is recent. */
+/** Time span of recent progress, in ms. */
 const RECENT_WINDOW_MS = 1300;
-/** Progress over less time says too little. */
+/** Minimum time span for a recent rate, in ms; shorter ones are too inaccurate. */
 const MIN_RECENT_SPAN_MS = 450;
-/** The same for what came before, in ms: twice as long, as it is compared with. */
+/** Minimum time span for the earlier rate, in ms: longer, as it is the reference. */
 const MIN_EARLIER_SPAN_MS = 1000;
-/** A member of a gang that waits for the others comes no further. */
+/** Progress of a finished run, also of a gang member that waits for the others. */
 const DONE_PERCENT = 100;
 
-/** The pace of one run, from the first look at it. */
+/** Pace of one run since its first report. */
 export class RunPace {
   readonly #first: Sample;
-  /** Recent samples, and the last one before them; oldest first. */
+  /** Recent samples and the last one before them; oldest first. */
   #samples: Sample[];
 
   constructor(atMs: number, percent: number) {
@@ -28,7 +28,7 @@
     this.#samples = [this.#first];
   }
 
-  /** Takes in what a look has shown. */
+  /** Adds a reported sample. */
   addSample(atMs: number, percent: number): void {
     if (this.percent >= DONE_PERCENT || atMs <= this.#last.atMs) return;
     this.#samples.push({ atMs, percent });
@@ -38,32 +38,32 @@
     }
   }
 
-  /** Share that is done, 0 to 100. */
+  /** Progress in percent, 0 to 100. */
   get percent(): number {
     return this.#last.percent;
   }
 
-  /** Time for which the run was watched. */
+  /** Time between the first and the last sample, in ms. */
   get watchedMs(): number {
     return this.#last.atMs - this.#first.atMs;
   }
 
-  /** Share that came in the time watched. */
+  /** Progress in percent between the first and the last sample. */
   get came(): number {
     return this.#last.percent - this.#first.percent;
   }
 
-  /** Percent per millisecond of late; null while too little is known. */
+  /** Recent rate in percent per ms; null if there are too few samples. */
   get recentRate(): number | null {
     return rateBetween(this.#samples[0], this.#last, MIN_RECENT_SPAN_MS);
   }
 
-  /** Percent per millisecond before that; null while too little is known. */
+  /** Rate before that in percent per ms; null if there are too few samples. */
   get earlierRate(): number | null {
     return rateBetween(this.#first, this.#samples[0], MIN_EARLIER_SPAN_MS);
   }
 
-  /** Time that is left at the pace so far; null while too little is known. */
+  /** Remaining time at the current rate, in ms; null if no rate is known. */
   get remainingMs(): number | null {
     const rate = this.recentRate ??
       rateBetween(this.#first, this.#last, MIN_RECENT_SPAN_MS);
--- a/packages/coordinator/src/sessions/run_starter.ts
+++ b/packages/coordinator/src/sessions/run_starter.ts
@@ -1,4 +1,4 @@
-/** Sends the start of a run until its fate is known. */
+/** Sends the start of a run until its outcome is known. */
 import * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
@@ -7,48 +7,50 @@
 import type * as assignments from "./occupant.ts";
 import type * as ports from "../ports.ts";
 
-/** What is known after the tries. */
+/** What is known after the attempts. */
 export enum StartOutcome {
-  /** The worker holds the run. */
+  /** The endpoint holds the run. */
   Running = "running",
-  /** It ran or was stopped there before: a look tells which. */
+  /** The run was started or stopped there before: a poll shows which. */
   AlreadyHandled = "earlier",
-  /** The worker is well and did not take it. */
+  /** The endpoint is healthy and did not accept the run. */
   Refused = "refused",
-  /** The worker could not be reached, or is not well: it is not there. */
+  /** The endpoint was unreachable or is not healthy, so it does not have the run. */
   NotDelivered = "not-there",
-  /** It may be there, or arrive later. */
+  /** The run may be there, or its start may be delivered later. */
   MayBeDelivered = "may-be-there",
-  /** Another life of the worker answered; a try before may have reached it. */
+  /**
+   * Another incarnation answered; an earlier attempt may have reached the former one.
+   */
   Replaced = "replaced",
-  /** Another life answered the first try: the run never was there. */
+  /** Another incarnation answered the first attempt: the run was never there. */
   ReplacedBefore = "replaced-before",
-  /** A later coordinator gives the orders. */
+  /** A later coordinator is in charge. */
   Fenced = "fenced",
 }
 
-/** Outcome, with the worker's clock where it answered well. */
+/** Outcome, with the clock of the endpoint if it accepted the start. */
 export interface StartReport {
   readonly outcome: StartOutcome;
   readonly clockMs: number | null;
 }
 
-/** Nothing was sent, so nothing can be there. */
+/** Nothing was sent, so the endpoint cannot have the run. */
 export const NEVER_SENT: StartReport = {
   outcome: StartOutcome.NotDelivered,
   clockMs: null,
 };
 
-/** What a starter needs. */
+/** Dependencies of a starter. */
 export interface RunStarterOptions {
   readonly ports: ports.CoordinatorPorts;
   readonly term: terms.Term;
   readonly ref: Ports.EndpointRef;
   /** Delay of this box. */
   readonly load: loads.BoxLoad;
-  /** End of a lease that begins now, on the worker's clock. */
+  /** End of a lease that begins now, on the endpoint's clock. */
   readonly leaseEnd: () => number;
-  /** A try had no answer: it may be carried out later. */
+  /** Receives each attempt without an answer, which may be executed later. */
   readonly onUnanswered: (run: Ports.RunRef) => void;
   /** Whether the run is still wanted. */
   readonly isWanted: (assignment: assignments.Occupant) => boolean;
@@ -58,7 +60,7 @@
 const MAX_ATTEMPTS = 2;
 const RETRY_DELAY_MS = 150;
 
-/** Starts runs on one worker. */
+/** Starts runs on one endpoint. */
 export class RunStarter {
   readonly #options: RunStarterOptions;
 
@@ -67,9 +69,9 @@
   }
 
   /**
-   * Sends the start; an unanswered one is sent again under the same run, which
-   * does nothing where it has arrived. A refusal proves nothing about an earlier
-   * try that got no answer: that one may still arrive.
+   * Sends the start. An unanswered one is sent again for the same run, which has no
+   * effect where the run has already started. A refusal proves nothing about an
+   * earlier unanswered attempt, which may still be delivered.
    */
   send(assignment: assignments.Occupant): Effect.Effect<StartReport> {
     return Effect.gen({ self: this }, function* () {
@@ -139,7 +141,7 @@
     const reason = err._tag === "OrderRefusedError" ? err.reason : "replaced";
     metrics.count("cairngate_starts_refused_total", { reason });
     const { task, run } = assignment;
-    log.info(`Start of ${task.name} run ${run}: ${err.message}`);
+    log.info(`Start of ${task.name} run ${run} failed: ${err.message}`);
     if (err._tag === "WorkerReplacedError") return StartOutcome.ReplacedBefore;
     switch (err.reason) {
       case Errors.OrderRefusal.Fenced:
--- a/packages/coordinator/src/sessions/session_listener.ts
+++ b/packages/coordinator/src/sessions/session_listener.ts
@@ -1,4 +1,4 @@
-/** What a session with a worker tells the coordinator. */
+/** Events that a session with an endpoint reports to the coordinator. */
 import type * as Ports from "@cairngate/ports";
 import * as Workflow from "@cairngate/workflow";
 import type * as Effect from "effect/Effect";
@@ -9,98 +9,105 @@
 
 /** Why a run counts as lost. */
 export enum LostCause {
-  /** Its endpoint has gone, and had told so or was still answering. */
+  /** Its endpoint has left, after it was draining or while it still answered. */
   Left = "left",
   LeaseExpired = "lease-out",
-  /** The ends of all others of its gang show it, and its endpoint is not heard. */
+  /** The ends of its whole gang show it, and its endpoint does not answer. */
   EndedBeforeGang = "ended-first",
-  /** The endpoint answers and holds no such run. */
+  /** The endpoint answers and does not hold the run. */
   NotHeld = "not-held",
   Refused = "refused",
   NeverSent = "never-sent",
   NotWanted = "not-wanted",
-  /** The endpoint's listing changed between the plan and the start. */
+  /** The listing of the endpoint changed between the plan and the start. */
   NoRoom = "no-room",
   /** Its data centre was evacuated between the plan and the start. */
   Evacuated = "evacuated",
 }
 
 const REASON_OF: Readonly<Record<LostCause, string>> = {
-  [LostCause.Left]: "its endpoint has left as announced",
-  [LostCause.LeaseExpired]: "its lease ran out unheard",
+  [LostCause.Left]: "its endpoint has left",
+  [LostCause.LeaseExpired]:
+    "its lease expired without an answer of its endpoint",
   [LostCause.EndedBeforeGang]:
-    "all others of its gang broke, so it ended first, and its endpoint is not heard",
+    "the ends of its gang show that it ended first, and its endpoint is silent",
   [LostCause.NotHeld]: "its endpoint does not hold it",
   [LostCause.Refused]: "its start was refused",
   [LostCause.NeverSent]: "its start did not reach the endpoint",
-  [LostCause.NotWanted]: "nobody wants it any more",
-  [LostCause.NoRoom]: "its endpoint drains or its room has shrunk",
-  [LostCause.Evacuated]: "its data centre is evacuated, or may be by now",
+  [LostCause.NotWanted]: "it was no longer needed",
+  [LostCause.NoRoom]: "its endpoint is draining or has too little capacity",
+  [LostCause.Evacuated]: "its data centre is being evacuated, or may be",
 };
 
-/** A cause for the log. */
+/** Describes a cause for the log. */
 export function describeCause(cause: LostCause): string {
   return REASON_OF[cause];
 }
 
-/** The end of a run, for the coordinator. */
+/** The end of a run as reported to the coordinator. */
 export interface SessionEnd {
   readonly how: Workflow.RunEnd;
   readonly checkpoint: string;
-  /** Why it counts as lost; null where it does not. */
+  /** Why it counts as lost; null if it does not. */
   readonly cause: LostCause | null;
-  /** Of a crash: what is known of who is to blame. */
+  /** Evidence on the cause of a crash. */
   readonly crash?: Workflow.CrashEvidence;
-  /** Of a lost run: how it ended may still be told. */
+  /** Whether the actual end of a lost run may still be reported. */
   readonly isOpen?: boolean;
 }
 
-/** The worker at which something happened. */
+/** The endpoint of a session. */
 export interface SessionWorker {
   readonly ref: Ports.EndpointRef;
   readonly health: healths.EndpointHealth;
 }
 
-/** Told by a session of what happens at its worker. */
+/** Receives the events of a session. */
 export abstract class SessionListener {
-  /** A run is over; the effect ends when that is recorded. */
+  /** Handles the end of a run; the effect completes when the end is recorded. */
   abstract runEnded(
-    worker: SessionWorker,
+    endpoint: SessionWorker,
     assignment: assignments.Occupant,
     end: SessionEnd,
   ): Effect.Effect<void>;
   /**
-   * More is known of a run that was over for the session before. The effect ends
-   * when that is recorded.
+   * Handles news of a run that was already over for the session; the effect completes
+   * when they are recorded.
    */
   abstract lateEnd(
-    worker: SessionWorker,
+    endpoint: SessionWorker,
     run: unreportedRuns.UnheardRun,
     end: SessionEnd,
   ): Effect.Effect<void>;
   /**
-   * An endpoint reports a run as done that the session no longer tracks. The effect
-   * ends when that is recorded.
+   * Handles a run that an endpoint reports as done and the session no longer tracks;
+   * the effect completes when that is recorded.
    */
   abstract unexpectedDone(
-    worker: SessionWorker,
+    endpoint: SessionWorker,
     ended: Ports.EndedRun,
   ): Effect.Effect<void>;
   /**
-   * The endpoint of a run that is over is not heard, and not listed or the task is in
-   * doubt.
+   * Handles a run that is over and whose endpoint does not answer, where the endpoint
+   * is not listed or the task may have crashed it.
    */
-  abstract runGone(worker: SessionWorker, run: unreportedRuns.UnheardRun): void;
-  /** More endpoints crashed at once than was known when these crashes were counted. */
+  abstract runGone(
+    endpoint: SessionWorker,
+    run: unreportedRuns.UnheardRun,
+  ): void;
+  /** Handles crashes that were part of a larger outage than known when counted. */
   abstract crashExcused(
     victims: readonly silences.Victim[],
     fellows: Workflow.CrashFellows,
   ): void;
-  /** Another life has begun under the endpoint's id: what was known of it is over. */
-  abstract lifeBegan(worker: SessionWorker): void;
-  /** A run is confirmed to be there. */
+  /**
+   * Handles a new incarnation under the endpoint's id, which invalidates what was
+   * known of the endpoint.
+   */
+  abstract lifeBegan(endpoint: SessionWorker): void;
+  /** Handles the confirmation that the endpoint holds a run. */
   abstract runConfirmed(assignment: assignments.Occupant): void;
-  /** The room or the reach of the worker has changed. */
+  /** Handles a change of the capacity or the reachability of the endpoint. */
   abstract roomChanged(): void;
 }
 
@@ -113,19 +120,19 @@
   alone: Workflow.RunEnd.Alone,
 };
 
-/** An end in the worker's words, for the coordinator. */
+/** Converts an end as named by endpoints. */
 export function toSessionEnd(ended: Ports.EndedRun): SessionEnd {
   const { how, checkpoint } = ended;
   return { how: END_OF_KIND[how], checkpoint, cause: null };
 }
 
-/** The end of a run that is nowhere any more. */
+/** Creates the end of a run that does not run anywhere any more. */
 export function lost(cause: LostCause): SessionEnd {
   const isOpen = cause === LostCause.EndedBeforeGang;
   return { how: Workflow.RunEnd.Lost, checkpoint: "", cause, isOpen };
 }
 
-/** The end of a run whose endpoint has crashed. */
+/** Creates the end of a run whose endpoint has crashed. */
 export function crashed(crash: Workflow.CrashEvidence): SessionEnd {
   const how = Workflow.RunEnd.Crashed;
   return { how, checkpoint: "", cause: null, crash };
--- a/packages/coordinator/src/sessions/session_options.ts
+++ b/packages/coordinator/src/sessions/session_options.ts
@@ -1,4 +1,4 @@
-/** What a session with an endpoint is given, for all its parts. */
+/** Dependencies and parameters of a session with an endpoint, shared by its parts. */
 import type * as Ports from "@cairngate/ports";
 import type * as Workflow from "@cairngate/workflow";
 import type * as silences from "../endpoints/silence_log.ts";
@@ -9,31 +9,31 @@
 import type * as unansweredStarts from "./loose_starts.ts";
 import type * as listeners from "./session_listener.ts";
 
-/** What a session needs. */
+/** Dependencies and parameters of a session. */
 export interface SessionOptions {
   readonly ports: ports.CoordinatorPorts;
   readonly term: terms.Term;
   readonly listener: listeners.SessionListener;
   readonly recovery: recoveries.Recovery;
   readonly ref: Ports.EndpointRef;
-  /** Birth that its entry tells; null: none. */
+  /** Birth time named by its entry; null if there is none. */
   readonly listedBornMs: number | null;
   /** Unanswered starts, including those of earlier sessions with this endpoint. */
   readonly loose: unansweredStarts.LooseStarts;
-  /** Our time by which leases of earlier coordinators have run out. */
+  /** Time of this box's clock by which leases of earlier coordinators have expired. */
   readonly lapsesAtMs: number;
-  /** Delay of this box; one for all sessions. */
+  /** Delay of this box; shared by all sessions. */
   readonly load: loads.BoxLoad;
-  /** Longest time between two looks at runs that come on, in ms. */
+  /** Maximum time between two polls at runs that report progress, in ms. */
   readonly progressWaitMs: () => number;
-  /** Whether its listing still lets it run these tasks together. */
+  /** Whether its listing still allows these tasks to run together. */
   readonly mayHold: (tasks: readonly Workflow.Task[]) => boolean;
-  /** Where it stands; nothing starts there while the operator evacuates it. */
+  /** Data centre of the endpoint; nothing starts there while it is evacuated. */
   readonly dataCentre: string;
-  /** Which endpoints have fallen silent or crashed; one for all sessions. */
+  /** Endpoints that are silent or have crashed; shared by all sessions. */
   readonly silences: silences.SilenceLog;
-  /** Another endpoint is known at its address: only an answer tells whose it is. */
+  /** Whether another endpoint is known at its address; it has to answer first. */
   readonly isContested: boolean;
-  /** Told of each answer of this life: no other one is at its address. */
+  /** Receives each answer of this incarnation: no other one is at its address. */
   readonly onHeard: (ref: Ports.EndpointRef) => void;
 }
--- a/packages/coordinator/src/sessions/session_parts.ts
+++ b/packages/coordinator/src/sessions/session_parts.ts
@@ -1,4 +1,4 @@
-/** The parts of one session, each with its one job, wired to each other. */
+/** Creates the parts of one session and connects them. */
 import * as endpointEnds from "./endpoint_ends.ts";
 import * as pollers from "./endpoint_look.ts";
 import * as endpointOrders from "./endpoint_orders.ts";
@@ -13,14 +13,14 @@
 import * as startReports from "./start_reports.ts";
 import * as views from "./view_reader.ts";
 
-/** What all parts know. */
+/** Parts that all other ones use. */
 interface SharedParts {
   readonly options: sessionOptions.SessionOptions;
   readonly state: endpointStates.EndpointState;
   readonly runs: endpointRuns.EndpointRuns;
 }
 
-/** The parts that a session calls. */
+/** Parts that a session calls. */
 export interface SessionParts extends SharedParts {
   readonly ends: endpointEnds.EndpointEnds;
   readonly stops: endpointStops.EndpointStops;
@@ -30,12 +30,12 @@
   readonly lateStarts: lateStartGuards.LateStartGuard;
 }
 
-/** Makes the parts of one session. */
+/** Creates the parts of one session. */
 export function createParts(
   options: sessionOptions.SessionOptions,
 ): SessionParts {
   const state = new endpointStates.EndpointState(options);
-  // Books of runs and stops need each other; nothing is sealed before all stand.
+  // Runs and stops depend on each other; no start is blocked before all parts exist.
   const runs = new endpointRuns.EndpointRuns({
     options,
     state,
@@ -78,7 +78,7 @@
     ends,
     stops,
     viewReader,
-    poller: poller,
+    poller,
     starts,
     lateStarts,
   };
--- a/packages/coordinator/src/sessions/start_looks.ts
+++ b/packages/coordinator/src/sessions/start_looks.ts
@@ -1,25 +1,25 @@
-/** Looks that are made at an endpoint before a run starts there. */
+/** Polls an endpoint before a run starts there. */
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
 import * as pollers from "./endpoint_look.ts";
 import type * as endpointStates from "./endpoint_state.ts";
 
-/** What they work with. */
+/** Dependencies of the polls. */
 export interface PreStartPollsOptions {
   readonly state: endpointStates.EndpointState;
   readonly poller: pollers.EndpointPoller;
 }
 
 /**
- * Looks that are made for the endpoint's clock before a start: the first one may
- * go over a connection that has turned silent, the second goes over a new one.
+ * Maximum number of polls for the endpoint's clock before a start: the first one may
+ * use a connection that is silent, the second one opens a new one.
  */
 const MAX_CLOCK_POLLS = 2;
 
-/** Those of one endpoint. */
+/** Polls one endpoint before starts. */
 export class PreStartPolls {
   readonly #options: PreStartPollsOptions;
-  /** Done when the look that starts wait for has ended; null while there is none. */
+  /** Completes when the poll that starts wait for has ended; null if there is none. */
   #sharedPoll: Deferred.Deferred<void> | null = null;
 
   constructor(options: PreStartPollsOptions) {
@@ -27,9 +27,9 @@
   }
 
   /**
-   * A lease is told in the endpoint's own time, which only an answer of the present
-   * life tells. So no life is given a start before it has answered this coordinator;
-   * from then on it takes no order of an earlier one.
+   * Reads the endpoint's clock, which leases refer to and which only an answer of the
+   * current incarnation contains. So no incarnation receives a start before it has
+   * answered this coordinator; after that it refuses orders of earlier ones.
    */
   readClock(): Effect.Effect<boolean> {
     const { state } = this.#options;
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Asks before a task starts that may crash its endpoint: only a start that follows
-   * an answer tells whether the endpoint ended under it or before.
+   * Polls before the start of a task that may crash its endpoint: only if an answer
+   * precedes the start, a crash can be attributed to the run.
    */
   isAlive(): Effect.Effect<boolean> {
     const { state, poller } = this.#options;
@@ -54,7 +54,7 @@
     );
   }
 
-  /** One look for all starts that wait for it: up to eight come at once. */
+  /** Sends one poll for all waiting starts: up to eight start at once. */
   #pollShared(): Effect.Effect<void> {
     return Effect.suspend(() => {
       if (this.#sharedPoll !== null) return Deferred.await(this.#sharedPoll);
--- a/packages/coordinator/src/sessions/start_reports.ts
+++ b/packages/coordinator/src/sessions/start_reports.ts
@@ -1,4 +1,4 @@
-/** What follows from the report of a start at one endpoint. */
+/** Handles the outcomes of starts at one endpoint. */
 import * as Effect from "effect/Effect";
 import type * as endpointEnds from "./endpoint_ends.ts";
 import * as pollers from "./endpoint_look.ts";
@@ -12,7 +12,7 @@
 
 const { LostCause, lost } = listeners;
 
-/** What the reports work with. */
+/** Dependencies of the handler. */
 export interface StartReportHandlerOptions {
   readonly options: sessionOptions.SessionOptions;
   readonly state: endpointStates.EndpointState;
@@ -22,7 +22,7 @@
   readonly poller: pollers.EndpointPoller;
 }
 
-/** Reports of one endpoint. */
+/** Handles start reports of one endpoint. */
 export class StartReportHandler {
   readonly #options: StartReportHandlerOptions;
 
@@ -30,15 +30,15 @@
     this.#options = options;
   }
 
-  /** Takes in the report of a run that is still waited for. */
+  /** Handles the report of a run that is still tracked. */
   handle(
     assignment: assignments.Occupant,
     report: starters.StartReport,
   ): Effect.Effect<void> {
     const { state, runs, ends, stops, options } = this.#options;
-    const { tracked, previous: previous } = runs;
+    const { tracked, previous } = runs;
     const nowMs = options.ports.clock.monotonicMs();
-    // Its life has ended meanwhile; what became of it the present one shows.
+    // Its incarnation has ended; the current one shows whether it has the run.
     if (previous.has(assignment)) return Effect.void;
     switch (report.outcome) {
       case starters.StartOutcome.Running:
@@ -51,13 +51,13 @@
       case starters.StartOutcome.Replaced:
         return ends.endAll();
       case starters.StartOutcome.ReplacedBefore:
-        // No crash under this run: the life that it was meant for was over.
+        // No crash under this run: the incarnation it was sent to had ended before.
         return Effect.andThen(
           tracked.end(assignment, lost(LostCause.NeverSent)),
           ends.endAll(),
         );
       case starters.StartOutcome.Fenced:
-        options.term.lose("a worker has seen a higher token");
+        options.term.lose("an endpoint has received a higher fencing token");
         return Effect.void;
       case starters.StartOutcome.Refused:
         state.health.refused(nowMs);
@@ -78,7 +78,7 @@
   ): void {
     const { state, options: { listener } } = this.#options;
     state.incarnation.clock.read(clockMs ?? 0, nowMs);
-    // A run that resumes from a checkpoint does not begin at nothing.
+    // A run that resumes from a checkpoint does not begin at 0 %.
     if (clockMs !== null && assignment.task.checkpoint === "") {
       assignments.noteProgress(assignment, 0, { clockMs, nowMs });
     }
@@ -87,7 +87,7 @@
     listener.runConfirmed(assignment);
   }
 
-  /** The look tells what takes the room, and the endpoint's clock. */
+  /** Ends a refused run after a poll, which reads the runs there and the clock. */
   #endRefused(assignment: assignments.Occupant): Effect.Effect<void> {
     const { poller, runs: { tracked } } = this.#options;
     return Effect.andThen(
--- a/packages/coordinator/src/sessions/stray_runs.ts
+++ b/packages/coordinator/src/sessions/stray_runs.ts
@@ -1,16 +1,16 @@
-/** Runs that one worker holds and nobody expects. */
+/** Runs that one endpoint holds although they are not expected there. */
 import type * as Ports from "@cairngate/ports";
 
-/** The strays of the last look. */
+/** Unexpected runs of the latest poll. */
 export class UnexpectedRuns {
   readonly #runs = new Map<string, Ports.RunRef>();
 
-  /** How many there are. */
+  /** Number of unexpected runs. */
   get count(): number {
     return this.#runs.size;
   }
 
-  /** The strays of a new look; tells whether the last of them has gone. */
+  /** Replaces the runs by those of a new poll; returns whether the last has gone. */
   replace(runs: readonly Ports.RunRef[]): boolean {
     const hadAny = this.#runs.size > 0;
     this.#runs.clear();
@@ -18,13 +18,13 @@
     return hadAny && runs.length === 0;
   }
 
-  /** A run has ended; it may have been a stray. */
+  /** Notes the end of a run, which may have been unexpected. */
   noteEnded(run: Ports.RunRef): void {
     this.#runs.delete(runName(run));
   }
 }
 
-/** Name of a run for logs. */
+/** Name of a run for logs and as a key. */
 export function runName({ task, run }: Ports.RunRef): string {
   return `${task}@${run}`;
 }
--- a/packages/coordinator/src/sessions/unheard_runs.ts
+++ b/packages/coordinator/src/sessions/unheard_runs.ts
@@ -1,6 +1,6 @@
 /**
- * Runs of one endpoint that are over for the coordinator although the endpoint
- * has not told how they ended. It may tell later, or turn out to have crashed.
+ * Runs of one endpoint that are over for the coordinator although the endpoint has
+ * not reported their ends. It may report them later, or turn out to have crashed.
  */
 import type * as Ports from "@cairngate/ports";
 import type * as Workflow from "@cairngate/workflow";
@@ -10,27 +10,27 @@
 export interface UnheardRun {
   readonly task: Workflow.Task;
   readonly run: number;
-  /** How sure it is that its endpoint had it. */
+  /** How certain it is that its endpoint had it. */
   readonly presence: Workflow.Presence;
-  /** Birth of the life that it was sent to; null: not told, or not known. */
+  /** Birth time of the incarnation that it was sent to; null if unknown. */
   readonly bornMs: number | null;
 }
 
-/** Those of one session. */
+/** Unreported runs of one session. */
 export class UnreportedRuns {
   readonly #runs = new Map<string, UnheardRun>();
 
-  /** All of them. */
+  /** All unreported runs. */
   get all(): readonly UnheardRun[] {
     return [...this.#runs.values()];
   }
 
-  /** A run is over, and how it ended is not known. */
+  /** Adds a run that is over and whose end is not known. */
   add(run: UnheardRun): void {
     this.#runs.set(taskRunName(run), run);
   }
 
-  /** Forgets a run that is told of; null where it is none of these. */
+  /** Removes and returns a run that is reported; null if there is none. */
   take(reported: Ports.RunRef): UnheardRun | null {
     const name = unexpectedRuns.runName(reported);
     const found = this.#runs.get(name) ?? null;
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Forgets the runs that an answering endpoint neither holds nor lists as ended:
-   * it has told all that it knows of them.
+   * Removes and returns the runs that an answering endpoint neither holds nor reports
+   * as ended: it knows nothing more of them.
    */
   takeAbsent(held: readonly Ports.RunRef[]): readonly UnheardRun[] {
     if (this.#runs.size === 0) return [];
@@ -50,7 +50,7 @@
     return unknown;
   }
 
-  /** Forgets all. */
+  /** Removes and returns all runs. */
   takeAll(): readonly UnheardRun[] {
     const all = this.all;
     this.#runs.clear();
--- a/packages/coordinator/src/sessions/view_reader.ts
+++ b/packages/coordinator/src/sessions/view_reader.ts
@@ -1,6 +1,6 @@
 /**
- * Reads what an endpoint tells in answer to a look: which runs it holds, which have
- * ended, and which nobody expects.
+ * Processes the answers to polls: which runs an endpoint holds, which have ended, and
+ * which are not expected there.
  */
 import type * as Logger from "@cairngate/logger";
 import type * as Ports from "@cairngate/ports";
@@ -18,59 +18,59 @@
 
 const { LostCause, lost } = listeners;
 
-/** What the reader works with. */
+/** Dependencies of the reader. */
 export interface ViewReaderOptions {
   readonly clock: Ports.Clock;
   readonly log: Logger.Logger;
   readonly tracked: trackedRuns.TrackedRuns;
-  /** Ends of the life that is present. */
+  /** Reported ends of the current incarnation. */
   readonly ends: () => reportedEnds.ReportedEnds;
-  /** Birth of that life. */
+  /** Birth time of that incarnation. */
   readonly bornMs: () => number | null;
-  /** Runs that former lives had. */
+  /** Runs of previous incarnations. */
   readonly previous: previousRuns.PreviousRuns;
   readonly unreported: unreportedRuns.UnreportedRuns;
   readonly recovery: recoveries.Recovery;
   readonly listener: listeners.SessionListener;
   /** The endpoint, for the listener. */
   readonly endpoint: listeners.SessionWorker;
-  /** Stops a run that nobody expects; it is logged. */
+  /** Stops and logs a run that is not expected. */
   readonly stopUnexpected: (run: Ports.RunRef) => void;
-  /** There is something new to tell the endpoint. */
+  /** Called when recorded ends have to be acknowledged to the endpoint. */
   readonly onRecorded: () => void;
 }
 
-/** Longest time for which a look waits for the records of ends, in ms. */
+/** Maximum time for which a poll waits for the records of ends, in ms. */
 const UNRECORDED_PAUSE_MS = 1000;
 
-/** Reads the views of one life of an endpoint. */
+/** Processes the answers of one endpoint. */
 export class ViewReader {
   readonly #options: ViewReaderOptions;
   readonly #unexpected = new unexpectedRuns.UnexpectedRuns();
-  /** Ends that were listed before the record of their run was read. */
+  /** Ends that were reported before the record of their run was read. */
   readonly #deferredEnds = new Map<string, Deferred.Deferred<void>>();
 
   constructor(options: ViewReaderOptions) {
     this.#options = options;
   }
 
-  /** Runs that nobody expects, as of the last view. */
+  /** Number of unexpected runs in the latest answer. */
   get unexpectedCount(): number {
     return this.#unexpected.count;
   }
 
-  /** Another life begins: what the former one held is not there. */
+  /** Forgets the unexpected runs of the previous incarnation. */
   startIncarnation(): void {
     this.#unexpected.replace([]);
   }
 
-  /** The record of a run has been read. */
+  /** Notes that the record of a run has been read. */
   noteAdopted({ name: task, run }: Workflow.Task): void {
     const ended = this.#deferredEnds.get(unexpectedRuns.runName({ task, run }));
     if (ended !== undefined) Deferred.doneUnsafe(ended, Effect.void);
   }
 
-  /** Takes in a view that was asked for at a time of ours. */
+  /** Processes the answer to a poll that was sent at this time of this box's clock. */
   process(view: Ports.EndpointView, sentAtMs: number): Effect.Effect<void> {
     const { unreported, listener, endpoint, clock, previous } = this.#options;
     const ends = this.#options.ends();
@@ -87,13 +87,16 @@
       if (records.length > 0 || newEnds.length > 0) {
         ends.recordAfter(records, this.#options.onRecorded);
       }
-      // The next look waits for the records, but not without end.
+      // The next poll waits for the records, but only for a limited time.
       if (!ends.hasUnrecorded) return;
       yield* clock.within(UNRECORDED_PAUSE_MS, ends.awaitRecords());
     });
   }
 
-  /** An end under a number that was taken in before names a run taken in then. */
+  /**
+   * Logs ends that are ignored because their number was processed before, although
+   * they name a tracked run.
+   */
   #logIgnoredEnds(
     listed: readonly Ports.EndedRun[],
     newEnds: readonly Ports.EndedRun[],
@@ -104,18 +107,18 @@
       if (newEnds.includes(ended) || tracked.get(task)?.run !== run) continue;
       log.warn(
         `Endpoint ${endpoint.ref.id} lists run ${run} of ${task} as ended ` +
-          `(${how}) under number ${number}, which was taken in before; the ` +
+          `(${how}) under number ${number}, which was processed before; the ` +
           `end is passed over.`,
       );
     }
   }
 
-  /** Ends runs that the endpoint must know of by now and does not show. */
+  /** Ends runs that the endpoint has to report by now and does not. */
   #endMissing(
     confirmed: ReadonlySet<assignments.Occupant>,
     sentAtMs: number,
   ): Effect.Effect<void>[] {
-    const { tracked, previous: previous } = this.#options;
+    const { tracked, previous } = this.#options;
     const missing = tracked.all.filter((assignment) => {
       const { expectedSinceMs, task: { name: task, run } } = assignment;
       return expectedSinceMs !== null && expectedSinceMs < sentAtMs &&
@@ -128,8 +131,7 @@
   }
 
   #processEnd(ended: Ports.EndedRun): Effect.Effect<void> | null {
-    const { recovery, tracked, unreported: unreported, listener, endpoint } =
-      this.#options;
+    const { recovery, tracked, unreported, listener, endpoint } = this.#options;
     this.#unexpected.noteEnded(ended);
     const assignment = tracked.get(ended.task);
     if (assignment !== undefined && assignment.run === ended.run) {
@@ -149,7 +151,7 @@
       : null;
   }
 
-  /** The record that names this run may not be read yet. */
+  /** Defers an end whose run may be named by a record that is not read yet. */
   #deferEnd(ended: Ports.EndedRun): Effect.Effect<void> {
     const name = unexpectedRuns.runName(ended);
     const adopted = Deferred.makeUnsafe<void>();
@@ -165,7 +167,7 @@
     return Effect.andThen(recordRead, take);
   }
 
-  /** Confirms runs that are held; stops those that nobody expects. */
+  /** Confirms runs that are held; stops those that are not expected. */
   #processHeld(view: Ports.EndpointView): Set<assignments.Occupant> {
     const { listener, tracked, clock, bornMs } = this.#options;
     const confirmed = new Set<assignments.Occupant>();
@@ -192,7 +194,7 @@
     return confirmed;
   }
 
-  /** Before all records are read, nobody can tell which runs are strays. */
+  /** Unexpected runs can be determined only after all records are read. */
   #stopUnexpectedRuns(runs: readonly Ports.RunRef[]): void {
     const { listener, recovery, stopUnexpected } = this.#options;
     for (const run of recovery.isComplete ? runs : []) stopUnexpected(run);
