--- a/packages/admission/mod.ts
+++ b/packages/admission/mod.ts
@@ -1,4 +1,4 @@
-/** Decides under hard load whether work that arrives can still be of use. */
+/** Admission control: rejects work that can not be useful under hard load. */
 export {
   type Decision,
   Doubt,
--- a/packages/admission/src/amounts.ts
+++ b/packages/admission/src/amounts.ts
@@ -1,16 +1,16 @@
-/** Sums and comparisons of resources. */
+/** Arithmetic and comparisons on resources. */
 import type * as Workflow from "@cairngate/workflow";
 
 type Resources = Workflow.Resources;
 
-/** Nothing of anything. */
-export const NOTHING: Resources = {
+/** Zero of each resource. */
+export const ZERO: Resources = {
   cpuMillis: 0,
   memoryMb: 0,
   accelerators: 0,
 };
 
-/** An amount made of the same parts of two others. */
+/** Combines two amounts resource by resource. */
 export function combine(
   a: Resources,
   b: Resources,
@@ -23,53 +23,59 @@
   };
 }
 
-/** Both together. */
+/** Adds two amounts. */
 export function add(a: Resources, b: Resources): Resources {
   return combine(a, b, (x, y) => x + y);
 }
 
-/** What is left of the first one; never less than nothing. */
+/** Subtracts the second amount from the first, each resource clamped at 0. */
 export function subtract(a: Resources, b: Resources): Resources {
   return combine(a, b, (x, y) => Math.max(0, x - y));
 }
 
-/** The larger one of each resource. */
-export function larger(a: Resources, b: Resources): Resources {
+/** Returns the larger value of each resource. */
+export function maxOf(a: Resources, b: Resources): Resources {
   return combine(a, b, Math.max);
 }
 
-/** The smaller one of each resource. */
-export function smaller(a: Resources, b: Resources): Resources {
+/** Returns the smaller value of each resource. */
+export function minOf(a: Resources, b: Resources): Resources {
   return combine(a, b, Math.min);
 }
 
-/** An amount so many times. */
-export function times(a: Resources, factor: number): Resources {
+/** Multiplies each resource by a factor. */
+export function scale(a: Resources, factor: number): Resources {
   return combine(a, a, (x) => x * factor);
 }
 
-/** Whether one amount is within another. */
-export function isWithin(need: Resources, room: Resources): boolean {
-  return need.cpuMillis <= room.cpuMillis && need.memoryMb <= room.memoryMb &&
-    need.accelerators <= room.accelerators;
+/** Whether a demand fits into a capacity in each resource. */
+export function isWithin(demand: Resources, capacity: Resources): boolean {
+  return demand.cpuMillis <= capacity.cpuMillis &&
+    demand.memoryMb <= capacity.memoryMb &&
+    demand.accelerators <= capacity.accelerators;
 }
 
-/** How many times a need fits, as a whole number; any number of nothing. */
-export function countFits(need: Resources, room: Resources): number {
-  return Math.floor(ratio(need, room));
+/**
+ * How many whole times a demand fits into a capacity; infinite for an empty demand.
+ */
+export function countFits(demand: Resources, capacity: Resources): number {
+  return Math.floor(ratio(demand, capacity));
 }
 
-/** How many times a need fits. */
-export function ratio(need: Resources, room: Resources): number {
-  const each = combine(
-    need,
-    room,
+/** How many times a demand fits into a capacity, with fractions. */
+export function ratio(demand: Resources, capacity: Resources): number {
+  const ratios = combine(
+    demand,
+    capacity,
     (n, r) => n === 0 ? Number.POSITIVE_INFINITY : r / n,
   );
-  return Math.min(each.cpuMillis, each.memoryMb, each.accelerators);
+  return Math.min(ratios.cpuMillis, ratios.memoryMb, ratios.accelerators);
 }
 
-/** What a task takes of an endpoint; one that fills takes no processor. */
+/**
+ * Resources that a task takes from an endpoint. A task with `fills` set uses only
+ * processor time that others leave, so it reserves none.
+ */
 export function needOf(
   step: Resources & { readonly fills: boolean },
 ): Resources {
--- a/packages/admission/src/decide.ts
+++ b/packages/admission/src/decide.ts
@@ -1,6 +1,6 @@
 /**
- * Decides whether a job is accepted, where teams compete or endpoints differ in
- * speed. Only what surely can't be of use is rejected.
+ * Decides whether a job is accepted where teams compete or endpoints differ in
+ * speed. A job is rejected only if it certainly can not be useful.
  */
 import * as Errors from "@cairngate/errors";
 import type * as Workflow from "@cairngate/workflow";
@@ -11,33 +11,38 @@
 
 const { RejectReason } = Errors;
 
-/** What fits nothing may fit once the fleet has changed: new endpoints take this. */
-const FLEET_CHANGES_MS = 30_000;
+/**
+ * Time in ms after which a job that fits no endpoint may try again: the fleet gains
+ * new endpoints within this time.
+ */
+const FLEET_CHANGE_MS = 30_000;
 
-/** What a decision is made from. */
-export interface Question {
+/** The inputs of an admission decision. */
+export interface AdmissionRequest {
   readonly job: shapes.JobShape;
   readonly known: shapes.Known;
   readonly team: shapes.TeamState;
 }
 
-/** Decides about one job. */
-export function decideAdmission(question: Question): shapes.Decision {
-  const { job, known: { forecast, ageMs } } = question;
+/** Decides whether one job is accepted. */
+export function decideAdmission(request: AdmissionRequest): shapes.Decision {
+  const { job, known: { forecast, ageMs } } = request;
   if (forecast === null) return accept(shapes.Doubt.Unknown);
   if (ageMs > forecasts.STALE_MS) return accept(shapes.Doubt.Stale);
-  if (isGuaranteed(question, forecast)) {
+  if (isGuaranteed(request, forecast)) {
     return accept(shapes.Doubt.Guaranteed);
   }
-  const service = forecast.services.find((one) => one.service === job.service);
+  const service = forecast.services.find((candidate) =>
+    candidate.service === job.service
+  );
   if (service === undefined) return accept(shapes.Doubt.Unknown);
-  const misfit = findMisfit(job, service);
-  if (misfit !== null) return reject(misfit, FLEET_CHANGES_MS);
-  if (job.isTimed) return accept(shapes.Doubt.Timed);
-  return decideByEnd(question, { forecast, service });
+  const mismatch = findCapacityMismatch(job, service);
+  if (mismatch !== null) return reject(mismatch, FLEET_CHANGE_MS);
+  if (job.hasNoDeadline) return accept(shapes.Doubt.NoDeadline);
+  return decideByEndTime(request, { forecast, service });
 }
 
-interface Facts {
+interface ServiceContext {
   readonly forecast: forecasts.Forecast;
   readonly service: forecasts.ServiceForecast;
 }
@@ -53,66 +58,78 @@
   return { verdict: shapes.Verdict.Rejected, reason, returnInMs };
 }
 
-/** Urgent work that its team has paid for; what the team uses is counted low. */
+/**
+ * Whether the job is urgent and within its team's guarantee. The team's use is a
+ * lower bound.
+ */
 function isGuaranteed(
-  { job, team }: Question,
+  { job, team }: AdmissionRequest,
   { urgentUse }: forecasts.Forecast,
 ): boolean {
   if (job.priority > 0) return false;
-  const needs = job.steps.map((step) => step.count * step.accelerators);
+  const acceleratorsByStep = job.steps.map((step) =>
+    step.count * step.accelerators
+  );
   const used = urgentUse.find(([name]) => name === team.team)?.[1] ?? 0;
-  return used + Math.max(0, ...needs) <= team.guaranteed;
+  return used + Math.max(0, ...acceleratorsByStep) <= team.guaranteed;
 }
 
-/** Why a step fits nothing that was seen; null where all may fit. */
-function findMisfit(
+/** Why a step exceeds the largest capacity seen; null if each step may fit. */
+function findCapacityMismatch(
   { steps }: shapes.JobShape,
   { largest, total }: forecasts.ServiceForecast,
 ): Errors.RejectReason | null {
   for (const step of steps) {
-    const need = amounts.needOf(step);
-    if (!amounts.isWithin(need, largest)) return RejectReason.NoEndpoint;
+    const demand = amounts.needOf(step);
+    if (!amounts.isWithin(demand, largest)) return RejectReason.NoEndpoint;
     const members = step.gang ? step.count : 1;
-    const all = amounts.times(need, members);
-    if (!amounts.isWithin(all, total)) return RejectReason.NoFleet;
+    const gangDemand = amounts.scale(demand, members);
+    if (!amounts.isWithin(gangDemand, total)) return RejectReason.NoFleet;
   }
   return null;
 }
 
-function decideByEnd(question: Question, facts: Facts): shapes.Decision {
-  const { job, known: { ageMs } } = question;
-  const curve = curveFor(question, facts.service);
+function decideByEndTime(
+  request: AdmissionRequest,
+  context: ServiceContext,
+): shapes.Decision {
+  const { job, known: { ageMs } } = request;
+  const curve = curveFor(request, context.service);
   if (curve === null) return accept(shapes.Doubt.Unknown);
   const { steps } = job;
-  const limitMs = ageMs + job.usefulForMs;
-  const endMs = (runOf: ends.EndQuery["runOf"]) =>
-    ends.earliestEnd({ steps, curve, fromMs: ageMs, runOf });
-  const { fastest } = facts.service;
-  const shortest = forecasts.SURE_SHARE / fastest;
-  const nearMs = endMs((step) => step.estimateMs * shortest);
-  if (nearMs > limitMs) return reject(RejectReason.TooLate, nearMs - limitMs);
-  const farMs = endMs((step) =>
-    step.estimateMs * shortest * penaltyOf(step, facts)
+  const limitMs = ageMs + job.deadlineInMs;
+  const endMsFor = (runTimeOf: ends.EndQuery["runTimeOf"]) =>
+    ends.earliestEnd({ steps, curve, fromMs: ageMs, runTimeOf });
+  const { fastest } = context.service;
+  const minRunFactor = forecasts.SURE_SHARE / fastest;
+  const endMs = endMsFor((step) => step.estimateMs * minRunFactor);
+  if (endMs > limitMs) return reject(RejectReason.TooLate, endMs - limitMs);
+  const slowEndMs = endMsFor((step) =>
+    step.estimateMs * minRunFactor * rackPenalty(step, context)
   );
-  if (farMs > limitMs) return reject(RejectReason.NoRack, FLEET_CHANGES_MS);
+  if (slowEndMs > limitMs) return reject(RejectReason.NoRack, FLEET_CHANGE_MS);
   return accept(null);
 }
 
-/** A gang that wants one rack and fits none surely runs slowly on several. */
-function penaltyOf(step: Workflow.StepSpec, facts: Facts): number {
+/**
+ * Slowdown of a gang that wants one rack but fits into none and must span several.
+ */
+function rackPenalty(step: Workflow.StepSpec, context: ServiceContext): number {
   if (!step.gang || !step.sameRack) return 1;
-  const need = amounts.times(amounts.needOf(step), step.count);
-  const fitsRack = amounts.isWithin(need, facts.service.largestRack);
-  return fitsRack ? 1 : facts.forecast.remotePenalty;
+  const gangDemand = amounts.scale(amounts.needOf(step), step.count);
+  const fitsOneRack = amounts.isWithin(gangDemand, context.service.largestRack);
+  return fitsOneRack ? 1 : context.forecast.remotePenalty;
 }
 
-/** Room of those that come at the place in the queue which the job would have. */
+/** Capacity curve for the position in the queue that the job would take. */
 function curveFor(
-  { job, known }: Question,
+  { job, known }: AdmissionRequest,
   { room }: forecasts.ServiceForecast,
-): forecasts.RoomCurve | null {
-  const ahead = room.find(({ priority }) => priority === job.priority);
-  if (ahead === undefined) return null;
-  const comesLast = known.ageMs + job.dueInMs >= ahead.lastDueMs;
-  return comesLast ? ahead.last : ahead.first;
+): forecasts.CapacityCurve | null {
+  const priorityCapacity = room.find(({ priority }) =>
+    priority === job.priority
+  );
+  if (priorityCapacity === undefined) return null;
+  const isLastInLine = known.ageMs + job.dueInMs >= priorityCapacity.lastDueMs;
+  return isLastInLine ? priorityCapacity.last : priorityCapacity.first;
 }
--- a/packages/admission/src/decide_test.ts
+++ b/packages/admission/src/decide_test.ts
@@ -1,4 +1,7 @@
-/** Only what surely can't be of use is rejected, and all that is larger with it. */
+/**
+ * Admission rejects only jobs that certainly can not be useful, and every larger
+ * job as well.
+ */
 import * as Errors from "@cairngate/errors";
 import * as Workflow from "@cairngate/workflow";
 import * as fc from "fast-check";
@@ -10,23 +13,23 @@
 const { RejectReason } = Errors;
 const { Verdict } = shapes;
 
-function room(accelerators: number): Workflow.Resources {
+function capacity(accelerators: number): Workflow.Resources {
   return { cpuMillis: 1e6, memoryMb: 1e6, accelerators };
 }
 
-/** A service whose room for all priorities is this at each point of time. */
+/** A forecast of one service with the same capacity curve for all priorities. */
 function forecastOf(
   free: readonly number[],
   changes: Partial<forecasts.ServiceForecast> = {},
   urgentUse: forecasts.Forecast["urgentUse"] = [],
 ): forecasts.Forecast {
-  const curve = free.map(room);
+  const curve = free.map(capacity);
   const ahead = { first: curve, last: curve, lastDueMs: 0 };
   const service: forecasts.ServiceForecast = {
     service: "analysis",
-    largest: room(8),
-    largestRack: room(32),
-    total: room(64),
+    largest: capacity(8),
+    largestRack: capacity(32),
+    total: capacity(64),
     fastest: 1,
     room: [0, 1, 2].map((priority) => ({ priority, ...ahead })),
     ...changes,
@@ -40,13 +43,18 @@
   changes: Partial<shapes.JobShape> = {},
 ): shapes.JobShape {
   const steps = [Workflow.createStep({ accelerators: 1, ...step })];
-  const base = { service: "analysis", priority: 1, steps, isTimed: false };
-  return { ...base, dueInMs: 3000, usefulForMs: 9000, ...changes };
+  const base = {
+    service: "analysis",
+    priority: 1,
+    steps,
+    hasNoDeadline: false,
+  };
+  return { ...base, dueInMs: 3000, deadlineInMs: 9000, ...changes };
 }
 
 const TEAM: shapes.TeamState = { team: "hana", guaranteed: 0 };
 
-function judge(
+function decideFor(
   job: shapes.JobShape,
   forecast: forecasts.Forecast | null,
   ageMs = 0,
@@ -55,42 +63,48 @@
   return decide.decideAdmission({ job, known: { forecast, ageMs }, team });
 }
 
-const FULL_FOR_8_S = [0, 0, 0, 0, 0, 0, 16, 16, 16, 16, 16];
+const FULL_FOR_8_SECONDS = [0, 0, 0, 0, 0, 0, 16, 16, 16, 16, 16];
 
 vitest.describe("a job is accepted", () => {
-  vitest.it("where nothing is known, or too long ago", () => {
-    const late = jobOf({ estimateMs: 4000 });
-    const forecast = forecastOf(FULL_FOR_8_S);
-    vitest.expect(judge(late, forecast).verdict).toBe(Verdict.Rejected);
-    vitest.expect(judge(late, null).verdict).toBe(Verdict.Accepted);
-    vitest.expect(judge(late, forecast, 3001)).toEqual({
+  vitest.it("if there is no forecast or it is stale", () => {
+    const lateJob = jobOf({ estimateMs: 4000 });
+    const forecast = forecastOf(FULL_FOR_8_SECONDS);
+    vitest.expect(decideFor(lateJob, forecast).verdict).toBe(Verdict.Rejected);
+    vitest.expect(decideFor(lateJob, null).verdict).toBe(Verdict.Accepted);
+    vitest.expect(decideFor(lateJob, forecast, 3001)).toEqual({
       verdict: Verdict.Accepted,
       doubt: shapes.Doubt.Stale,
     });
-    const elsewhere = { ...late, service: "other" };
-    vitest.expect(judge(elsewhere, forecast).verdict).toBe(Verdict.Accepted);
-    const unheard = { ...late, priority: 5 };
-    vitest.expect(judge(unheard, forecast).verdict).toBe(Verdict.Accepted);
+    const unknownService = { ...lateJob, service: "other" };
+    vitest.expect(decideFor(unknownService, forecast).verdict).toBe(
+      Verdict.Accepted,
+    );
+    const unknownPriority = { ...lateJob, priority: 5 };
+    vitest.expect(decideFor(unknownPriority, forecast).verdict).toBe(
+      Verdict.Accepted,
+    );
   });
 
-  vitest.it("where it runs at set times or for good", () => {
-    const timed = jobOf({ estimateMs: 99_000 }, { isTimed: true });
-    const forecast = forecastOf(FULL_FOR_8_S);
-    vitest.expect(judge(timed, forecast).verdict).toBe(Verdict.Accepted);
+  vitest.it("if it runs on a schedule or until it is cancelled", () => {
+    const scheduled = jobOf({ estimateMs: 99_000 }, { hasNoDeadline: true });
+    const forecast = forecastOf(FULL_FOR_8_SECONDS);
+    vitest.expect(decideFor(scheduled, forecast).verdict).toBe(
+      Verdict.Accepted,
+    );
   });
 
-  vitest.it("where it is of use behind what waits, or before it", () => {
-    const forecast = forecastOf(FULL_FOR_8_S, {
+  vitest.it("if it is useful before or after the waiting work", () => {
+    const forecast = forecastOf(FULL_FOR_8_SECONDS, {
       room: [{
         priority: 1,
-        first: [room(8)],
-        last: FULL_FOR_8_S.map(room),
+        first: [capacity(8)],
+        last: FULL_FOR_8_SECONDS.map(capacity),
         lastDueMs: 5000,
       }],
     });
     const job = jobOf({ estimateMs: 4000 });
     const verdictOf = (dueInMs: number) =>
-      judge({ ...job, dueInMs }, forecast).verdict;
+      decideFor({ ...job, dueInMs }, forecast).verdict;
     vitest.expect(verdictOf(4999)).toBe(Verdict.Accepted);
     vitest.expect(verdictOf(5000)).toBe(Verdict.Rejected);
   });
@@ -98,7 +112,7 @@
 
 vitest.describe("the shape of a job", () => {
   vitest.it(
-    "leaves it the time that it has if it takes half as long again",
+    "allows for a run time of 1.5 times the estimate",
     () => {
       const policy = {
         queue: "q",
@@ -119,36 +133,39 @@
         acceptedAtMs: 0,
       });
       vitest.expect(shape.dueInMs).toBe(2500);
-      vitest.expect(shape.usefulForMs).toBe(10_500);
+      vitest.expect(shape.deadlineInMs).toBe(10_500);
     },
   );
 });
 
 vitest.describe("a job is rejected", () => {
-  vitest.it("where it would end too late, until it would not", () => {
-    const decision = judge(
-      jobOf({ estimateMs: 4000 }),
-      forecastOf(FULL_FOR_8_S),
-    );
-    vitest.expect(decision).toEqual({
-      verdict: Verdict.Rejected,
-      reason: RejectReason.TooLate,
-      returnInMs: 1000,
-    });
-  });
+  vitest.it(
+    "if it would end too late, until the time when it would not",
+    () => {
+      const decision = decideFor(
+        jobOf({ estimateMs: 4000 }),
+        forecastOf(FULL_FOR_8_SECONDS),
+      );
+      vitest.expect(decision).toEqual({
+        verdict: Verdict.Rejected,
+        reason: RejectReason.TooLate,
+        returnInMs: 1000,
+      });
+    },
+  );
 
-  vitest.it("where it fits nothing that was seen", () => {
+  vitest.it("if it exceeds the largest capacity seen", () => {
     const reasonOf = (step: Partial<Workflow.StepSpec>) => {
-      const decision = judge(jobOf(step), forecastOf([64]));
+      const decision = decideFor(jobOf(step), forecastOf([64]));
       return decision.verdict === Verdict.Rejected ? decision.reason : null;
     };
     vitest.expect(reasonOf({ accelerators: 8 })).toBe(null);
     vitest.expect(reasonOf({ accelerators: 9 })).toBe(RejectReason.NoEndpoint);
     vitest.expect(reasonOf({ count: 65, gang: true }))
       .toBe(RejectReason.NoFleet);
-    const wide = { count: 33, gang: true, sameRack: true };
-    vitest.expect(reasonOf({ ...wide, estimateMs: 4000 })).toBe(null);
-    vitest.expect(reasonOf({ ...wide, estimateMs: 8000 }))
+    const wideGang = { count: 33, gang: true, sameRack: true };
+    vitest.expect(reasonOf({ ...wideGang, estimateMs: 4000 })).toBe(null);
+    vitest.expect(reasonOf({ ...wideGang, estimateMs: 8000 }))
       .toBe(RejectReason.NoRack);
   });
 });
@@ -181,7 +198,7 @@
         const forecast = forecastOf(curve, {}, [["hana", inUse]]);
         const guaranteed = inUse + step.count * step.accelerators + more;
         const team = { team: "hana", guaranteed };
-        const decision = judge(
+        const decision = decideFor(
           jobOf(step, { priority: 0 }),
           forecast,
           ageMs,
@@ -192,7 +209,7 @@
     ));
   });
 
-  vitest.it("nothing wider or longer is accepted than what is rejected", () => {
+  vitest.it("no job larger or longer than a rejected one is accepted", () => {
     const more = fc.record({
       count: fc.integer({ min: 0, max: 30 }),
       accelerators: fc.integer({ min: 0, max: 4 }),
@@ -216,8 +233,8 @@
             accelerators: step.accelerators + extra.accelerators,
             estimateMs: step.estimateMs + extra.estimateMs,
           };
-          const verdictOf = (one: typeof step) =>
-            judge(jobOf(one, { priority }), forecast, ageMs, team).verdict;
+          const verdictOf = (spec: typeof step) =>
+            decideFor(jobOf(spec, { priority }), forecast, ageMs, team).verdict;
           if (verdictOf(step) === Verdict.Accepted) return;
           vitest.expect(verdictOf(larger)).toBe(Verdict.Rejected);
         },
--- a/packages/admission/src/forecast.ts
+++ b/packages/admission/src/forecast.ts
@@ -1,11 +1,11 @@
-/** What a forecast of room holds. */
+/** The capacity forecast that a coordinator publishes. */
 import type * as Workflow from "@cairngate/workflow";
 
 /**
- * Moments at which the spans of a forecast begin, in ms after it was made. They are
- * close at first, as work with a short objective is judged by the next seconds. A
- * caller comes back when a span begins in which there is room: in long spans it comes
- * in vain a few times.
+ * Starts of the spans of a forecast, in ms after it was made. Spans are short at
+ * first because work with a short objective depends on the next seconds. A rejected
+ * caller retries when a span begins that has free capacity, so long spans cause a
+ * few failed retries.
  */
 export const POINTS_MS: readonly number[] = [
   0,
@@ -21,55 +21,60 @@
   30_000,
 ];
 
-/** From here on nothing is known: all room counts as free, in ms. */
+/** Time in ms after which nothing is predicted and all capacity counts as free. */
 export const HORIZON_MS = 60_000;
 
 /**
- * Share of an estimate that work surely takes. Callers guess, and the users say that
- * their guesses are off by half.
+ * Fraction of an estimate that work certainly takes: users report that the
+ * estimates of callers are off by half.
  */
 export const SURE_SHARE = 0.5;
 
-/** A forecast older than this is none, in ms: six that were due did not come. */
+/**
+ * Age in ms above which a forecast is ignored: six due updates are missing by then.
+ */
 export const STALE_MS = 3000;
 
-/** Most room that is free at some moment of each span. */
-export type RoomCurve = readonly Workflow.Resources[];
+/** The highest free capacity within each span. */
+export type CapacityCurve = readonly Workflow.Resources[];
 
-/** Room for new work of one priority. */
+/** Capacity for new work of one priority. */
 export interface RoomAhead {
   readonly priority: number;
-  /** Where it comes before all of its priority that waits. */
-  readonly first: RoomCurve;
-  /** Where it comes after all of its priority that waits. */
-  readonly last: RoomCurve;
-  /** Time by which the last one of those should end, in ms after it was made. */
+  /** Capacity if the work comes before all waiting work of its priority. */
+  readonly first: CapacityCurve;
+  /** Capacity if the work comes after all waiting work of its priority. */
+  readonly last: CapacityCurve;
+  /** Latest objective of that waiting work, in ms after the forecast was made. */
   readonly lastDueMs: number;
 }
 
-/** Room on the endpoints of one service. */
+/** Capacity of the endpoints of one service. */
 export interface ServiceForecast {
   readonly service: string;
-  /** Most of each resource on one endpoint, as far as was seen. */
+  /** Largest amount of each resource seen on one endpoint. */
   readonly largest: Workflow.Resources;
-  /** The same for one rack. */
+  /** Largest amount of each resource seen in one rack. */
   readonly largestRack: Workflow.Resources;
-  /** The same for all endpoints together. */
+  /** Largest amount of each resource seen on all endpoints together. */
   readonly total: Workflow.Resources;
-  /** Speed of the fastest endpoint; 1 is the usual one. */
+  /** Speed of the fastest endpoint, where 1 is normal. */
   readonly fastest: number;
   readonly room: readonly RoomAhead[];
 }
 
-/** What a coordinator expects. */
+/** A forecast of one coordinator for all services. */
 export interface Forecast {
-  /** Tells it from the one before: a forecast is told several times. */
+  /** Identifies the forecast; the same one is published several times. */
   readonly number: number;
-  /** Boxes that accept work by it. */
+  /** Number of boxes that accept work by this forecast. */
   readonly boxes: number;
-  /** How much slower a gang runs on several racks. */
+  /** Factor by which a gang is slower on several racks than on one. */
   readonly remotePenalty: number;
   readonly services: readonly ServiceForecast[];
-  /** Accelerators that urgent work of teams surely uses until this is stale. */
+  /**
+   * Accelerators that the urgent work of each team certainly uses until this
+   * forecast is stale.
+   */
   readonly urgentUse: readonly (readonly [team: string, used: number])[];
 }
--- a/packages/admission/src/forecast_test.ts
+++ b/packages/admission/src/forecast_test.ts
@@ -1,9 +1,9 @@
-/** A forecast is cautious, short, and reads as it was written. */
+/** A forecast is conservative, and its text is short and survives a round trip. */
 import * as fc from "fast-check";
 import * as vitest from "vitest";
 import * as texts from "./forecast_text.ts";
 import type * as loads from "./load.ts";
-import * as makers from "./make_forecast.ts";
+import * as forecastMaker from "./make_forecast.ts";
 
 function need(accelerators: number) {
   return { cpuMillis: 1000, memoryMb: 1024, accelerators };
@@ -38,23 +38,28 @@
 }
 
 function freeFor(load: loads.Load, priority: number) {
-  const [service] = makers.makeForecast(load).services;
-  const ahead = service.room.find((one) => one.priority === priority);
+  const [service] = forecastMaker.makeForecast(load).services;
+  const ahead = service.room.find((candidate) =>
+    candidate.priority === priority
+  );
   const accelerators = (of: "first" | "last") =>
-    ahead?.[of].map((one) => one.accelerators);
+    ahead?.[of].map((resources) => resources.accelerators);
   return { first: accelerators("first"), last: accelerators("last") };
 }
 
-vitest.describe("a forecast of room", () => {
-  vitest.it("lets runs end, and urgent work make others yield", () => {
-    const load = loadOf({ runs: [runOf(8, 3500), runOf(4, 9000, 0)] });
-    vitest.expect(freeFor(load, 1).first)
-      .toEqual([4, 4, 4, 12, 12, 12, 16, 16, 16, 16, 16]);
-    vitest.expect(freeFor(load, 0).first)
-      .toEqual([12, 12, 12, 12, 12, 12, 16, 16, 16, 16, 16]);
-  });
-
-  vitest.it("gives room that gets free to work that comes before", () => {
+vitest.describe("a capacity forecast", () => {
+  vitest.it(
+    "frees capacity as runs end, and lets urgent work preempt others",
+    () => {
+      const load = loadOf({ runs: [runOf(8, 3500), runOf(4, 9000, 0)] });
+      vitest.expect(freeFor(load, 1).first)
+        .toEqual([4, 4, 4, 12, 12, 12, 16, 16, 16, 16, 16]);
+      vitest.expect(freeFor(load, 0).first)
+        .toEqual([12, 12, 12, 12, 12, 12, 16, 16, 16, 16, 16]);
+    },
+  );
+
+  vitest.it("gives freed capacity to earlier work", () => {
     const waits = [
       waitOf({ rank: 1, need: need(8), runMs: 6000 }),
       waitOf({ need: need(8), runMs: 20_000 }),
@@ -64,11 +69,11 @@
     const { first, last } = freeFor(load, 1);
     vitest.expect(first).toEqual([0, 0, 8, 8, 8, 16, 16, 16, 16, 16, 16]);
     vitest.expect(last).toEqual([0, 0, 0, 0, 0, 8, 8, 8, 8, 16, 16]);
-    const [{ room }] = makers.makeForecast(load).services;
+    const [{ room }] = forecastMaker.makeForecast(load).services;
     vitest.expect(room[1].lastDueMs).toBe(60_000);
   });
 
-  vitest.it("gives none to work that new work may overtake", () => {
+  vitest.it("gives none to waiting work that new work may overtake", () => {
     const waits = [waitOf({ need: need(8), runMs: 20_000 })];
     const load = { runs: [runOf(16, 0)], waits };
     vitest.expect(freeFor(loadOf(load), 1).last?.[0]).toBe(8);
@@ -76,29 +81,32 @@
     vitest.expect(freeFor(unordered, 1).last?.[0]).toBe(16);
   });
 
-  vitest.it("leaves room that waiting work could not take to others", () => {
-    const load = loadOf({
-      runs: [runOf(12, 5000)],
-      waits: [waitOf({ need: need(4), count: 2, gang: true })],
-    });
-    vitest.expect(freeFor(load, 1).last?.[0]).toBe(4);
-  });
-
-  vitest.it("counts endpoints that are gone as ones that may be back", () => {
-    const before = makers.makeForecast(loadOf());
+  vitest.it(
+    "leaves capacity that waiting work could not take to new work",
+    () => {
+      const load = loadOf({
+        runs: [runOf(12, 5000)],
+        waits: [waitOf({ need: need(4), count: 2, gang: true })],
+      });
+      vitest.expect(freeFor(load, 1).last?.[0]).toBe(4);
+    },
+  );
+
+  vitest.it("counts missing endpoints, which may come back", () => {
+    const before = forecastMaker.makeForecast(loadOf());
     const load = loadOf({ endpoints: [], before });
     vitest.expect(freeFor(load, 1).first).toEqual(freeFor(loadOf(), 1).first);
   });
 
   vitest.it("remembers the largest sizes that were seen", () => {
-    const before = makers.makeForecast(loadOf());
-    const after = makers.makeForecast(loadOf({ endpoints: [], before }));
+    const before = forecastMaker.makeForecast(loadOf());
+    const after = forecastMaker.makeForecast(loadOf({ endpoints: [], before }));
     vitest.expect(after.services[0].largest).toEqual(SIZE);
     vitest.expect(after.services[0].total.accelerators).toBe(16);
   });
 });
 
-const drawnLoads = fc.record({
+const arbitraryLoads = fc.record({
   runs: fc.array(
     fc.record({
       service: fc.constantFrom("analysis", "other"),
@@ -123,32 +131,34 @@
 });
 
 vitest.describe("the text of a forecast", () => {
-  vitest.it("holds what was written, and is short", () => {
-    fc.assert(fc.property(drawnLoads, (load) => {
-      const forecast = makers.makeForecast(loadOf(load));
+  vitest.it("survives a round trip and is short", () => {
+    fc.assert(fc.property(arbitraryLoads, (load) => {
+      const forecast = forecastMaker.makeForecast(loadOf(load));
       const text = texts.writeForecast(forecast);
       vitest.expect(Buffer.byteLength(text)).toBeLessThanOrEqual(900);
       const read = texts.readForecast(text);
       vitest.expect(read).not.toBe(null);
       vitest.expect(texts.writeForecast(read ?? forecast)).toBe(text);
-      for (const [i, one] of (read?.services ?? []).entries()) {
+      for (const [i, readService] of (read?.services ?? []).entries()) {
         const { room } = forecast.services[i];
-        vitest.expect(one.room.length).toBeGreaterThan(0);
-        for (const [j, { last }] of one.room.entries()) {
-          const least = room[j].last.at(-1)?.accelerators;
-          vitest.expect(last.at(-1)?.accelerators).toBe(least);
+        vitest.expect(readService.room.length).toBeGreaterThan(0);
+        for (const [j, { last }] of readService.room.entries()) {
+          const expectedLast = room[j].last.at(-1)?.accelerators;
+          vitest.expect(last.at(-1)?.accelerators).toBe(expectedLast);
         }
       }
     }));
   });
 
-  vitest.it("leaves teams and services out that do not fit", () => {
+  vitest.it("drops teams and services that do not fit", () => {
     const teams = Array.from({ length: 200 }, (_, i) => `team-${i}`);
     const urgentUse = new Map(teams.map((team, i) => [team, i + 1]));
     const priorities = new Map(["analysis", "b", "c", "d", "e", "f"].map(
       (service) => [service, [0, 1, 2]] as const,
     ));
-    const forecast = makers.makeForecast(loadOf({ urgentUse, priorities }));
+    const forecast = forecastMaker.makeForecast(
+      loadOf({ urgentUse, priorities }),
+    );
     const text = texts.writeForecast(forecast);
     vitest.expect(Buffer.byteLength(text)).toBeLessThanOrEqual(900);
     const read = texts.readForecast(text);
@@ -156,17 +166,17 @@
     vitest.expect(read?.urgentUse[0]).toEqual(["team-199", 200]);
   });
 
-  vitest.it("reads whatever callers ask for", () => {
+  vitest.it("handles any amount that callers request", () => {
     const urgentUse = new Map([["hana", 0.5], ["ivo", Infinity], ["jo", 1.5]]);
-    const forecast = makers.makeForecast(loadOf({ urgentUse }));
+    const forecast = forecastMaker.makeForecast(loadOf({ urgentUse }));
     const read = texts.readForecast(texts.writeForecast(forecast));
     vitest.expect(read?.urgentUse)
       .toEqual([["ivo", Number.MAX_SAFE_INTEGER], ["jo", 1], ["hana", 0]]);
   });
 
-  vitest.it("is none where somebody else has written", () => {
-    const odd = ["", "{", "3", "null", "[]", '{"boxes":0}', "{}"];
-    for (const text of odd) vitest.expect(texts.readForecast(text)).toBe(null);
+  vitest.it("is rejected if it is not a forecast", () => {
+    const bad = ["", "{", "3", "null", "[]", '{"boxes":0}', "{}"];
+    for (const text of bad) vitest.expect(texts.readForecast(text)).toBe(null);
     fc.assert(fc.property(fc.json(), (text) => {
       vitest.expect(texts.readForecast(text)).toBe(null);
     }));
--- a/packages/admission/src/forecast_text.ts
+++ b/packages/admission/src/forecast_text.ts
@@ -1,102 +1,116 @@
-/** A forecast as a short text, and back. */
+/** Encodes a forecast as a short text and decodes it. */
 import type * as Workflow from "@cairngate/workflow";
 import * as Option from "effect/Option";
 import * as Schema from "effect/Schema";
 import type * as forecasts from "./forecast.ts";
 
-/** Longest text, in bytes: it is read with each look at the election. */
-const MOST_BYTES = 900;
-/** Processor in cores and memory in units of this, so that figures are short. */
+/** Maximum size of the text in bytes; every read of the election row carries it. */
+const MAX_BYTES = 900;
+/**
+ * Units of processor (thousandths of a core) and memory, which keep the numbers
+ * short.
+ */
 const CORE_MILLIS = 1000;
 const MEMORY_UNIT_MB = 1024;
 
-/** Amounts as processor, memory and accelerators, one after another. */
+/** Resources as processor, memory and accelerators in turn. */
 const Amounts = Schema.Array(
   Schema.Int.check(Schema.isGreaterThanOrEqualTo(0)),
 );
 const Positive = Schema.Finite.check(Schema.isGreaterThan(0));
 const Count = Schema.Int.check(Schema.isGreaterThanOrEqualTo(0));
 
-const Short = Schema.Struct({
+const EncodedForecast = Schema.Struct({
   no: Count,
   boxes: Count.check(Schema.isGreaterThanOrEqualTo(1)),
   far: Positive,
   urgent: Schema.Array(Schema.Tuple([Schema.String, Count])),
   services: Schema.Array(Schema.Struct({
     name: Schema.String,
-    /** Largest endpoint, largest rack, all endpoints. */
+    /** Sizes of the largest endpoint, of the largest rack and of all endpoints. */
     sizes: Amounts,
     fast: Positive,
     room: Schema.Array(Schema.Struct({
       p: Count,
       due: Count,
       first: Amounts,
-      /** Left out: the same as `first`. */
+      /** Omitted if it equals `first`. */
       last: Schema.optionalKey(Amounts),
     })),
   })),
 });
-type Short = typeof Short.Type;
+type EncodedForecast = typeof EncodedForecast.Type;
 
-const decodeShort = Schema.decodeUnknownOption(Short);
+const decodeEncoded = Schema.decodeUnknownOption(EncodedForecast);
 
 /**
- * The text of a forecast. Amounts are rounded up. Services that do not fit are left
- * out, then the last priorities, then teams: what is not told of is accepted.
+ * Encodes a forecast. Amounts are rounded up. If the text is too long, services are
+ * dropped first, then the last priorities, then teams; work that the text does not
+ * cover is accepted.
  */
 export function writeForecast(forecast: forecasts.Forecast): string {
-  const short = toShort(forecast);
-  const urgent = [...short.urgent].sort(([, a], [, b]) => b - a);
-  const services = [...short.services];
+  const encoded = encode(forecast);
+  const urgent = [...encoded.urgent].sort(([, a], [, b]) => b - a);
+  const services = [...encoded.services];
   for (;;) {
-    const text = JSON.stringify({ ...short, urgent, services });
-    if (Buffer.byteLength(text) <= MOST_BYTES) return text;
+    const text = JSON.stringify({ ...encoded, urgent, services });
+    if (Buffer.byteLength(text) <= MAX_BYTES) return text;
     if (services.length > 1) services.pop();
     else if (services.length === 1 && services[0].room.length > 1) {
       const [{ room, ...service }] = services;
       services[0] = { ...service, room: room.slice(0, -1) };
     } else if (urgent.length > 0) urgent.pop();
-    else return JSON.stringify({ ...short, urgent, services: [] });
+    else return JSON.stringify({ ...encoded, urgent, services: [] });
   }
 }
 
-/** Reads the text of a forecast; null where it is none. */
+/** Decodes the text of a forecast; null if it is not valid. */
 export function readForecast(text: string): forecasts.Forecast | null {
   try {
-    const short = Option.getOrNull(decodeShort(JSON.parse(text)));
-    return short === null ? null : fromShort(short);
+    const encoded = Option.getOrNull(decodeEncoded(JSON.parse(text)));
+    return encoded === null ? null : decode(encoded);
   } catch {
     return null;
   }
 }
 
-function toShort(forecast: forecasts.Forecast): Short {
+function encode(forecast: forecasts.Forecast): EncodedForecast {
   return {
     no: forecast.number,
     boxes: forecast.boxes,
     far: forecast.remotePenalty,
-    urgent: forecast.urgentUse.map(([team, used]) => [team, roundDown(used)]),
-    services: forecast.services.map((one) => ({
-      name: one.service,
-      sizes: flatten([one.largest, one.largestRack, one.total]),
-      fast: Math.ceil(one.fastest * 100) / 100,
-      room: one.room.map(({ priority, first, last, lastDueMs }) => ({
+    urgent: forecast.urgentUse.map((
+      [team, used],
+    ) => [team, toSafeInteger(used)]),
+    services: forecast.services.map((serviceForecast) => ({
+      name: serviceForecast.service,
+      sizes: flatten([
+        serviceForecast.largest,
+        serviceForecast.largestRack,
+        serviceForecast.total,
+      ]),
+      fast: Math.ceil(serviceForecast.fastest * 100) / 100,
+      room: serviceForecast.room.map((
+        { priority, first, last, lastDueMs },
+      ) => ({
         p: priority,
         due: Math.ceil(lastDueMs),
-        first: flatten(cutTail(first)),
-        ...(isSame(first, last) ? {} : { last: flatten(cutTail(last)) }),
+        first: flatten(trimRepeatedTail(first)),
+        ...(isSameCurve(first, last)
+          ? {}
+          : { last: flatten(trimRepeatedTail(last)) }),
       })),
     })),
   };
 }
 
-function fromShort(short: Short): forecasts.Forecast {
+function decode(encoded: EncodedForecast): forecasts.Forecast {
   return {
-    number: short.no,
-    boxes: short.boxes,
-    remotePenalty: short.far,
-    urgentUse: short.urgent,
-    services: short.services.map(({ name, sizes, fast, room }) => {
+    number: encoded.no,
+    boxes: encoded.boxes,
+    remotePenalty: encoded.far,
+    urgentUse: encoded.urgent,
+    services: encoded.services.map(({ name, sizes, fast, room }) => {
       const [largest, largestRack, total] = unflatten(sizes, 3);
       return {
         service: name,
@@ -115,13 +129,16 @@
   };
 }
 
-/** Callers may ask for any number; one that no text holds would spoil it all. */
-function roundDown(used: number): number {
+/**
+ * Callers may request any number of accelerators; one that is not a safe integer
+ * would make the whole text invalid.
+ */
+function toSafeInteger(used: number): number {
   return Math.min(Number.MAX_SAFE_INTEGER, Math.floor(used));
 }
 
-function flatten(all: readonly Workflow.Resources[]): number[] {
-  return all.flatMap(({ cpuMillis, memoryMb, accelerators }) => [
+function flatten(resources: readonly Workflow.Resources[]): number[] {
+  return resources.flatMap(({ cpuMillis, memoryMb, accelerators }) => [
     Math.ceil(cpuMillis / CORE_MILLIS),
     Math.ceil(memoryMb / MEMORY_UNIT_MB),
     Math.ceil(accelerators),
@@ -129,29 +146,34 @@
 }
 
 function unflatten(
-  flat: readonly number[],
-  least: number,
+  values: readonly number[],
+  minCount: number,
 ): readonly Workflow.Resources[] {
-  const count = flat.length / 3;
-  if (!Number.isInteger(count) || count < least) {
-    throw new RangeError("these are no amounts");
+  const count = values.length / 3;
+  if (!Number.isInteger(count) || count < minCount) {
+    throw new RangeError("invalid number of resource amounts");
   }
   return Array.from({ length: count }, (_, i) => ({
-    cpuMillis: flat[3 * i] * CORE_MILLIS,
-    memoryMb: flat[3 * i + 1] * MEMORY_UNIT_MB,
-    accelerators: flat[3 * i + 2],
+    cpuMillis: values[3 * i] * CORE_MILLIS,
+    memoryMb: values[3 * i + 1] * MEMORY_UNIT_MB,
+    accelerators: values[3 * i + 2],
   }));
 }
 
-/** A curve without the end that repeats; readers take the last amount for it. */
-function cutTail(curve: forecasts.RoomCurve): forecasts.RoomCurve {
+/** Removes repeated values at the end of a curve; readers repeat the last value. */
+function trimRepeatedTail(
+  curve: forecasts.CapacityCurve,
+): forecasts.CapacityCurve {
   let length = curve.length;
-  while (length > 1 && isSame([curve[length - 1]], [curve[length - 2]])) {
+  while (length > 1 && isSameCurve([curve[length - 1]], [curve[length - 2]])) {
     length--;
   }
   return curve.slice(0, length);
 }
 
-function isSame(a: forecasts.RoomCurve, b: forecasts.RoomCurve): boolean {
+function isSameCurve(
+  a: forecasts.CapacityCurve,
+  b: forecasts.CapacityCurve,
+): boolean {
   return JSON.stringify(flatten(a)) === JSON.stringify(flatten(b));
 }
--- a/packages/admission/src/job_shape.ts
+++ b/packages/admission/src/job_shape.ts
@@ -1,84 +1,90 @@
-/** What a decision about a job is made from, and what it says. */
+/** Inputs and outcome of an admission decision. */
 import type * as Errors from "@cairngate/errors";
 import * as Workflow from "@cairngate/workflow";
 import type * as forecasts from "./forecast.ts";
 
-/** A job as a decision sees it. */
+/** The properties of a job that a decision depends on. */
 export interface JobShape {
   readonly service: string;
   readonly priority: number;
   readonly steps: readonly Workflow.StepSpec[];
-  /** It runs at set times, or until it is cancelled. */
-  readonly isTimed: boolean;
+  /** Whether it runs on a schedule, or until it is cancelled. */
+  readonly hasNoDeadline: boolean;
   /** Time by which it should end, in ms from now. */
   readonly dueInMs: number;
-  /** Time after which its end is of no use, in ms from now. */
-  readonly usefulForMs: number;
+  /** Time after which its result is no longer useful, in ms from now. */
+  readonly deadlineInMs: number;
 }
 
-/** What is known of the room. */
+/** The newest forecast and its age. */
 export interface Known {
-  /** Null: nothing, or no hard load. */
+  /** Null if there is no forecast or no hard load. */
   readonly forecast: forecasts.Forecast | null;
   readonly ageMs: number;
 }
 
-/** What is known of the team that hands the job in. */
+/** The team that submits the job. */
 export interface TeamState {
   readonly team: string;
-  /** Accelerators that it has paid for. */
+  /** Accelerators that the team has paid for. */
   readonly guaranteed: number;
 }
 
-/** What becomes of a job. */
+/** Outcome of an admission decision. */
 export enum Verdict {
   Accepted = "accepted",
   Rejected = "rejected",
 }
 
-/** Why a job is accepted without a look at the room. */
+/** Why a job is accepted without a check of the free capacity. */
 export enum Doubt {
-  /** There is no forecast, or it does not tell of this service or priority. */
+  /** There is no forecast, or it does not cover this service or priority. */
   Unknown = "unknown",
   Stale = "stale",
-  /** It is within what its team has paid for. */
+  /** The job is within its team's guarantee. */
   Guaranteed = "guaranteed",
-  /** It runs at set times or for good, so no end can be too late. */
-  Timed = "timed",
+  /** The job runs on a schedule or until it is cancelled, so no end is too late. */
+  NoDeadline = "timed",
 }
 
-/** What was decided. */
+/** An admission decision with its reason. */
 export type Decision =
   | {
     readonly verdict: Verdict.Accepted;
-    /** Null where the room was looked at. */
+    /** Null if the free capacity was checked. */
     readonly doubt: Doubt | null;
   }
   | {
     readonly verdict: Verdict.Rejected;
     readonly reason: Errors.RejectReason;
-    /** Time after which it could be of use, in ms. */
+    /** Time after which the job may be accepted, in ms. */
     readonly returnInMs: number;
   };
 
-/** Work may take this many times its estimate: estimates are off by up to half. */
-const LONGEST_SHARE = 1.5;
+/**
+ * Factor by which work may exceed its estimate: estimates are off by up to half.
+ */
+const MAX_ESTIMATE_FACTOR = 1.5;
 
-/** The shape of a workflow that is handed in now. */
+/** Derives the shape of a workflow that is submitted now. */
 export function shapeOf(spec: Workflow.WorkflowSpec): JobShape {
   const dueInMs = Workflow.objectiveAtMs(spec, 0) - Workflow.dueAtMs(spec, 0);
   return {
     service: spec.policy.service,
     priority: spec.policy.priority,
     steps: spec.steps,
-    isTimed: spec.schedule !== null || spec.steps.some((one) => one.lasting),
+    hasNoDeadline: spec.schedule !== null ||
+      spec.steps.some((step) => step.lasting),
     dueInMs,
-    usefulForMs: longestObjectiveMs(spec) * Workflow.LATE_FACTOR,
+    deadlineInMs: maxObjectiveMs(spec) * Workflow.LATE_FACTOR,
   };
 }
 
-/** The objective of work that takes as long as it may; callers count its true time. */
-function longestObjectiveMs({ steps, policy }: Workflow.WorkflowSpec): number {
-  const workMs = Workflow.longestChainMs(steps) * LONGEST_SHARE;
+/**
+ * The objective in ms of work that takes as long as it may; callers measure the
+ * objective by the actual run time.
+ */
+function maxObjectiveMs({ steps, policy }: Workflow.WorkflowSpec): number {
+  const workMs = Workflow.longestChainMs(steps) * MAX_ESTIMATE_FACTOR;
   return policy.stretch * workMs + policy.latencyMs;
 }
--- a/packages/admission/src/load.ts
+++ b/packages/admission/src/load.ts
@@ -1,8 +1,8 @@
-/** What a forecast of room is made from. */
+/** Inputs of a capacity forecast. */
 import type * as Workflow from "@cairngate/workflow";
 import type * as forecasts from "./forecast.ts";
 
-/** One endpoint that is listed, whether or not it may be given work now. */
+/** One listed endpoint, whether or not it accepts work now. */
 export interface EndpointSize {
   readonly service: string;
   readonly rack: string;
@@ -10,30 +10,30 @@
   readonly speed: number;
 }
 
-/** One run that an endpoint holds. */
+/** One run on an endpoint. */
 export interface Run {
   readonly service: string;
-  /** 0: urgent and guaranteed; else one more than the priority. */
+  /** 0 for urgent work within its guarantee, otherwise the priority plus one. */
   readonly rank: number;
   readonly need: Workflow.Resources;
-  /** Earliest time by which it may end, in ms. */
+  /** Earliest time until it may end, in ms. */
   readonly leftMs: number;
 }
 
-/** Tasks of one step that wait. */
+/** The waiting tasks of one step. */
 export interface Wait {
   readonly service: string;
   readonly rank: number;
   readonly need: Workflow.Resources;
   readonly count: number;
   readonly gang: boolean;
-  /** Shortest time that one of them runs, in ms. */
+  /** Shortest run time of one task, in ms. */
   readonly runMs: number;
   /** Time by which they should end, in ms from now. */
   readonly dueInMs: number;
 }
 
-/** What a forecast is made from. */
+/** Endpoints, runs and waiting work from which a forecast is made. */
 export interface Load {
   /** Number of the forecast. */
   readonly number: number;
@@ -46,10 +46,10 @@
   readonly priorities: ReadonlyMap<string, readonly number[]>;
   readonly urgentUse: ReadonlyMap<string, number>;
   /**
-   * Whether work of one priority surely begins in the order of its objectives. Where
-   * teams compete, that of a team which has had less may come before others.
+   * Whether work of one priority certainly starts in the order of its objectives.
+   * Where teams compete, a team that has used less may overtake others.
    */
   readonly isInOrder: boolean;
-  /** The forecast before; endpoints that it tells of may come back. */
+  /** The previous forecast; endpoints that it counts may come back. */
   readonly before: forecasts.Forecast | null;
 }
--- a/packages/admission/src/make_forecast.ts
+++ b/packages/admission/src/make_forecast.ts
@@ -1,15 +1,16 @@
 /**
- * Makes a forecast of room from what runs and what waits. It is cautious: the room
- * of a service counts as one pool, runs end no later than estimated, and of the work
- * that waits only what surely comes before new work takes room.
+ * Makes a capacity forecast from running and waiting work. It never underestimates
+ * free capacity: the endpoints of a service count as one pool, runs end no later
+ * than estimated, and only waiting work that certainly precedes new work takes
+ * capacity.
  */
 import type * as Workflow from "@cairngate/workflow";
 import * as amounts from "./amounts.ts";
 import * as forecasts from "./forecast.ts";
 import type * as loads from "./load.ts";
-import * as pools from "./room_pool.ts";
+import * as capacityPools from "./room_pool.ts";
 
-/** Makes a forecast. */
+/** Makes a forecast for all services. */
 export function makeForecast(load: loads.Load): forecasts.Forecast {
   const services = [...load.priorities].map(([service, priorities]) =>
     forecastService(load, service, priorities)
@@ -25,18 +26,22 @@
   service: string,
   priorities: readonly number[],
 ): forecasts.ServiceForecast {
-  const isOfIt = (one: { readonly service: string }) => one.service === service;
+  const isOfService = (item: { readonly service: string }) =>
+    item.service === service;
   const { isInOrder } = load;
-  const endpoints = load.endpoints.filter(isOfIt);
-  const runs = load.runs.filter(isOfIt);
-  const waits = load.waits.filter(isOfIt).sort(byRankAndDue);
-  const total = endpoints.map((one) => one.total)
-    .reduce(amounts.add, amounts.NOTHING);
-  const before = load.before?.services.find(isOfIt);
-  const sizes = sizesOf(endpoints, total, before);
-  // Endpoints that were seen and are not listed may be back at any moment, empty.
-  const most = { total: sizes.total, runs, waits, isInOrder };
-  const room = priorities.map((priority) => roomAhead(most, priority));
+  const endpoints = load.endpoints.filter(isOfService);
+  const runs = load.runs.filter(isOfService);
+  const waits = load.waits.filter(isOfService).sort(byRankAndDue);
+  const total = endpoints.map((endpoint) => endpoint.total)
+    .reduce(amounts.add, amounts.ZERO);
+  const previous = load.before?.services.find(isOfService);
+  const sizes = sizesOf(endpoints, total, previous);
+  // Endpoints that were seen and are no longer listed may come back at any moment
+  // without work.
+  const serviceLoad = { total: sizes.total, runs, waits, isInOrder };
+  const room = priorities.map((priority) =>
+    forecastPriority(serviceLoad, priority)
+  );
   return { service, ...sizes, room };
 }
 
@@ -49,25 +54,25 @@
   "largest" | "largestRack" | "total" | "fastest"
 >;
 
-/** The largest sizes that were seen, now or before. */
+/** The largest sizes seen so far, including the previous forecast. */
 function sizesOf(
   endpoints: readonly loads.EndpointSize[],
   total: Workflow.Resources,
-  before: Sizes | undefined,
+  previous: Sizes | undefined,
 ): Sizes {
   const racks = new Map<string, Workflow.Resources>();
-  let largest = before?.largest ?? amounts.NOTHING;
-  let fastest = Math.max(1, before?.fastest ?? 1);
+  let largest = previous?.largest ?? amounts.ZERO;
+  let fastest = Math.max(1, previous?.fastest ?? 1);
   for (const endpoint of endpoints) {
-    const rack = racks.get(endpoint.rack) ?? amounts.NOTHING;
+    const rack = racks.get(endpoint.rack) ?? amounts.ZERO;
     racks.set(endpoint.rack, amounts.add(rack, endpoint.total));
-    largest = amounts.larger(largest, endpoint.total);
+    largest = amounts.maxOf(largest, endpoint.total);
     fastest = Math.max(fastest, endpoint.speed);
   }
   const largestRack = [...racks.values()]
-    .reduce(amounts.larger, before?.largestRack ?? amounts.NOTHING);
-  const most = amounts.larger(total, before?.total ?? amounts.NOTHING);
-  return { largest, largestRack, total: most, fastest };
+    .reduce(amounts.maxOf, previous?.largestRack ?? amounts.ZERO);
+  const maxTotal = amounts.maxOf(total, previous?.total ?? amounts.ZERO);
+  return { largest, largestRack, total: maxTotal, fastest };
 }
 
 interface ServiceLoad {
@@ -77,18 +82,18 @@
   readonly isInOrder: boolean;
 }
 
-/** Rank of urgent work beyond its guarantee; it makes all later ranks yield. */
+/** Rank of urgent work beyond its guarantee; it preempts all lower ranks. */
 const URGENT_RANK = 1;
 
-function roomAhead(
+function forecastPriority(
   { total, runs, waits, isInOrder }: ServiceLoad,
   priority: number,
 ): forecasts.RoomAhead {
   const rank = priority + 1;
-  const stays = rank === URGENT_RANK
+  const keptRuns = rank === URGENT_RANK
     ? runs.filter((run) => run.rank <= URGENT_RANK)
     : runs;
-  const pool = new pools.RoomPool(total, stays);
+  const pool = new capacityPools.CapacityPool(total, keptRuns);
   for (const wait of waits) if (wait.rank < rank) pool.place(wait);
   const first = pool.curve();
   if (!isInOrder) return { priority, first, last: first, lastDueMs: 0 };
--- a/packages/admission/src/return_book.ts
+++ b/packages/admission/src/return_book.ts
@@ -1,88 +1,96 @@
 /**
- * When callers who were rejected come back: one after another, in the order in which
- * they were rejected, as the room of this box's share gets free.
+ * Schedules when rejected callers retry: one after another, in the order of their
+ * rejections, as this box's share of the capacity becomes free.
  */
 import type * as Workflow from "@cairngate/workflow";
 import * as amounts from "./amounts.ts";
 import type * as forecasts from "./forecast.ts";
 import type * as shapes from "./job_shape.ts";
 
-/** Rejected callers that are remembered; of more the first ones are forgotten. */
-const MOST_TOLD = 1000;
-/** Nobody is sent away for longer, in ms: by then the forecast says nothing. */
-const LONGEST_MS = 30_000;
+/** Number of rejected jobs that are remembered; the oldest are dropped first. */
+const MAX_SCHEDULED_RETRIES = 1000;
+/** Longest retry delay in ms: beyond it the forecast predicts nothing useful. */
+const MAX_RETRY_DELAY_MS = 30_000;
 
-/** The order of return at one box. */
+/** The retry schedule of one box. */
 export class ReturnBook {
-  /** Times that jobs were told, by id. */
-  readonly #told = new Map<string, number>();
-  /** Time of the last return, by service and priority. */
-  readonly #lastAtMs = new Map<string, number>();
+  /** Assigned retry times by job id. */
+  readonly #retryAtMs = new Map<string, number>();
+  /** The latest assigned retry time, by service and priority. */
+  readonly #lastRetryAtMs = new Map<string, number>();
 
   /**
-   * Time after which a rejected job comes back, in ms. One that came before its time
-   * keeps the time that it was told.
-   * @param returnInMs when it could be of use at the earliest
+   * Assigns the time in ms after which a rejected job may retry. A job that retries
+   * early keeps its assigned time.
+   * @param returnInMs earliest time at which the job could be useful, in ms from
+   * now
    */
   note(
-    asked: { readonly id: string; readonly job: shapes.JobShape },
+    rejected: { readonly id: string; readonly job: shapes.JobShape },
     returnInMs: number,
-    at: { readonly nowMs: number; readonly forecast: forecasts.Forecast },
+    context: { readonly nowMs: number; readonly forecast: forecasts.Forecast },
   ): number {
-    const { id, job } = asked;
-    const { nowMs } = at;
-    const known = this.#told.get(id);
-    const earliestMs = nowMs + Math.min(LONGEST_MS, returnInMs);
-    const queue = queueOf(job);
-    const lastMs = this.#lastAtMs.get(queue) ?? Number.NEGATIVE_INFINITY;
-    const turnMs = known ?? lastMs + spacingOf(job, at.forecast);
-    // Who is kept back for longer than its work may take gains nothing by order.
-    const latestMs = Math.min(nowMs + LONGEST_MS, earliestMs + job.dueInMs);
-    const atMs = Math.min(latestMs, Math.max(earliestMs, turnMs));
-    this.#remember(id, atMs);
-    this.#lastAtMs.set(queue, Math.max(lastMs, atMs));
-    return atMs - nowMs;
+    const { id, job } = rejected;
+    const { nowMs } = context;
+    const assignedMs = this.#retryAtMs.get(id);
+    const earliestMs = nowMs + Math.min(MAX_RETRY_DELAY_MS, returnInMs);
+    const queue = queueKey(job);
+    const lastMs = this.#lastRetryAtMs.get(queue) ?? Number.NEGATIVE_INFINITY;
+    const scheduledMs = assignedMs ??
+      lastMs + retrySpacingMs(job, context.forecast);
+    // A job that is delayed for longer than its objective gains nothing from the
+    // order.
+    const latestMs = Math.min(
+      nowMs + MAX_RETRY_DELAY_MS,
+      earliestMs + job.dueInMs,
+    );
+    const retryAtMs = Math.min(latestMs, Math.max(earliestMs, scheduledMs));
+    this.#remember(id, retryAtMs);
+    this.#lastRetryAtMs.set(queue, Math.max(lastMs, retryAtMs));
+    return retryAtMs - nowMs;
   }
 
   /**
-   * Time that a job which could be accepted now still has to wait, in ms: who comes
-   * before the time it was told would else overtake all who do as told.
+   * Time in ms that an acceptable job still has to wait. Without it a caller that
+   * retries before its assigned time would overtake those that wait as instructed.
    */
   waitOf(id: string, nowMs: number): number {
-    return Math.max(0, (this.#told.get(id) ?? nowMs) - nowMs);
+    return Math.max(0, (this.#retryAtMs.get(id) ?? nowMs) - nowMs);
   }
 
-  /** A job was accepted: it is not to come any more. */
+  /** Removes a job that was accepted. */
   forget(id: string): void {
-    this.#told.delete(id);
+    this.#retryAtMs.delete(id);
   }
 
   #remember(id: string, atMs: number): void {
-    this.#told.delete(id);
-    this.#told.set(id, atMs);
-    if (this.#told.size <= MOST_TOLD) return;
-    const [oldest] = this.#told.keys();
-    this.#told.delete(oldest);
+    this.#retryAtMs.delete(id);
+    this.#retryAtMs.set(id, atMs);
+    if (this.#retryAtMs.size <= MAX_SCHEDULED_RETRIES) return;
+    const [oldest] = this.#retryAtMs.keys();
+    this.#retryAtMs.delete(oldest);
   }
 }
 
-function queueOf({ service, priority }: shapes.JobShape): string {
+function queueKey({ service, priority }: shapes.JobShape): string {
   return `${priority} ${service}`;
 }
 
-/** Time in which this box's share of all endpoints does the work of a job, in ms. */
-function spacingOf(
+/** Time in ms in which this box's share of all endpoints does the work of a job. */
+function retrySpacingMs(
   job: shapes.JobShape,
   { boxes, services }: forecasts.Forecast,
 ): number {
-  const service = services.find((one) => one.service === job.service);
+  const service = services.find((candidate) =>
+    candidate.service === job.service
+  );
   if (service === undefined) return 0;
-  const work = job.steps.map(workOf).reduce(amounts.add, amounts.NOTHING);
-  const doneEachMs = amounts.times(service.total, 1 / boxes);
-  const perMs = amounts.ratio(work, doneEachMs);
-  return perMs > 0 ? 1 / perMs : LONGEST_MS;
+  const work = job.steps.map(resourceTimeOf).reduce(amounts.add, amounts.ZERO);
+  const boxCapacity = amounts.scale(service.total, 1 / boxes);
+  const jobsPerMs = amounts.ratio(work, boxCapacity);
+  return jobsPerMs > 0 ? 1 / jobsPerMs : MAX_RETRY_DELAY_MS;
 }
 
-function workOf(step: Workflow.StepSpec): Workflow.Resources {
-  return amounts.times(amounts.needOf(step), step.count * step.estimateMs);
+function resourceTimeOf(step: Workflow.StepSpec): Workflow.Resources {
+  return amounts.scale(amounts.needOf(step), step.count * step.estimateMs);
 }
--- a/packages/admission/src/share_book.ts
+++ b/packages/admission/src/share_book.ts
@@ -1,66 +1,73 @@
-/** What one box has promised of the room that all boxes see in a forecast. */
+/** Capacity of the shared forecast that one box has reserved for accepted jobs. */
 import type * as Workflow from "@cairngate/workflow";
 import * as amounts from "./amounts.ts";
 import * as forecasts from "./forecast.ts";
 import type * as shapes from "./job_shape.ts";
 
-/** Promises of one box; a new forecast has taken them in. */
+/**
+ * Reservations of one box. A new forecast already includes the earlier ones, so
+ * they are reset with it.
+ */
 export class ShareBook {
-  /** Number of the forecast. */
-  #number: number | null = null;
-  readonly #promised = new Map<string, Workflow.Resources>();
-  #jobs = 0;
+  /** Number of the current forecast. */
+  #forecastNumber: number | null = null;
+  readonly #reserved = new Map<string, Workflow.Resources>();
+  #reservedJobs = 0;
 
-  /** Jobs that were promised room since the forecast came. */
+  /** Jobs with a reservation in the current forecast. */
   get jobs(): number {
-    return this.#jobs;
+    return this.#reservedJobs;
   }
 
   /**
-   * Promises the room that a job needs at first, out of this box's share. Returns
-   * whether the share has it; without it the job may still find room.
+   * Reserves the initial demand of a job in this box's share. Returns whether the
+   * share is large enough; a job without a reservation may still find capacity.
    */
-  promise(job: shapes.JobShape, known: shapes.Known): boolean {
-    const { forecast, ageMs } = known;
+  promise(job: shapes.JobShape, knownForecast: shapes.Known): boolean {
+    const { forecast, ageMs } = knownForecast;
     if (forecast === null || ageMs > forecasts.STALE_MS) return false;
-    this.#renew(forecast);
-    const share = shareOf(forecast, job, ageMs);
+    this.#resetForNewForecast(forecast);
+    const share = boxShare(forecast, job, ageMs);
     if (share === null) return false;
-    const promised = this.#promised.get(job.service) ?? amounts.NOTHING;
-    const wanted = amounts.add(promised, firstNeed(job));
-    if (!amounts.isWithin(wanted, share)) return false;
-    this.#promised.set(job.service, wanted);
-    this.#jobs++;
+    const reserved = this.#reserved.get(job.service) ?? amounts.ZERO;
+    const required = amounts.add(reserved, initialDemand(job));
+    if (!amounts.isWithin(required, share)) return false;
+    this.#reserved.set(job.service, required);
+    this.#reservedJobs++;
     return true;
   }
 
-  #renew(forecast: forecasts.Forecast): void {
-    if (forecast.number === this.#number) return;
-    this.#number = forecast.number;
-    this.#promised.clear();
-    this.#jobs = 0;
+  #resetForNewForecast(forecast: forecasts.Forecast): void {
+    if (forecast.number === this.#forecastNumber) return;
+    this.#forecastNumber = forecast.number;
+    this.#reserved.clear();
+    this.#reservedJobs = 0;
   }
 }
 
-/** A box's part of the room that is free now; null where that is not known. */
-function shareOf(
+/** This box's share of the capacity that is free now; null if that is not known. */
+function boxShare(
   forecast: forecasts.Forecast,
   { service, priority }: shapes.JobShape,
   ageMs: number,
 ): Workflow.Resources | null {
-  const room = forecast.services.find((one) => one.service === service)?.room;
-  const last = room?.find((one) => one.priority === priority)?.last;
+  const capacities = forecast.services.find((candidate) =>
+    candidate.service === service
+  )
+    ?.room;
+  const last = capacities?.find((entry) => entry.priority === priority)?.last;
   if (last === undefined) return null;
-  // Room of earlier spans may be taken by now: the least one counts.
-  const past = forecasts.POINTS_MS.filter((atMs) => atMs <= ageMs).length;
-  const least = last.slice(0, past).reduce(amounts.smaller, last[0]);
-  return amounts.times(least, 1 / forecast.boxes);
+  // Capacity of earlier spans may be taken by now, so the minimum counts.
+  const startedSpans =
+    forecasts.POINTS_MS.filter((atMs) => atMs <= ageMs).length;
+  const minimum = last.slice(0, startedSpans).reduce(amounts.minOf, last[0]);
+  return amounts.scale(minimum, 1 / forecast.boxes);
 }
 
-/** What all tasks without a step before them need together. */
-function firstNeed({ steps }: shapes.JobShape): Workflow.Resources {
+/** Total demand of all tasks of steps without predecessors. */
+function initialDemand({ steps }: shapes.JobShape): Workflow.Resources {
   return steps
     .filter(({ after }) => after.length === 0)
-    .map((step) => amounts.times(amounts.needOf(step), step.count))
-    .reduce(amounts.add, amounts.NOTHING);
+    .map((step) => amounts.scale(amounts.needOf(step), step.count))
+    .reduce(amounts.add, amounts.ZERO);
 }
--- a/packages/admission/src/share_book_test.ts
+++ b/packages/admission/src/share_book_test.ts
@@ -1,21 +1,25 @@
-/** Boxes that decide on one forecast do not promise the same room. */
+/** Boxes that use the same forecast do not reserve the same capacity twice. */
 import * as Workflow from "@cairngate/workflow";
 import * as fc from "fast-check";
 import * as vitest from "vitest";
 import type * as forecasts from "./forecast.ts";
 import type * as shapes from "./job_shape.ts";
-import * as shares from "./share_book.ts";
+import * as reservations from "./share_book.ts";
 
-function room(accelerators: number): Workflow.Resources {
+function capacity(accelerators: number): Workflow.Resources {
   return { cpuMillis: 1e6, memoryMb: 1e6, accelerators };
 }
 
 let made = 0;
 
 function forecastOf(free: number, boxes: number): forecasts.Forecast {
-  const curve = [room(free)];
+  const curve = [capacity(free)];
   const ahead = { priority: 1, first: curve, last: curve, lastDueMs: 0 };
-  const sizes = { largest: room(8), largestRack: room(32), total: room(64) };
+  const sizes = {
+    largest: capacity(8),
+    largestRack: capacity(32),
+    total: capacity(64),
+  };
   const service = { service: "analysis", ...sizes, fastest: 1, room: [ahead] };
   const common = { number: ++made, boxes, remotePenalty: 3, urgentUse: [] };
   return { ...common, services: [service] };
@@ -23,40 +27,48 @@
 
 function jobOf(accelerators: number): shapes.JobShape {
   const steps = [Workflow.createStep({ accelerators })];
-  const base = { service: "analysis", priority: 1, steps, isTimed: false };
-  return { ...base, dueInMs: 3000, usefulForMs: 9000 };
+  const base = {
+    service: "analysis",
+    priority: 1,
+    steps,
+    hasNoDeadline: false,
+  };
+  return { ...base, dueInMs: 3000, deadlineInMs: 9000 };
 }
 
-vitest.describe("the promises of boxes", () => {
-  vitest.it("are within the room at any age of their forecast", () => {
+vitest.describe("the reservations of boxes", () => {
+  vitest.it("stay within the free capacity at any age of the forecast", () => {
     const calls = fc.array(fc.record({
       box: fc.nat({ max: 5 }),
       wants: fc.integer({ min: 1, max: 20 }),
       ageMs: fc.integer({ min: 0, max: 4000 }),
     }));
     const free = fc.integer({ min: 0, max: 100 });
-    fc.assert(fc.property(calls, free, (asked, accelerators) => {
-      const books = Array.from({ length: 6 }, () => new shares.ShareBook());
-      const forecast = forecastOf(accelerators, books.length);
-      let promised = 0;
-      for (const { box, wants, ageMs } of asked) {
+    fc.assert(fc.property(calls, free, (requests, accelerators) => {
+      const boxes = Array.from(
+        { length: 6 },
+        () => new reservations.ShareBook(),
+      );
+      const forecast = forecastOf(accelerators, boxes.length);
+      let reserved = 0;
+      for (const { box, wants, ageMs } of requests) {
         const known = { forecast, ageMs };
-        if (books[box].promise(jobOf(wants), known)) promised += wants;
+        if (boxes[box].promise(jobOf(wants), known)) reserved += wants;
       }
-      vitest.expect(promised).toBeLessThanOrEqual(accelerators);
+      vitest.expect(reserved).toBeLessThanOrEqual(accelerators);
     }));
   });
 
-  vitest.it("begin anew with each forecast, and end with a stale one", () => {
-    const book = new shares.ShareBook();
+  vitest.it("are reset by each forecast and refused with a stale one", () => {
+    const boxReservations = new reservations.ShareBook();
     const first = { forecast: forecastOf(12, 3), ageMs: 0 };
-    vitest.expect(book.promise(jobOf(4), first)).toBe(true);
-    vitest.expect(book.promise(jobOf(1), first)).toBe(false);
+    vitest.expect(boxReservations.promise(jobOf(4), first)).toBe(true);
+    vitest.expect(boxReservations.promise(jobOf(1), first)).toBe(false);
     const again = { forecast: { ...first.forecast }, ageMs: 350 };
-    vitest.expect(book.promise(jobOf(1), again)).toBe(false);
+    vitest.expect(boxReservations.promise(jobOf(1), again)).toBe(false);
     const next = { forecast: forecastOf(12, 3), ageMs: 0 };
-    vitest.expect(book.promise(jobOf(4), next)).toBe(true);
+    vitest.expect(boxReservations.promise(jobOf(4), next)).toBe(true);
     const stale = { forecast: forecastOf(12, 3), ageMs: 3001 };
-    vitest.expect(book.promise(jobOf(1), stale)).toBe(false);
+    vitest.expect(boxReservations.promise(jobOf(1), stale)).toBe(false);
   });
 });
--- a/packages/workflow/mod.ts
+++ b/packages/workflow/mod.ts
@@ -1,4 +1,4 @@
-/** Workflows: what is asked for, and how far it has come. */
+/** Workflows: their specification, state and progress records. */
 export {
   type AdvicePolicy,
   countRounds,
--- a/packages/workflow/src/births_record_test.ts
+++ b/packages/workflow/src/births_record_test.ts
@@ -1,4 +1,7 @@
-/** Births of the lives that hold runs, in the record and over an upgrade by turns. */
+/**
+ * The start times (`bornMs`) of endpoint processes that hold runs, in the record
+ * and during a rolling upgrade. An incarnation is one process life of an endpoint.
+ */
 import * as TestUtils from "@cairngate/test-utils";
 import * as vitest from "vitest";
 import * as budgets from "./restart_budget.ts";
@@ -17,80 +20,88 @@
   });
 }
 
-/** The record as the store gives it back. */
-function keep(workflow: workflows.Workflow): records.ProgressRecord {
+/** The record after a round trip through JSON, as the store returns it. */
+function store(workflow: workflows.Workflow): records.ProgressRecord {
   return JSON.parse(JSON.stringify(records.toProgress(workflow)));
 }
 
-function read(record: records.ProgressRecord): workflows.Workflow {
+function restore(record: records.ProgressRecord): workflows.Workflow {
   const workflow = build();
   records.applyProgress(workflow, record);
   return workflow;
 }
 
-/** Where the tasks are placed. */
-function livesOf(workflow: workflows.Workflow) {
+/** The endpoint and start time at which each task is placed. */
+function incarnationsOf(workflow: workflows.Workflow) {
   return [...workflow.tasks].map(({ worker, bornMs }) => [worker, bornMs]);
 }
 
 vitest.describe("the record of a workflow", () => {
-  vitest.it("tells lives of one endpoint apart", () => {
+  vitest.it("distinguishes incarnations of one endpoint", () => {
     const workflow = build();
     const [first, second, third] = workflow.tasks;
     first.place("i-1", 1, 0, 1000);
     second.place("i-1", 1, 0, 2000);
     third.place("i-2", 1, 0);
-    vitest.expect(livesOf(read(keep(workflow))))
+    vitest.expect(incarnationsOf(restore(store(workflow))))
       .toEqual([["i-1", 1000], ["i-1", 2000], ["i-2", null]]);
   });
 
-  vitest.it("keeps the life of a run that was given up", () => {
+  vitest.it("keeps the incarnation of a run that was given up", () => {
     const workflow = build();
     const [task] = workflow.tasks;
     const presence = budgets.Presence.Certain;
     workflow.suspectGone({ task, run: 1, worker: "i-1", bornMs: 7, presence });
-    const [end] = read(keep(workflow)).openEnds.all;
+    const [end] = restore(store(workflow)).openEnds.all;
     vitest.expect(end)
       .toMatchObject({ worker: "i-1", bornMs: 7, isGone: true, presence });
-    vitest.expect(read(keep(workflow)).task("0.0.0")?.goneRuns).toBe(1);
+    vitest.expect(restore(store(workflow)).task("0.0.0")?.goneRuns).toBe(1);
   });
 
-  vitest.it("of an earlier version names lives that are not known", () => {
+  vitest.it("of an earlier version has no start times", () => {
     const workflow = build();
     for (const task of workflow.tasks) task.place("i-1", 1, 0, 1000);
-    const { births, ...earlier } = keep(workflow);
+    const { births, ...earlier } = store(workflow);
     vitest.expect(births).toEqual([1000]);
-    vitest.expect(livesOf(read(earlier)))
+    vitest.expect(incarnationsOf(restore(earlier)))
       .toEqual([["i-1", null], ["i-1", null], ["i-1", null]]);
   });
 
-  vitest.it("names endpoints as an earlier version looks for them", () => {
+  vitest.it("lists endpoint ids as an earlier version expects them", () => {
     const workflow = build();
     for (const task of workflow.tasks) task.place("i-1", 1, 0, 1000);
-    vitest.expect(keep(workflow).workers).toEqual(["i-1"]);
+    vitest.expect(store(workflow).workers).toEqual(["i-1"]);
     const plain = build();
     for (const task of plain.tasks) task.place("i-1", 1, 0);
-    vitest.expect("births" in keep(plain)).toBe(false);
+    vitest.expect("births" in store(plain)).toBe(false);
   });
 
   /**
-   * A takeover lost the address of an endpoint whose entry had lapsed, so nobody could
-   * ask who is there now, and the crash of a task in doubt stayed a doubt for good. The
-   * evidence: a random play (rebirths, seed 150).
+   * Without the stored address of an endpoint whose entry had lapsed, a coordinator
+   * that took over could not ask which process runs there now, and a possible crash
+   * under the task stayed unresolved for good. Found by random simulation
+   * (rebirths, seed 150).
    */
-  vitest.it("keeps the address of a life that may end under a task", () => {
-    const workflow = build();
-    const [calm, suspect, gone] = workflow.tasks;
-    const presence = budgets.Presence.Certain;
-    calm.place("i-1", 1, 0, 1000, "10.0.0.1:80");
-    suspect.crashes = { laid: 1, excused: 0, presence, unseen: 0 };
-    suspect.place("i-2", 1, 0, null, "10.0.0.2:80");
-    const end = { task: gone, run: 1, worker: "i-3", bornMs: null, presence };
-    workflow.suspectGone({ ...end, address: "10.0.0.3:80" });
-    const next = read(keep(workflow));
-    vitest.expect([...next.tasks].map(({ address }) => address))
-      .toEqual([null, "10.0.0.2:80", null]);
-    vitest.expect(next.openEnds.all)
-      .toMatchObject([{ worker: "i-3", bornMs: null, address: "10.0.0.3:80" }]);
-  });
+  vitest.it(
+    "keeps the address of an endpoint that may crash under a task",
+    () => {
+      const workflow = build();
+      const [healthy, suspect, gone] = workflow.tasks;
+      const presence = budgets.Presence.Certain;
+      healthy.place("i-1", 1, 0, 1000, "10.0.0.1:80");
+      suspect.crashes = { laid: 1, excused: 0, presence, unseen: 0 };
+      suspect.place("i-2", 1, 0, null, "10.0.0.2:80");
+      const end = { task: gone, run: 1, worker: "i-3", bornMs: null, presence };
+      workflow.suspectGone({ ...end, address: "10.0.0.3:80" });
+      const restored = restore(store(workflow));
+      vitest.expect([...restored.tasks].map(({ address }) => address))
+        .toEqual([null, "10.0.0.2:80", null]);
+      vitest.expect(restored.openEnds.all)
+        .toMatchObject([{
+          worker: "i-3",
+          bornMs: null,
+          address: "10.0.0.3:80",
+        }]);
+    },
+  );
 });
--- a/packages/workflow/src/check_steps.ts
+++ b/packages/workflow/src/check_steps.ts
@@ -1,51 +1,55 @@
-/** Checks the steps of a submitted workflow. */
+/** Validates the steps of a submitted workflow. */
 import type * as spec from "./spec.ts";
 
-/** A place in a submission that is not as it should be. */
+/** An invalid field of a submission. */
 export interface StepFault {
   readonly field: string;
   readonly expected: string;
 }
 
-/** Most tasks of one workflow over all of its steps and rounds. */
+/** Maximum number of tasks of a workflow, over all steps and rounds. */
 export const MOST_TASKS = 20_000;
-const MOST_STEPS = 256;
-/** Most members of a gang: all of them are placed at once. */
-export const MOST_GANG = 500;
+const MAX_STEPS = 256;
+/** Maximum number of members of a gang, which are all placed at once. */
+export const MAX_GANG_MEMBERS = 500;
 
-/** Finds the first fault; null where there is none. */
+/** Returns the first invalid field; null if all are valid. */
 export function findStepFault(
   steps: readonly spec.StepSpec[],
   schedule: spec.Schedule | null,
 ): StepFault | null {
-  if (steps.length === 0 || steps.length > MOST_STEPS) {
-    return { field: "steps", expected: `1 to ${MOST_STEPS} steps` };
+  if (steps.length === 0 || steps.length > MAX_STEPS) {
+    return { field: "steps", expected: `1 to ${MAX_STEPS} steps` };
   }
   for (let i = 0; i < steps.length; i++) {
-    const fault = findFault(steps[i], i);
-    if (fault !== null) return fault;
+    const invalidField = findInvalidStepField(steps[i], i);
+    if (invalidField !== null) return invalidField;
   }
-  const each = steps.reduce((sum, step) => sum + step.count, 0);
-  if (each * (schedule?.rounds ?? 1) > MOST_TASKS) {
+  const tasksPerRound = steps.reduce((sum, step) => sum + step.count, 0);
+  if (tasksPerRound * (schedule?.rounds ?? 1) > MOST_TASKS) {
     return { field: "steps", expected: `at most ${MOST_TASKS} tasks in all` };
   }
   return null;
 }
 
-function findFault(step: spec.StepSpec, index: number): StepFault | null {
+function findInvalidStepField(
+  step: spec.StepSpec,
+  index: number,
+): StepFault | null {
   const field = `steps[${index}]`;
   if (!Number.isInteger(step.count) || step.count < 1) {
     return { field: `${field}.count`, expected: "a whole number above 0" };
   }
-  if (step.gang && step.count > MOST_GANG) {
-    return { field: `${field}.count`, expected: `at most ${MOST_GANG}` };
+  if (step.gang && step.count > MAX_GANG_MEMBERS) {
+    return { field: `${field}.count`, expected: `at most ${MAX_GANG_MEMBERS}` };
   }
-  const amounts = [step.cpuMillis, step.memoryMb, step.accelerators];
-  if (amounts.some((n) => !Number.isFinite(n) || n < 0)) {
+  const resources = [step.cpuMillis, step.memoryMb, step.accelerators];
+  if (resources.some((n) => !Number.isFinite(n) || n < 0)) {
     return { field, expected: "resources of 0 or more" };
   }
-  const isEarlier = (n: number) => Number.isInteger(n) && n >= 0 && n < index;
-  if (!step.after.every(isEarlier)) {
+  const isEarlierStep = (n: number) =>
+    Number.isInteger(n) && n >= 0 && n < index;
+  if (!step.after.every(isEarlierStep)) {
     return { field: `${field}.after`, expected: "numbers of earlier steps" };
   }
   return null;
--- a/packages/workflow/src/end_counts.ts
+++ b/packages/workflow/src/end_counts.ts
@@ -1,4 +1,4 @@
-/** Counts how runs of one workflow ended badly, each of them once. */
+/** Counts failures and crashes of the runs of one workflow, each run once. */
 import * as ends from "./end_of_run.ts";
 import * as budgets from "./restart_budget.ts";
 import * as histories from "./run_history.ts";
@@ -6,81 +6,89 @@
 
 type Task = workflowTasks.WorkflowTask;
 
-/** What is counted of one workflow. */
-export class EndCounts {
-  /** Runs of gangs whose failure is counted already, as round.step.run. */
-  readonly #failures = new Set<string>();
-  /** The newest of them, by round.step. */
-  readonly #failedRuns = new Map<string, number>();
-  /** Runs with which an endpoint crashed and that are counted, by task and run. */
+/** Failures and crashes counted for one workflow. */
+export class FailureCounts {
+  /** Gang runs whose failure is counted, as round.step.run. */
+  readonly #gangFailures = new Set<string>();
+  /** The newest of these runs, by round.step. */
+  readonly #newestFailedRuns = new Map<string, number>();
+  /** Runs whose endpoint crash is counted, by task and run. */
   readonly #crashes = new Set<string>();
-  /** Those of them for which others are to blame: one excuse for each run. */
+  /**
+   * Counted crashes that are excused because other endpoints crashed too; each run
+   * is excused once.
+   */
   readonly #excused = new Set<string>();
 
-  /** Whether a run has failed newly; a gang's members fail as one. */
-  isNewFailure(task: Task, run: number): boolean {
+  /**
+   * Registers a failure and returns whether it is new; the members of a gang fail
+   * as one.
+   */
+  registerFailure(task: Task, run: number): boolean {
     if (!task.step.gang) return true;
-    if (this.#failures.has(gangRun(task.stepKey, run))) return false;
-    this.noteFailedRun(task.stepKey, run);
+    if (this.#gangFailures.has(gangRunKey(task.stepKey, run))) return false;
+    this.markFailedRun(task.stepKey, run);
     return true;
   }
 
-  /** The newest run of a gang whose failure is counted; null for none. */
-  failedRunOf(stepKey: string): number | null {
-    return this.#failedRuns.get(stepKey) ?? null;
+  /** The newest run of a gang whose failure is counted; null if there is none. */
+  newestFailedRun(stepKey: string): number | null {
+    return this.#newestFailedRuns.get(stepKey) ?? null;
   }
 
-  /** The failure of a gang's run is counted, by an earlier coordinator perhaps. */
-  noteFailedRun(stepKey: string, run: number): void {
-    this.#failures.add(gangRun(stepKey, run));
-    const newest = Math.max(run, this.#failedRuns.get(stepKey) ?? 0);
-    this.#failedRuns.set(stepKey, newest);
+  /**
+   * Marks the failure of a gang run as counted, possibly by an earlier coordinator.
+   */
+  markFailedRun(stepKey: string, run: number): void {
+    this.#gangFailures.add(gangRunKey(stepKey, run));
+    const newest = Math.max(run, this.#newestFailedRuns.get(stepKey) ?? 0);
+    this.#newestFailedRuns.set(stepKey, newest);
   }
 
-  /** Counts a failure for all tasks that fail with this one. */
+  /** Counts a failure for all tasks that fail together with this one. */
   addFailure(
     task: Task,
     ended: ends.EndOfRun,
     { group, nowMs }: { group: readonly Task[]; nowMs: number },
   ): void {
     const failedAfterMs = nowMs - task.startedAtMs;
-    const entry = histories.failedEntry(ends.atEnd(task, ended));
+    const entry = histories.failedEntry(ends.toOutcome(task, ended));
     for (const member of group) {
       member.failures++;
       member.failedAtMs = nowMs;
       member.failedAfterMs = failedAfterMs;
-      member.note(entry);
+      member.addHistoryEntry(entry);
     }
   }
 
-  /** Counts a crash; false where it is counted already. */
+  /** Counts a crash; returns false if it is counted already. */
   addCrash(task: Task, ended: ends.EndOfRun): boolean {
     const { run, crash = budgets.NO_EVIDENCE } = ended;
-    const id = taskRun(task, run);
+    const id = taskRunKey(task, run);
     if (this.#crashes.has(id)) return false;
     this.#crashes.add(id);
-    const former = task.crashes;
-    task.crashes = budgets.addCrash(former, crash);
+    const prior = task.crashes;
+    task.crashes = budgets.addCrash(prior, crash);
     const { laid, unseen } = task.crashes;
-    if (laid + unseen === former.laid + former.unseen) this.#excused.add(id);
-    task.note(histories.crashedEntry(ends.atEnd(task, ended), {
+    if (laid + unseen === prior.laid + prior.unseen) this.#excused.add(id);
+    task.addHistoryEntry(histories.crashedEntry(ends.toOutcome(task, ended), {
       presence: crash.presence,
-      before: former,
+      before: prior,
       after: task.crashes,
     }));
     return true;
   }
 
   /**
-   * A crash under a task has struck many endpoints at once. Returns false where
-   * that changes nothing.
+   * Excuses a crash that struck many endpoints at once. Returns false if that
+   * changes nothing.
    */
   excuseCrash(
     task: Task,
     run: number,
     evidence: Pick<budgets.CrashEvidence, "fellows" | "presence">,
   ): boolean {
-    const id = taskRun(task, run);
+    const id = taskRunKey(task, run);
     if (!this.#crashes.has(id) || this.#excused.has(id)) return false;
     const count = budgets.excuseCrash(task.crashes, evidence);
     if (count === task.crashes) return false;
@@ -91,21 +99,23 @@
   }
 }
 
-/** The highest count among the members of a gang. */
-export function mostCrashed(members: readonly Task[]): budgets.CrashCount {
-  const sumOf = ({ laid, excused }: budgets.CrashCount) => laid + excused;
+/** The highest crash count among the members of a gang. */
+export function highestCrashCount(
+  members: readonly Task[],
+): budgets.CrashCount {
+  const totalOf = ({ laid, excused }: budgets.CrashCount) => laid + excused;
   return members.map(({ crashes }) => crashes).reduce(
-    (most, count) => sumOf(count) > sumOf(most) ? count : most,
+    (highest, count) => totalOf(count) > totalOf(highest) ? count : highest,
     budgets.NO_CRASHES,
   );
 }
 
-/** Name of a run of a gang within its workflow. */
-function gangRun(stepKey: string, run: number): string {
+/** Key of a gang run within its workflow. */
+function gangRunKey(stepKey: string, run: number): string {
   return `${stepKey}.${run}`;
 }
 
-/** Name of a run of a task within its workflow. */
-function taskRun(task: Task, run: number): string {
+/** Key of a task's run within its workflow. */
+function taskRunKey(task: Task, run: number): string {
   return `${task.key}.${run}`;
 }
--- a/packages/workflow/src/end_of_run.ts
+++ b/packages/workflow/src/end_of_run.ts
@@ -1,30 +1,32 @@
-/** The end of a run, as a workflow is told of it. */
+/** A report of the end of a run, as passed to a workflow. */
 import type * as budgets from "./restart_budget.ts";
 import type * as histories from "./run_history.ts";
 import type * as taskStates from "./task_state.ts";
 import type * as workflowTasks from "./workflow_task.ts";
 
-/** The end of a run, as it is known. */
+/** The end of a run and the evidence about it. */
 export interface EndOfRun {
   readonly run: number;
   readonly how: taskStates.RunEnd;
   readonly checkpoint: string;
-  /** Where it ran; left out: where the task is placed. */
+  /** Endpoint of the run; if omitted, the endpoint where the task is placed. */
   readonly endpoint?: string;
-  /** Of a crash: what is known of who is to blame. */
+  /** For a crash: evidence on whether the task caused it. */
   readonly crash?: budgets.CrashEvidence;
-  /** Of a lost run: how it ended may still be told. */
+  /** For a lost run: its outcome may still be reported. */
   readonly isOpen?: boolean;
-  /** Our time since which it was being stopped; null or left out: it was not. */
+  /**
+   * Monotonic time since which it was being stopped; null or omitted if it was not.
+   */
   readonly stoppingSinceMs?: number | null;
-  /** Of a lost run: how sure it is that its endpoint had it. */
+  /** For a lost run: how certain it is that the run was on its endpoint. */
   readonly presence?: budgets.Presence;
 }
 
-/** An end for the history of a task. */
-export function atEnd(
+/** The outcome as an entry of the task's history. */
+export function toOutcome(
   { worker }: Pick<workflowTasks.WorkflowTask, "worker">,
   { run, how, endpoint }: EndOfRun,
-): histories.RunAtEnd {
+): histories.RunOutcome {
   return { run, how, endpoint: endpoint ?? worker ?? "" };
 }
--- a/packages/workflow/src/failed_runs.ts
+++ b/packages/workflow/src/failed_runs.ts
@@ -1,37 +1,41 @@
 /**
- * Runs of gangs whose failure is counted, for the record: a run of a gang fails once,
- * also where the next coordinator hears of it again from another member.
+ * Stores gang runs whose failure is counted, so that a run of a gang fails only
+ * once even if the next coordinator gets the failure again from another member.
  */
 import type * as workflows from "./workflow.ts";
 
-/** Such runs as they are recorded. */
+/** Counted failures of gang runs, as stored. */
 export interface FailedRunsRecord {
   /**
-   * Those of which members may still be there and tell their failure, by
-   * `round.step`. Left out: there are none, or an earlier version wrote.
+   * Runs whose members may still report their failure, by `round.step`. Omitted if
+   * there are none, or by earlier versions.
    */
   readonly failedRuns?: Readonly<Record<string, number>>;
 }
 
-/** Lists them. */
+/** Lists the counted runs whose failure may still be reported. */
 export function listFailedRuns(
-  { counts, steps }: workflows.Workflow,
+  { failureCounts, steps }: workflows.Workflow,
 ): FailedRunsRecord {
-  const failed = steps.flatMap(([stepKey, members]) => {
-    const run = counts.failedRunOf(stepKey);
+  const failedRunEntries = steps.flatMap(([stepKey, members]) => {
+    const run = failureCounts.newestFailedRun(stepKey);
     if (run === null) return [];
-    const mayBeTold = members.some((one) => one.isPlaced && one.run === run);
-    return mayBeTold ? [[stepKey, run] as const] : [];
+    const mayBeReported = members.some((member) =>
+      member.isPlaced && member.run === run
+    );
+    return mayBeReported ? [[stepKey, run] as const] : [];
   });
-  return failed.length === 0 ? {} : { failedRuns: Object.fromEntries(failed) };
+  return failedRunEntries.length === 0
+    ? {}
+    : { failedRuns: Object.fromEntries(failedRunEntries) };
 }
 
-/** Takes in those of a record. */
+/** Restores the counted runs of a record. */
 export function applyFailedRuns(
-  { counts }: workflows.Workflow,
+  { failureCounts }: workflows.Workflow,
   { failedRuns = {} }: FailedRunsRecord,
 ): void {
   for (const [stepKey, run] of Object.entries(failedRuns)) {
-    counts.noteFailedRun(stepKey, run);
+    failureCounts.markFailedRun(stepKey, run);
   }
 }
--- a/packages/workflow/src/gang_breaks.ts
+++ b/packages/workflow/src/gang_breaks.ts
@@ -1,59 +1,62 @@
 /**
- * Which members of a gang's run are known to have ended as broken. A member that ended
- * so tells that another one had ended, and not that all have: a third one may follow
- * later, or still be stopping.
+ * Tracks which members of a gang run ended because another member had ended
+ * (`RunEnd.Broken`). One such end shows that some other member ended, not that all
+ * did: a third one may end later, or still be stopping.
  */
 import type * as tasks from "./workflow_task.ts";
 
 interface BrokenRun {
-  /** Our time at which the first member was listed as broken. */
-  readonly sinceMs: number;
-  /** Our time since which each was being stopped; null where it was not. */
-  readonly stoppingSinceMs: Map<tasks.WorkflowTask, number | null>;
+  /** Monotonic time at which the first member was recorded as broken. */
+  readonly firstBrokenAtMs: number;
+  /**
+   * Monotonic time since which each member was being stopped; null if it was not.
+   */
+  readonly memberStops: Map<tasks.WorkflowTask, number | null>;
 }
 
-/** Those of one workflow. */
-export class GangBreaks {
+/** The broken gang runs of one workflow. */
+export class BrokenGangRuns {
   /** By round, step and run. */
   readonly #runs = new Map<string, BrokenRun>();
 
-  /** The present run of a member ended as broken. */
-  note(
+  /** Records that the current run of a member ended as broken. */
+  add(
     task: tasks.WorkflowTask,
     nowMs: number,
     stoppingSinceMs: number | null = null,
   ): void {
-    const name = nameOf(task);
-    const known = this.#runs.get(name);
-    const run = known ?? { sinceMs: nowMs, stoppingSinceMs: new Map() };
-    run.stoppingSinceMs.set(task, stoppingSinceMs);
-    this.#runs.set(name, run);
+    const key = gangRunKey(task);
+    const existing = this.#runs.get(key);
+    const run = existing ?? { firstBrokenAtMs: nowMs, memberStops: new Map() };
+    run.memberStops.set(task, stoppingSinceMs);
+    this.#runs.set(key, run);
   }
 
   /**
-   * Whether the present run of a member must have ended before those of all others:
-   * each of them broke because another one had ended, so the first end was this one's.
-   * Not where one of them, or this one, was told to stop before: a stop takes its time,
-   * and nobody says whether others break at its beginning or at its end.
+   * Whether the current run of a member must have ended before those of all others:
+   * if each other member broke because another one had ended, the first end was
+   * this one's. That does not follow if any member, this one included, was being
+   * stopped before: a stop takes time, and it is unknown whether others break at
+   * its start or at its end.
    */
-  isFirstEnd(
+  hasEndedFirst(
     task: tasks.WorkflowTask,
     others: readonly tasks.WorkflowTask[],
     stoppingSinceMs: number | null,
   ): boolean {
-    const broken = this.#runs.get(nameOf(task));
+    const broken = this.#runs.get(gangRunKey(task));
     if (broken === undefined) return false;
-    const wasStopped = (sinceMs: number | null) =>
-      sinceMs !== null && sinceMs < broken.sinceMs;
-    if (wasStopped(stoppingSinceMs)) return false;
+    const wasStoppingBefore = (sinceMs: number | null) =>
+      sinceMs !== null && sinceMs < broken.firstBrokenAtMs;
+    if (wasStoppingBefore(stoppingSinceMs)) return false;
     return others.every((other) => {
-      const sinceMs = broken.stoppingSinceMs.get(other);
-      return sinceMs !== undefined && !wasStopped(sinceMs);
+      const sinceMs = broken.memberStops.get(other);
+      return sinceMs !== undefined && !wasStoppingBefore(sinceMs);
     });
   }
 }
 
-/** Name of a run of a gang within its workflow. */
-function nameOf({ stepKey, run }: tasks.WorkflowTask): string {
+/** Key of a gang run within its workflow. */
+function gangRunKey({ stepKey, run }: tasks.WorkflowTask): string {
   return `${stepKey}.${run}`;
 }
--- a/packages/workflow/src/gang_breaks_test.ts
+++ b/packages/workflow/src/gang_breaks_test.ts
@@ -1,10 +1,11 @@
 /**
- * What the ends of a gang's other members show. A task ran twice at once because one
- * member that had ended as broken stood for the ends of all.
+ * Conclusions from the ends of a gang's other members. A task ran twice at the same
+ * time because one member that ended as broken was taken as proof that all had
+ * ended.
  */
 import * as TestUtils from "@cairngate/test-utils";
 import * as vitest from "vitest";
-import * as gangBreaks from "./gang_breaks.ts";
+import * as brokenGangRuns from "./gang_breaks.ts";
 import type * as tasks from "./task.ts";
 import * as workflows from "./workflow.ts";
 
@@ -26,48 +27,53 @@
   return members;
 }
 
-/** Whether the first member must have ended first, by what is known. */
-function isFirstEnd(
+/** Whether the first member must have ended first, given which others broke. */
+function hasFirstEnded(
   broken: readonly number[],
   stoppingSinceMs: number | null = null,
 ): boolean {
   const [first, ...others] = startGang();
-  const breaks = new gangBreaks.GangBreaks();
-  for (const place of broken) breaks.note(others[place], BROKEN_AT_MS);
-  return breaks.isFirstEnd(first, others, stoppingSinceMs);
+  const brokenRuns = new brokenGangRuns.BrokenGangRuns();
+  for (const index of broken) brokenRuns.add(others[index], BROKEN_AT_MS);
+  return brokenRuns.hasEndedFirst(first, others, stoppingSinceMs);
 }
 
-vitest.describe("a member that is not heard", () => {
-  vitest.it("ended first where all others broke", () => {
-    vitest.expect(isFirstEnd([0, 1])).toBe(true);
+vitest.describe("a gang member on an unreachable endpoint", () => {
+  vitest.it("ended first if all others broke", () => {
+    vitest.expect(hasFirstEnded([0, 1])).toBe(true);
   });
 
-  vitest.it("may run on where one other broke", () => {
-    vitest.expect(isFirstEnd([0])).toBe(false);
+  vitest.it("may still run if only one other broke", () => {
+    vitest.expect(hasFirstEnded([0])).toBe(false);
   });
 
-  vitest.it("may run on while no other broke", () => {
-    vitest.expect(isFirstEnd([])).toBe(false);
+  vitest.it("may still run while no other broke", () => {
+    vitest.expect(hasFirstEnded([])).toBe(false);
   });
 
-  vitest.it("may be stopping where it was told so before", () => {
-    vitest.expect(isFirstEnd([0, 1], BROKEN_AT_MS - 1)).toBe(false);
-    vitest.expect(isFirstEnd([0, 1], BROKEN_AT_MS + 1)).toBe(true);
+  vitest.it("may be stopping if it was ordered to stop before", () => {
+    vitest.expect(hasFirstEnded([0, 1], BROKEN_AT_MS - 1)).toBe(false);
+    vitest.expect(hasFirstEnded([0, 1], BROKEN_AT_MS + 1)).toBe(true);
   });
 
-  vitest.it("may run on where another one was told to stop before", () => {
+  vitest.it("may still run if another one was ordered to stop before", () => {
     const [first, second, third] = startGang();
-    const breaks = new gangBreaks.GangBreaks();
-    breaks.note(third, BROKEN_AT_MS);
-    breaks.note(second, BROKEN_AT_MS + 100, BROKEN_AT_MS - 1);
-    vitest.expect(breaks.isFirstEnd(first, [second, third], null)).toBe(false);
+    const brokenRuns = new brokenGangRuns.BrokenGangRuns();
+    brokenRuns.add(third, BROKEN_AT_MS);
+    brokenRuns.add(second, BROKEN_AT_MS + 100, BROKEN_AT_MS - 1);
+    vitest.expect(brokenRuns.hasEndedFirst(first, [second, third], null)).toBe(
+      false,
+    );
   });
 
-  vitest.it("is not shown by an earlier run of its gang", () => {
-    const [first, ...others] = startGang();
-    const breaks = new gangBreaks.GangBreaks();
-    for (const other of others) breaks.note(other, BROKEN_AT_MS);
-    for (const member of [first, ...others]) member.place("i-9", 2, 0);
-    vitest.expect(breaks.isFirstEnd(first, others, null)).toBe(false);
-  });
+  vitest.it(
+    "is not implied to have ended by an earlier run of its gang",
+    () => {
+      const [first, ...others] = startGang();
+      const brokenRuns = new brokenGangRuns.BrokenGangRuns();
+      for (const other of others) brokenRuns.add(other, BROKEN_AT_MS);
+      for (const member of [first, ...others]) member.place("i-9", 2, 0);
+      vitest.expect(brokenRuns.hasEndedFirst(first, others, null)).toBe(false);
+    },
+  );
 });
--- a/packages/workflow/src/history_record.ts
+++ b/packages/workflow/src/history_record.ts
@@ -1,14 +1,14 @@
 /**
- * Histories of runs, and the give-up that they explain, as they are kept in the row
- * of a workflow: short, because a row holds all tasks that are under way.
+ * Run histories, and the give-up that they explain, in the stored row of a
+ * workflow. The format is compact because one row holds all tasks in progress.
  */
 import type * as giveUps from "./give_up.ts";
 import * as histories from "./run_history.ts";
 import type * as tasks from "./task.ts";
 import type * as workflows from "./workflow.ts";
 
-/** One run of a history. */
-export type ListedRun = readonly [
+/** One run of a stored history. */
+export type HistoryRunRecord = readonly [
   run: number,
   endpoint: string,
   how: tasks.RunEnd,
@@ -16,52 +16,52 @@
   counted: histories.RunCount,
 ];
 
-/** A history. */
-export interface ListedHistory {
-  readonly runs: readonly ListedRun[];
-  /** Left out: none is missing. */
+/** A stored history. */
+export interface HistoryRecord {
+  readonly runs: readonly HistoryRunRecord[];
+  /** Omitted if no run is missing. */
   readonly isPartial?: true;
 }
 
-/** Histories of tasks that are under way. */
-export interface ListedHistories {
-  /** By key of the task; left out: there are none. */
-  readonly histories?: Readonly<Record<string, ListedHistory>>;
-  /** Some are not listed, for want of room. */
+/** Histories of the tasks in progress. */
+export interface HistoriesRecord {
+  /** By task key; omitted if there are none. */
+  readonly histories?: Readonly<Record<string, HistoryRecord>>;
+  /** Set if some histories are omitted for lack of space. */
   readonly hasLeftOutHistories?: true;
 }
 
-/** The task for which a workflow was given up. */
-export interface ListedGiveUp extends Omit<giveUps.GiveUp, "history"> {
-  /** Left out: an earlier version recorded it. */
-  readonly history?: ListedHistory;
+/** The task that caused a workflow to be given up, as stored. */
+export interface StoredGiveUp extends Omit<giveUps.GiveUp, "history"> {
+  /** Omitted by earlier versions. */
+  readonly history?: HistoryRecord;
 }
 
-/** The give-up of a workflow. */
-export interface KeptGiveUp {
-  /** Left out: it was not given up. */
-  readonly giveUp?: ListedGiveUp;
+/** The give-up of a workflow, as stored. */
+export interface GiveUpRecord {
+  /** Omitted if the workflow was not given up. */
+  readonly giveUp?: StoredGiveUp;
 }
 
 /**
- * Characters of all histories of one record: some 70 runs. Most records list few
- * tasks, and each of their writes carries this as well.
+ * Characters of all histories of one record, about 70 runs. Most records hold few
+ * tasks, and every write of a record carries its histories too.
  */
-const MOST_LENGTH = 4000;
+const MAX_HISTORIES_CHARS = 4000;
 
-/** A history for a record. */
-export function listHistory(
+/** Encodes a history for a record. */
+export function encodeHistory(
   { entries, isPartial }: histories.RunHistory,
-): ListedHistory {
+): HistoryRecord {
   const runs = entries.map((
     { run, endpoint, how, evidence, counted },
-  ): ListedRun => [run, endpoint, how, evidence, counted]);
+  ): HistoryRunRecord => [run, endpoint, how, evidence, counted]);
   return isPartial ? { runs, isPartial } : { runs };
 }
 
-/** A history from a record. */
-export function readHistory(
-  { runs, isPartial }: ListedHistory,
+/** Decodes a history of a record. */
+export function decodeHistory(
+  { runs, isPartial }: HistoryRecord,
 ): histories.RunHistory {
   const entries = runs.map((
     [run, endpoint, how, evidence, counted],
@@ -69,61 +69,61 @@
   return { entries, isPartial: isPartial === true };
 }
 
-/** A give-up for a record; null: there is none. */
-export function listGiveUp(giveUp: giveUps.GiveUp | null): KeptGiveUp {
+/** Encodes a give-up for a record; null if there is none. */
+export function encodeGiveUp(giveUp: giveUps.GiveUp | null): GiveUpRecord {
   if (giveUp === null) return {};
-  const { history, ...known } = giveUp;
-  if (history === null) return { giveUp: known };
-  return { giveUp: { ...known, history: listHistory(history) } };
+  const { history, ...rest } = giveUp;
+  if (history === null) return { giveUp: rest };
+  return { giveUp: { ...rest, history: encodeHistory(history) } };
 }
 
-/** The give-up of a record; null where there is none. */
-export function readGiveUp({ giveUp }: KeptGiveUp): giveUps.GiveUp | null {
+/** Decodes the give-up of a record; null if there is none. */
+export function readGiveUp({ giveUp }: GiveUpRecord): giveUps.GiveUp | null {
   if (giveUp === undefined) return null;
-  const { history, ...known } = giveUp;
+  const { history, ...rest } = giveUp;
   return {
-    ...known,
-    history: history === undefined ? null : readHistory(history),
+    ...rest,
+    history: history === undefined ? null : decodeHistory(history),
   };
 }
 
 /**
- * Histories of tasks, those of the first ones where not all have room.
- * @param roomLength characters that are left in the row
+ * Encodes the histories of tasks, in order, until the space is used up.
+ * @param availableChars characters left in the row
  */
-export function listHistories(
-  ordered: readonly tasks.Task[],
-  roomLength: number,
-): ListedHistories {
-  const listed: Record<string, ListedHistory> = {};
-  let left = Math.min(MOST_LENGTH, roomLength);
-  let hasLeftOut = false;
-  for (const { key, history } of ordered) {
-    const isLost = history.entries.length === 0;
-    hasLeftOut ||= isLost && history.isPartial;
-    if (isLost) continue;
-    const kept = listHistory(history);
-    left -= JSON.stringify([key, kept]).length;
-    if (left < 0) break;
-    listed[key] = kept;
+export function encodeHistories(
+  orderedTasks: readonly tasks.Task[],
+  availableChars: number,
+): HistoriesRecord {
+  const encoded: Record<string, HistoryRecord> = {};
+  let remainingChars = Math.min(MAX_HISTORIES_CHARS, availableChars);
+  let hasOmitted = false;
+  for (const { key, history } of orderedTasks) {
+    const isEmpty = history.entries.length === 0;
+    hasOmitted ||= isEmpty && history.isPartial;
+    if (isEmpty) continue;
+    const record = encodeHistory(history);
+    remainingChars -= JSON.stringify([key, record]).length;
+    if (remainingChars < 0) break;
+    encoded[key] = record;
   }
-  hasLeftOut ||= left < 0;
+  hasOmitted ||= remainingChars < 0;
   return {
-    ...(Object.keys(listed).length === 0 ? {} : { histories: listed }),
-    ...(hasLeftOut ? { hasLeftOutHistories: true } : {}),
+    ...(Object.keys(encoded).length === 0 ? {} : { histories: encoded }),
+    ...(hasOmitted ? { hasLeftOutHistories: true } : {}),
   };
 }
 
-/** Puts histories of a record into the tasks of its workflow. */
+/** Restores the histories of a record into the tasks of its workflow. */
 export function applyHistories(
   workflow: workflows.Workflow,
-  { histories: listed = {}, hasLeftOutHistories }: ListedHistories,
+  { histories: records = {}, hasLeftOutHistories }: HistoriesRecord,
 ): void {
   if (hasLeftOutHistories === true) {
-    for (const task of workflow.tasks) task.history = histories.LOST_HISTORY;
+    for (const task of workflow.tasks) task.history = histories.MISSING_HISTORY;
   }
-  for (const [key, kept] of Object.entries(listed)) {
+  for (const [key, record] of Object.entries(records)) {
     const task = workflow.task(key);
-    if (task !== undefined) task.history = readHistory(kept);
+    if (task !== undefined) task.history = decodeHistory(record);
   }
 }
--- a/packages/workflow/src/index_set_test.ts
+++ b/packages/workflow/src/index_set_test.ts
@@ -1,17 +1,17 @@
-/** Sets of indexes are written as texts and read back. */
+/** Sets of indexes survive a round trip through their text encoding. */
 import * as fastCheck from "fast-check";
 import * as vitest from "vitest";
 import * as sets from "./index_set.ts";
 
 vitest.describe("sets of indexes", () => {
-  vitest.it("are short", () => {
+  vitest.it("have a short encoding", () => {
     vitest.expect(sets.encodeIndexes([])).toBe("");
     vitest.expect(sets.encodeIndexes([0, 2, 11])).toBe("BQg=");
-    const many = Array.from({ length: 10_000 }, (_, i) => 2 * i);
-    vitest.expect(sets.encodeIndexes(many).length).toBeLessThan(3400);
+    const evenIndexes = Array.from({ length: 10_000 }, (_, i) => 2 * i);
+    vitest.expect(sets.encodeIndexes(evenIndexes).length).toBeLessThan(3400);
   });
 
-  vitest.it("come back as they were", () => {
+  vitest.it("survive a round trip", () => {
     const lists = fastCheck.uniqueArray(fastCheck.nat(60));
     fastCheck.assert(fastCheck.property(lists, (list) => {
       const indexes = [...list].sort((a, b) => a - b);
--- a/packages/workflow/src/listed_lives.ts
+++ b/packages/workflow/src/listed_lives.ts
@@ -1,51 +1,55 @@
-/** The lives of endpoints that one record of a workflow names. */
+/**
+ * The endpoint incarnations that a record of a workflow refers to. An incarnation
+ * is one process life of an endpoint.
+ */
 
-/** Lives as they are recorded. */
-export interface LivesRecord {
-  /** Workers that may hold runs; one for each of their lives. */
+/** Incarnations as stored. */
+export interface IncarnationsRecord {
+  /** Ids of the endpoints that may hold runs, one for each incarnation. */
   readonly workers: readonly string[];
   /**
-   * Births of these lives; left out, also by earlier versions: none is known. They
-   * stand apart from the ids so that an earlier version still finds those.
+   * Start times of these incarnations; omitted, also by earlier versions, if none
+   * is known. They are separate from the ids so that an earlier version can still
+   * read those.
    */
   readonly births?: readonly (number | null)[];
   /**
-   * Addresses of these lives, by their place in `workers`, where a task in doubt is there:
-   * once their entries are gone nobody else knows whom to ask. Left out: none is needed,
-   * or an earlier version wrote.
+   * Addresses of these incarnations, by index in `workers`, where a task is a crash
+   * suspect: once their entries are gone, nothing else tells whom to ask. Omitted
+   * if none is needed, or by earlier versions.
    */
   readonly addresses?: Readonly<Record<string, string>>;
 }
 
-/** Lives that one record names. */
-export class ListedLives {
-  readonly #places = new Map<string, number>();
+/** Collects the incarnations of one record. */
+export class IncarnationTable {
+  readonly #indexes = new Map<string, number>();
   readonly #workers: string[] = [];
   readonly #births: (number | null)[] = [];
   readonly #addresses = new Map<number, string>();
 
-  /** Place of a life in the lists. */
-  placeOf(
+  /** Index of an incarnation in the lists, adding it if needed. */
+  indexOf(
     worker: string,
     bornMs: number | null,
     address: string | null,
   ): number {
-    const name = `${bornMs ?? ""}@${worker}`;
-    const place = this.#places.get(name) ?? this.#workers.push(worker) - 1;
-    this.#places.set(name, place);
-    this.#births[place] = bornMs;
-    if (address !== null) this.#addresses.set(place, address);
-    return place;
+    const key = `${bornMs ?? ""}@${worker}`;
+    const index = this.#indexes.get(key) ?? this.#workers.push(worker) - 1;
+    this.#indexes.set(key, index);
+    this.#births[index] = bornMs;
+    if (address !== null) this.#addresses.set(index, address);
+    return index;
   }
 
-  /** The lists; addresses only where there is room for them. */
-  list(hasRoom: boolean): LivesRecord {
+  /** The stored lists; addresses are left out if the row has no space for them. */
+  toRecord(includesAddresses: boolean): IncarnationsRecord {
     const births = this.#births;
     const addresses = Object.fromEntries(this.#addresses);
     return {
       workers: this.#workers,
       ...(births.some((bornMs) => bornMs !== null) ? { births } : {}),
-      ...(hasRoom && this.#addresses.size > 0 ? { addresses } : {}),
+      ...(includesAddresses && this.#addresses.size > 0 ? { addresses } : {}),
     };
   }
 }
--- a/packages/workflow/src/open_ends.ts
+++ b/packages/workflow/src/open_ends.ts
@@ -1,94 +1,108 @@
-/** Runs that were given up before anybody knew how they ended. */
+/** Runs that were given up before their outcome was known. */
 import type * as budgets from "./restart_budget.ts";
 
-/** What open ends have to do with in a task. */
-export interface OpenTask {
+/** The parts of a task that unresolved runs update. */
+export interface TaskWithUnresolvedRuns {
   readonly stepKey: string;
-  /** Runs whose endpoints are neither heard nor listed any more. */
+  /** Runs whose endpoints are neither reachable nor listed any more. */
   goneRuns: number;
-  /** The end of a run whose endpoint was neither heard nor listed is a doubt no more. */
-  withdrawGone(): void;
+  /** Removes one possible crash: the end of a gone run is resolved. */
+  withdrawGoneRun(): void;
 }
 
-/** A run of a task `T` whose end is not known. */
-export interface OpenEnd<T extends OpenTask> {
+/** A run of a task `T` whose outcome is not known. */
+export interface OpenEnd<T extends TaskWithUnresolvedRuns> {
   readonly task: T;
   readonly run: number;
-  /** Where it ran. */
+  /** Id of the endpoint where it ran. */
   readonly worker: string;
-  /** Birth of that endpoint's life; null: not told, or not known. */
+  /** Start time of that endpoint process; null if unknown. */
   readonly bornMs: number | null;
-  /** Address of that endpoint; left out or null: not known. */
+  /** Address of that endpoint; omitted or null if unknown. */
   readonly address?: string | null;
-  /** Its endpoint is neither heard nor listed: it may have crashed. */
+  /**
+   * Whether its endpoint is neither reachable nor listed, so that it may have
+   * crashed.
+   */
   readonly isGone?: boolean;
-  /** How sure it is that the endpoint had it. */
+  /** How certain it is that the run was on the endpoint. */
   readonly presence: budgets.Presence;
 }
 
-/** The open ends of one workflow. */
-export class OpenEnds<T extends OpenTask> {
-  readonly #open: OpenEnd<T>[] = [];
+/** The unresolved runs of one workflow. */
+export class UnresolvedRuns<T extends TaskWithUnresolvedRuns> {
+  readonly #runs: OpenEnd<T>[] = [];
 
-  /** All of them. */
+  /** All unresolved runs. */
   get all(): readonly OpenEnd<T>[] {
-    return this.#open;
+    return this.#runs;
   }
 
-  /** A run is given up while its end is not known. */
+  /** Adds a run that is given up while its outcome is not known. */
   add(end: OpenEnd<T>): void {
     this.close(end.task, end.run);
-    this.#open.push(end);
+    this.#runs.push(end);
     if (end.isGone === true) end.task.goneRuns++;
   }
 
   /** Whether a run is known to have been on an endpoint that may have crashed. */
   isGone({ task, run }: Pick<OpenEnd<T>, "task" | "run">): boolean {
-    return this.#open.some((one) =>
-      one.task === task && one.run === run && one.isGone === true
+    return this.#runs.some((existing) =>
+      existing.task === task && existing.run === run && existing.isGone === true
     );
   }
 
-  /** The end is known, or can not count any more. False where it was not open. */
+  /**
+   * Removes a run that is resolved or can no longer count. Returns false if there
+   * was none.
+   */
   close(task: T, run: number): boolean {
-    return this.#removeWhere((one) => one.task === task && one.run === run);
+    return this.#removeWhere((entry) =>
+      entry.task === task && entry.run === run
+    );
   }
 
-  /** The end does not count if it is told now; a doubt about its endpoint stays. */
+  /**
+   * Removes a run whose outcome must not count if it is reported later. A run on a
+   * gone endpoint stays: its endpoint may still have crashed.
+   */
   closeUntold(task: T, run: number): void {
-    this.#removeWhere((one) =>
-      one.task === task && one.run === run && one.isGone !== true
+    this.#removeWhere((entry) =>
+      entry.task === task && entry.run === run && entry.isGone !== true
     );
   }
 
-  /** Whatever ended a task's earlier runs does not matter any more. */
+  /** Removes all runs of a task whose earlier ends no longer matter. */
   closeTask(task: T): void {
-    this.#removeWhere((one) => one.task === task);
+    this.#removeWhere((entry) => entry.task === task);
   }
 
-  /** The end of one member tells that of the whole run. */
-  closeRun(stepKey: string, run: number): void {
-    this.#removeWhere((one) => one.task.stepKey === stepKey && one.run === run);
+  /** Removes all members of a gang run, as the end of one member resolves it. */
+  closeGangRun(stepKey: string, run: number): void {
+    this.#removeWhere((entry) =>
+      entry.task.stepKey === stepKey && entry.run === run
+    );
   }
 
   /**
-   * Runs of a step whose failure may still be told if this one is given up too. What
-   * ran on an endpoint that is gone was killed when its lease ran out.
+   * Number of runs of a step whose failure may still be reported if this one is
+   * given up too. A run on a gone endpoint was killed when its lease expired, so it
+   * is left out.
    */
-  countWith(stepKey: string, run: number): number {
-    const runs = this.#open
+  countRunsIncluding(stepKey: string, run: number): number {
+    const runs = this.#runs
       .filter(({ task, isGone }) => task.stepKey === stepKey && isGone !== true)
-      .map((one) => one.run);
+      .map((entry) => entry.run);
     return new Set([...runs, run]).size;
   }
 
-  #removeWhere(isOver: (end: OpenEnd<T>) => boolean): boolean {
-    const left = this.#open.filter((one) => !isOver(one));
-    const isChanged = left.length < this.#open.length;
-    for (const end of this.#open) {
-      if (end.isGone === true && isOver(end)) end.task.withdrawGone();
+  #removeWhere(isRemoved: (end: OpenEnd<T>) => boolean): boolean {
+    const remaining = this.#runs.filter((entry) => !isRemoved(entry));
+    const isChanged = remaining.length < this.#runs.length;
+    for (const end of this.#runs) {
+      if (end.isGone === true && isRemoved(end)) end.task.withdrawGoneRun();
     }
-    this.#open.splice(0, this.#open.length, ...left);
+    this.#runs.splice(0, this.#runs.length, ...remaining);
     return isChanged;
   }
 }
--- a/packages/workflow/src/progress_record.ts
+++ b/packages/workflow/src/progress_record.ts
@@ -1,12 +1,12 @@
 /**
- * The durable record of a workflow's progress; the coordinator writes it. It has
- * to fit into one row of the store, however many tasks a workflow has, so only
- * tasks that are under way are listed one by one.
+ * The stored record of a workflow's progress, written by the coordinator. A record
+ * has to fit into one row of the store however many tasks the workflow has, so only
+ * tasks in progress are stored one by one.
  */
 import * as failedRuns from "./failed_runs.ts";
 import * as historyRecords from "./history_record.ts";
 import * as indexSets from "./index_set.ts";
-import * as listedLives from "./listed_lives.ts";
+import * as incarnations from "./listed_lives.ts";
 import * as budgets from "./restart_budget.ts";
 import * as histories from "./run_history.ts";
 import * as tasks from "./task.ts";
@@ -14,9 +14,9 @@
 import * as states from "./workflow_state.ts";
 
 /**
- * A listed task: its run, its worker's place in `workers` or -1 for none, its
- * failures, its checkpoint where there is one, and the crashes under it where
- * there were any, with the newest run that a worker has confirmed since.
+ * A stored task: its run, the index of its endpoint in `workers` (-1 for none), its
+ * failures, its checkpoint if any, and, for crash suspects, its crash counts and
+ * the newest run that an endpoint has confirmed.
  */
 export type ListedTask = readonly [
   run: number,
@@ -32,8 +32,8 @@
   spentStarts?: number,
 ];
 
-/** A run that was given up before its end was known. */
-export type ListedOpenEnd = readonly [
+/** A run that was given up before its outcome was known. */
+export type UnresolvedRunRecord = readonly [
   taskKey: string,
   run: number,
   worker: string,
@@ -43,192 +43,228 @@
   address?: string,
 ];
 
-/** What is kept of a workflow; untouched tasks are left out. */
+/** The stored progress of a workflow; tasks that never ran are left out. */
 export interface ProgressRecord
   extends
-    historyRecords.ListedHistories,
-    historyRecords.KeptGiveUp,
-    listedLives.LivesRecord,
+    historyRecords.HistoriesRecord,
+    historyRecords.GiveUpRecord,
+    incarnations.IncarnationsRecord,
     failedRuns.FailedRunsRecord {
   readonly state: states.WorkflowState;
-  /** Left out: no cancel was known. Stays until the end is recorded. */
+  /** Omitted if no cancel was known. Stays until the end is recorded. */
   readonly cancelled?: true;
   /**
-   * Indexes of done tasks as a set in one text, by `round.step`; of a workflow
-   * of many rounds and steps one set of places among all tasks, by `*`.
+   * Indexes of done tasks as one encoded set, by `round.step`. A workflow with many
+   * rounds and steps has a single set of indexes into all tasks, under `*`.
    */
   readonly done: Readonly<Record<string, string>>;
-  /** Highest run of tasks that wait and are not listed, by the same names. */
+  /**
+   * Highest run of waiting tasks that are not stored one by one, by the same keys.
+   */
   readonly runs: Readonly<Record<string, number>>;
-  /** Tasks that a worker may hold, have failed or have a checkpoint, by key. */
+  /** Tasks that may be on an endpoint, have failed or have a checkpoint, by key. */
   readonly tasks: Readonly<Record<string, ListedTask>>;
-  /** Left out: there are none. */
-  readonly openEnds?: readonly ListedOpenEnd[];
+  /** Omitted if there are none. */
+  readonly openEnds?: readonly UnresolvedRunRecord[];
 }
 
-/** Waiting tasks with a checkpoint or failures that are listed at most. */
-const MOST_WAITING_LISTED = 200;
-/** Runs on endpoints that are gone of which a record tells at most: 10 KB. */
-const MOST_DOUBTS_LISTED = 200;
+/** Maximum number of stored waiting tasks with a checkpoint or failures. */
+const MAX_WAITING_TASKS = 200;
+/** Maximum number of stored runs on gone endpoints: 10 KB. */
+const MAX_GONE_RUNS = 200;
+/**
+ * Number of stored tasks up to which a record includes addresses: with those of
+ * gone runs 9 KB, on top of 15 KB. With more tasks, a record whose tasks are all
+ * crash suspects would not fit into its row.
+ */
+const MAX_TASKS_WITH_ADDRESSES = 150;
 /**
- * Listed tasks up to which a record tells addresses: with those of doubts 9 KB, beside
- * 15 KB. Of wider ones a record of all that is in doubt would be too long for its row.
+ * Characters of all checkpoints of one record; tasks beyond it restart from the
+ * beginning.
  */
-const MOST_WITH_ADDRESSES = 150;
-/** Characters of all checkpoints of one record; others begin anew. */
-const MOST_CHECKPOINT_LENGTH = 12_000;
+const MAX_CHECKPOINTS_CHARS = 12_000;
 /**
- * Characters of a record into which histories still go: rows of 64 KB hold 49,152 in
- * the platform's encoding; the rest is for their keys and marks.
+ * Characters of a record up to which histories are added. Rows of 64 KB hold 49,152
+ * characters in the platform's encoding; the difference is left for keys and
+ * punctuation.
  */
-const MOST_LENGTH_WITH_HISTORIES = 47_000;
-const NO_WORKER = -1;
-/** Steps of all rounds up to which each has an entry: 10 KB of 20 bytes each. */
-const MOST_NAMED_STEPS = 500;
-/** Name of all steps of a workflow that has more. */
-const ALL_STEPS = "*";
+const MAX_CHARS_WITH_HISTORIES = 47_000;
+const NO_ENDPOINT_INDEX = -1;
+/**
+ * Number of steps over all rounds up to which each has its own entry: 10 KB at 20
+ * bytes each.
+ */
+const MAX_KEYED_STEPS = 500;
+/** Key of the single entry of a workflow with more steps. */
+const ALL_TASKS_KEY = "*";
 
-/** Tasks under one name. */
+/** Tasks under one key. */
 type TaskGroup = readonly [name: string, members: readonly tasks.Task[]];
 
-/** The tasks of each step, or all tasks where the steps are very many. */
-function groupsOf(workflow: workflows.Workflow): readonly TaskGroup[] {
+/**
+ * The tasks of each step, or all tasks in one group if there are too many steps.
+ */
+function taskGroups(workflow: workflows.Workflow): readonly TaskGroup[] {
   const { steps } = workflow;
-  return steps.length <= MOST_NAMED_STEPS ? steps : [allTasks(workflow)];
+  return steps.length <= MAX_KEYED_STEPS ? steps : [allTasksGroup(workflow)];
 }
 
-function allTasks(workflow: workflows.Workflow): TaskGroup {
-  return [ALL_STEPS, [...workflow.tasks]];
+function allTasksGroup(workflow: workflows.Workflow): TaskGroup {
+  return [ALL_TASKS_KEY, [...workflow.tasks]];
 }
 
-/** Makes the record of a workflow. */
+/** Creates the record of a workflow. */
 export function toProgress(workflow: workflows.Workflow): ProgressRecord {
   const done: Record<string, string> = {};
   const runs: Record<string, number> = {};
-  const lives = new listedLives.ListedLives();
-  const listed = new Map<string, ListedTask>();
+  const table = new incarnations.IncarnationTable();
+  const records = new Map<string, ListedTask>();
   const waiting: tasks.Task[] = [];
-  const noted: tasks.Task[] = [];
-  const budget = { checkpoints: MOST_CHECKPOINT_LENGTH };
+  const withHistory: tasks.Task[] = [];
+  const budget = { checkpoints: MAX_CHECKPOINTS_CHARS };
   const hasEnded = states.isFinal(workflow.state);
-  const groups = groupsOf(workflow);
-  const nameOf = new Map<tasks.Task, string>();
+  const groups = taskGroups(workflow);
+  const groupNames = new Map<tasks.Task, string>();
   for (const [name, members] of groups) {
-    const places: number[] = [];
-    for (const [place, task] of members.entries()) {
+    const indexes: number[] = [];
+    for (const [index, task] of members.entries()) {
       const isDone = task.state === tasks.TaskState.Done;
-      if (isDone) places.push(place);
-      else if (task.history !== histories.NO_HISTORY) noted.push(task);
-      if (task.isPlaced) listed.set(task.key, listTask(task, lives, budget));
+      if (isDone) indexes.push(index);
+      else if (task.history !== histories.NO_HISTORY) withHistory.push(task);
+      if (task.isPlaced) records.set(task.key, encodeTask(task, table, budget));
       else if (!isDone && task.run > 0) {
         waiting.push(task);
-        nameOf.set(task, name);
+        groupNames.set(task, name);
       }
     }
-    if (places.length > 0) done[name] = indexSets.encodeIndexes(places);
+    if (indexes.length > 0) done[name] = indexSets.encodeIndexes(indexes);
   }
-  // What still runs after the end has to be stopped by whoever takes over.
-  for (const task of hasEnded ? [] : selectWaiting(waiting)) {
-    listed.set(task.key, listTask(task, lives, budget));
+  // Runs that continue after the end have to be stopped by the next coordinator.
+  for (const task of hasEnded ? [] : selectWaitingTasks(waiting)) {
+    records.set(task.key, encodeTask(task, table, budget));
   }
   for (const task of hasEnded ? [] : waiting) {
-    if (listed.has(task.key)) continue;
-    const name = nameOf.get(task) ?? ALL_STEPS;
+    if (records.has(task.key)) continue;
+    const name = groupNames.get(task) ?? ALL_TASKS_KEY;
     runs[name] = Math.max(runs[name] ?? 0, task.run);
   }
-  const hasRoom = listed.size <= MOST_WITH_ADDRESSES;
+  const includesAddresses = records.size <= MAX_TASKS_WITH_ADDRESSES;
   const record: ProgressRecord = {
     state: workflow.state,
     ...(workflow.cancelled && !hasEnded ? { cancelled: true } : {}),
-    ...lives.list(hasRoom),
+    ...table.toRecord(includesAddresses),
     done: hasEnded ? {} : done,
     runs,
-    tasks: Object.fromEntries(listed),
-    ...listOpenEnds(hasEnded ? [] : workflow.openEnds.all, hasRoom),
+    tasks: Object.fromEntries(records),
+    ...encodeUnresolvedRuns(
+      hasEnded ? [] : workflow.openEnds.all,
+      includesAddresses,
+    ),
     ...failedRuns.listFailedRuns(workflow),
-    ...historyRecords.listGiveUp(workflow.giveUp),
+    ...historyRecords.encodeGiveUp(workflow.giveUp),
   };
-  if (noted.length === 0 || hasEnded) return record;
-  const roomLength = MOST_LENGTH_WITH_HISTORIES - JSON.stringify(record).length;
-  const kept = historyRecords.listHistories(worstFirst(noted), roomLength);
-  return { ...record, ...kept };
+  if (withHistory.length === 0 || hasEnded) return record;
+  const availableChars = MAX_CHARS_WITH_HISTORIES -
+    JSON.stringify(record).length;
+  const historiesRecord = historyRecords.encodeHistories(
+    mostFailuresFirst(withHistory),
+    availableChars,
+  );
+  return { ...record, ...historiesRecord };
 }
 
-function listOpenEnds(
-  ends: readonly tasks.OpenEnd[],
-  hasRoom: boolean,
+function encodeUnresolvedRuns(
+  unresolved: readonly tasks.OpenEnd[],
+  includesAddresses: boolean,
 ): Pick<ProgressRecord, "openEnds"> {
-  if (ends.length === 0) return {};
+  if (unresolved.length === 0) return {};
   return {
-    openEnds: selectOpenEnds(ends).map((
+    openEnds: selectUnresolvedRuns(unresolved).map((
       { task, run, worker, presence, isGone, bornMs, address },
-    ): ListedOpenEnd => {
-      const known = [task.key, run, worker, presence] as const;
-      if (hasRoom && typeof address === "string") {
-        return [...known, isGone === true, bornMs, address];
+    ): UnresolvedRunRecord => {
+      const base = [task.key, run, worker, presence] as const;
+      if (includesAddresses && typeof address === "string") {
+        return [...base, isGone === true, bornMs, address];
       }
-      if (bornMs !== null) return [...known, isGone === true, bornMs];
-      return isGone === true ? [...known, isGone] : known;
+      if (bornMs !== null) return [...base, isGone === true, bornMs];
+      return isGone === true ? [...base, isGone] : base;
     }),
   };
 }
 
-/** Doubts may be lost, the newest last; ends that may still count are kept. */
-function selectOpenEnds(
-  ends: readonly tasks.OpenEnd[],
+/**
+ * Runs on gone endpoints beyond the limit may be dropped, oldest first; runs whose
+ * outcome may still count are all kept.
+ */
+function selectUnresolvedRuns(
+  unresolved: readonly tasks.OpenEnd[],
 ): readonly tasks.OpenEnd[] {
-  const doubts = new Set(
-    ends.filter(({ isGone }) => isGone === true).slice(-MOST_DOUBTS_LISTED),
+  const newestGone = new Set(
+    unresolved.filter(({ isGone }) => isGone === true).slice(-MAX_GONE_RUNS),
   );
-  return ends.filter((end) => end.isGone !== true || doubts.has(end));
+  return unresolved.filter((end) => end.isGone !== true || newestGone.has(end));
 }
 
-function worstFirst(some: readonly tasks.Task[]): tasks.Task[] {
-  return some.toSorted((a, b) => badEnds(b) - badEnds(a));
+function mostFailuresFirst(unordered: readonly tasks.Task[]): tasks.Task[] {
+  return unordered.toSorted((a, b) =>
+    countFailuresAndCrashes(b) - countFailuresAndCrashes(a)
+  );
 }
 
-/** Failures and crashes count towards the end of a workflow: they come first. */
-function selectWaiting(waiting: readonly tasks.Task[]): tasks.Task[] {
-  const kept = waiting.filter((task) =>
-    badEnds(task) > 0 || task.checkpoint !== ""
+/**
+ * Selects waiting tasks with failures and crashes first, as these count towards
+ * giving up the workflow.
+ */
+function selectWaitingTasks(waiting: readonly tasks.Task[]): tasks.Task[] {
+  const candidates = waiting.filter((task) =>
+    countFailuresAndCrashes(task) > 0 || task.checkpoint !== ""
   );
-  return worstFirst(kept).slice(0, MOST_WAITING_LISTED);
+  return mostFailuresFirst(candidates).slice(0, MAX_WAITING_TASKS);
 }
 
-function listTask(
+function encodeTask(
   task: tasks.Task,
-  lives: listedLives.ListedLives,
+  table: incarnations.IncarnationTable,
   budget: { checkpoints: number },
 ): ListedTask {
   const { run, worker, bornMs, failures, checkpoint } = task;
   const address = task.isSuspect ? task.address : null;
-  const place = worker === null
-    ? NO_WORKER
-    : lives.placeOf(worker, bornMs, address);
+  const endpointIndex = worker === null
+    ? NO_ENDPOINT_INDEX
+    : table.indexOf(worker, bornMs, address);
   budget.checkpoints -= checkpoint.length;
-  const kept = budget.checkpoints < 0 ? "" : checkpoint;
+  const storedCheckpoint = budget.checkpoints < 0 ? "" : checkpoint;
   const { laid, excused, presence, unseen } = task.crashes;
   if (task.isSuspect || excused > 0) {
     const { confirmedRun, confirmedEndsAtWallMs, spentStarts } = task;
-    const known = [run, place, failures, kept, laid, excused] as const;
-    const counted = [...known, presence, confirmedRun] as const;
+    const base = [
+      run,
+      endpointIndex,
+      failures,
+      storedCheckpoint,
+      laid,
+      excused,
+    ] as const;
+    const withConfirmation = [...base, presence, confirmedRun] as const;
     if (spentStarts > 0) {
-      return [...counted, unseen, confirmedEndsAtWallMs, spentStarts];
+      return [...withConfirmation, unseen, confirmedEndsAtWallMs, spentStarts];
     }
     if (confirmedEndsAtWallMs !== null) {
-      return [...counted, unseen, confirmedEndsAtWallMs];
+      return [...withConfirmation, unseen, confirmedEndsAtWallMs];
     }
-    return unseen === 0 ? counted : [...counted, unseen];
+    return unseen === 0 ? withConfirmation : [...withConfirmation, unseen];
   }
-  return kept === "" ? [run, place, failures] : [run, place, failures, kept];
+  return storedCheckpoint === ""
+    ? [run, endpointIndex, failures]
+    : [run, endpointIndex, failures, storedCheckpoint];
 }
 
 /** Ends of a task that count towards giving it up. */
-function badEnds({ failures, crashes }: tasks.Task): number {
+function countFailuresAndCrashes({ failures, crashes }: tasks.Task): number {
   return failures + crashes.laid + crashes.excused + crashes.unseen;
 }
 
-/** Puts a record into a workflow that was made from its spec. */
+/** Restores a record into a workflow that was created from its spec. */
 export function applyProgress(
   workflow: workflows.Workflow,
   record: ProgressRecord,
@@ -236,47 +272,49 @@
   workflow.state = record.state;
   // A cancel that is known from elsewhere stays.
   workflow.cancelled ||= record.cancelled === true;
-  // Earlier versions name each step, however many there are.
-  const groups = [...workflow.steps, allTasks(workflow)];
+  // Earlier versions wrote one entry for each step, however many there were.
+  const groups = [...workflow.steps, allTasksGroup(workflow)];
   for (const [name, members] of groups) {
     const run = record.runs[name] ?? 0;
     for (const task of members) task.run = Math.max(task.run, run);
-    for (const place of indexSets.decodeIndexes(record.done[name] ?? "")) {
-      if (place < members.length) members[place].state = tasks.TaskState.Done;
+    for (const index of indexSets.decodeIndexes(record.done[name] ?? "")) {
+      if (index < members.length) members[index].state = tasks.TaskState.Done;
     }
   }
-  for (const [key, kept] of Object.entries(record.tasks)) {
+  for (const [key, taskRecord] of Object.entries(record.tasks)) {
     const task = workflow.task(key);
-    if (task !== undefined) applyListed(task, kept, record);
+    if (task !== undefined) applyTaskRecord(task, taskRecord, record);
   }
-  for (const listed of record.openEnds ?? []) {
-    const [key, run, worker, kept, isGone = false, ...life] = listed;
-    const [bornMs = null, address = null] = life;
+  for (const unresolvedRun of record.openEnds ?? []) {
+    const [key, run, worker, storedPresence, isGone = false, ...incarnation] =
+      unresolvedRun;
+    const [bornMs = null, address = null] = incarnation;
     const task = workflow.task(key);
     if (task === undefined) continue;
-    const presence = kept ?? budgets.Presence.Likely;
-    const place = { worker, bornMs, address };
-    workflow.openEnds.add({ task, run, ...place, presence, isGone });
+    const presence = storedPresence ?? budgets.Presence.Likely;
+    const runLocation = { worker, bornMs, address };
+    workflow.openEnds.add({ task, run, ...runLocation, presence, isGone });
   }
   failedRuns.applyFailedRuns(workflow, record);
   historyRecords.applyHistories(workflow, record);
   workflow.giveUp = historyRecords.readGiveUp(record);
 }
 
-function applyListed(
+function applyTaskRecord(
   task: tasks.Task,
-  [run, place, failures, checkpoint, ...crashes]: ListedTask,
+  [run, endpointIndex, failures, checkpoint, ...crashFields]: ListedTask,
   { workers, births = [], addresses = {} }: ProgressRecord,
 ): void {
   task.run = run;
-  task.worker = workers[place] ?? null;
-  task.bornMs = births[place] ?? null;
-  task.address = addresses[place] ?? null;
+  task.worker = workers[endpointIndex] ?? null;
+  task.bornMs = births[endpointIndex] ?? null;
+  task.address = addresses[endpointIndex] ?? null;
   task.failures = failures;
   task.checkpoint = checkpoint ?? "";
-  const [laid = 0, excused = 0, presence = 0, ...seen] = crashes;
-  const [confirmedRun = 0, unseen = 0, ...since] = seen;
-  const [confirmedEndsAtWallMs = null, spentStarts = 0] = since;
+  const [laid = 0, excused = 0, presence = 0, ...confirmationFields] =
+    crashFields;
+  const [confirmedRun = 0, unseen = 0, ...restartFields] = confirmationFields;
+  const [confirmedEndsAtWallMs = null, spentStarts = 0] = restartFields;
   task.crashes = { laid, excused, presence, unseen };
   task.confirmedRun = confirmedRun;
   task.confirmedEndsAtWallMs = confirmedEndsAtWallMs;
--- a/packages/workflow/src/ready_units.ts
+++ b/packages/workflow/src/ready_units.ts
@@ -1,9 +1,13 @@
-/** Which tasks of a workflow may start now, by how they are placed together. */
+/**
+ * Finds the tasks of a workflow that may start now, grouped by how they are placed.
+ */
 import * as spec from "./spec.ts";
 import * as taskStates from "./task_state.ts";
 import type * as workflowTasks from "./workflow_task.ts";
 
-/** Tasks `T` of a workflow `W` that are placed together: a gang, or one task. */
+/**
+ * Tasks `T` of a workflow `W` that are placed together: a gang or a single task.
+ */
 export interface ReadyUnit<W, T> {
   readonly workflow: W;
   readonly round: number;
@@ -13,24 +17,26 @@
 }
 
 /** Tasks of a workflow by round and step. */
-export type Rounds<T> = readonly (readonly (readonly T[])[])[];
+export type TasksByRound<T> = readonly (readonly (readonly T[])[])[];
 
-interface Planned<T> {
+interface WorkflowWithTasks<T> {
   readonly spec: spec.WorkflowSpec;
-  readonly rounds: Rounds<T>;
+  readonly rounds: TasksByRound<T>;
 }
 
-/** Units of the rounds that are due, in order of rounds and steps. */
-export function findReady<
-  W extends Planned<T>,
+/** Returns the units of all rounds that are due, in order of rounds and steps. */
+export function findReadyUnits<
+  W extends WorkflowWithTasks<T>,
   T extends workflowTasks.WorkflowTask,
 >(workflow: W, wallMs: number): ReadyUnit<W, T>[] {
   const units: ReadyUnit<W, T>[] = [];
   for (const [round, steps] of workflow.rounds.entries()) {
     if (!spec.isDue(workflow.spec, round, wallMs)) break;
     for (const [stepIndex, step] of workflow.spec.steps.entries()) {
-      if (!step.after.every((before) => steps[before].every(isDone))) continue;
-      for (const tasks of groupsOf(step, steps[stepIndex])) {
+      if (
+        !step.after.every((predecessor) => steps[predecessor].every(isDone))
+      ) continue;
+      for (const tasks of readyGroups(step, steps[stepIndex])) {
         units.push({ workflow, round, stepIndex, step, tasks });
       }
     }
@@ -38,7 +44,7 @@
   return units;
 }
 
-function groupsOf<T extends workflowTasks.WorkflowTask>(
+function readyGroups<T extends workflowTasks.WorkflowTask>(
   step: spec.StepSpec,
   all: readonly T[],
 ): readonly (readonly T[])[] {
--- a/packages/workflow/src/restart_budget.ts
+++ b/packages/workflow/src/restart_budget.ts
@@ -1,34 +1,38 @@
 /**
- * How often work may be started again: the one place that counts failed runs,
- * crashed endpoints and runs whose end is not known, and says when to give up.
+ * Limits how often a task is restarted: this module alone weighs failed runs,
+ * endpoint crashes and runs of unknown outcome, and decides when to give up.
  */
 import type * as spec from "./spec.ts";
 
-/** Endpoints that have crashed under one task, or may have. */
+/** Endpoint crashes, certain or possible, under one task. */
 export interface CrashCount {
-  /** Crashes laid to the task. */
+  /** Crashes attributed to the task. */
   readonly laid: number;
-  /** Crashes with which so many endpoints fell that the task is not to blame. */
+  /**
+   * Crashes excused because so many endpoints crashed together that the task is not
+   * the cause.
+   */
   readonly excused: number;
-  /** How sure it is that the task's runs were there: their presence, summed. */
+  /**
+   * Certainty that the task's runs were on the crashed endpoints: the sum of their
+   * `Presence` values.
+   */
   readonly presence: number;
-  /** Endpoints that crashed and on which nothing has shown the task's run. */
+  /** Crashes of endpoints on which the task's run was never confirmed. */
   readonly unseen: number;
 }
 
-/** How sure it is that a run was on the endpoint that crashed. */
+/** How certain it is that a run was on the endpoint that crashed. */
 export enum Presence {
-  /** Its start may have been lost, or came when the endpoint had ended. */
+  /** The start may have been lost, or arrived after the endpoint had ended. */
   Unknown = 0,
-  /**
-   * The endpoint had answered just before the start was sent and never again.
-   */
+  /** The endpoint answered just before the start was sent and never again. */
   Likely = 1,
-  /** Its start was answered, or a look has shown it. */
+  /** The start was answered, or a status read has listed the run. */
   Certain = 2,
 }
 
-/** A task under which no endpoint has crashed. */
+/** The count of a task under which no endpoint has crashed. */
 export const NO_CRASHES: CrashCount = {
   laid: 0,
   excused: 0,
@@ -36,7 +40,7 @@
   unseen: 0,
 };
 
-/** Why a task is not started any more. */
+/** Why a task is not restarted any more. */
 export enum GiveUpReason {
   /** As many of its runs have failed as its queue allows. */
   Failures = "failures",
@@ -45,70 +49,73 @@
 }
 
 /**
- * Crashes laid to a task after which it is given up, if nothing else ran where
- * the last one happened. Operators allow two more starts after a third crash;
- * up to three are needed to tell a task from its neighbours.
+ * Crashes attributed to a task after which it is given up if nothing else ran on
+ * the last endpoint. Operators allow two more starts after a third crash; up to
+ * three crashes are needed to tell a task from the ones that ran beside it.
  */
-const MOST_LAID = 3;
+const CRASH_LIMIT_ALONE = 3;
 /**
- * Crashes laid to a task after which it is given up whoever stood beside it: of the
- * two starts that operators allow after a third crash, one is left for an order
- * that an endpoint carries out late.
+ * Crashes attributed to a task after which it is given up whatever ran beside it.
+ * Of the two starts that operators allow after a third crash, one is reserved for
+ * an order that an endpoint carries out late.
  */
-const MOST_CRASHES = 4;
+const CRASH_LIMIT = 4;
 /**
- * The same with those for which others are to blame, and with those that may have
- * come before the start. It is all that operators allow.
+ * The limit for all possible crashes, including excused ones and those that may
+ * have preceded the start. It is the most that operators allow.
  */
-const MOST_IN_ALL = 5;
+const TOTAL_CRASH_LIMIT = 5;
 /**
- * Operators take a task for good until two endpoints crashed under it. Crashes with
- * which it was likely there don't show that, however many they are: in random plays
- * half of such runs of good work had ended before.
+ * Operators give a task the benefit of the doubt until two endpoints have certainly
+ * crashed under it. Any number of likely crashes does not prove that: in random
+ * simulations half of such runs of harmless tasks had ended before the crash.
  */
-const LEAST_CERTAIN = 2;
+const MIN_CERTAIN_CRASHES = 2;
 /**
- * The same where all starts that operators allow are used: three likely ones. One
- * is likely where the endpoint answered within 0.15 s before the start.
+ * The certainty required once all starts that operators allow are used: three
+ * likely crashes. A crash is likely if the endpoint answered within 0.15 s before
+ * the start.
  */
-const LEAST_PRESENCE_IN_ALL = 3 * Presence.Likely;
-/** A lasting task that has run for so long, in ms, is not what ended its endpoint. */
-const LASTING_PROVEN_MS = 30_000;
+const MIN_TOTAL_PRESENCE = 3 * Presence.Likely;
+/**
+ * Run time in ms after which a lasting task is not considered the cause of a crash.
+ */
+const STABLE_AFTER_MS = 30_000;
 
-/** How many endpoints crashed at one moment. */
+/** How many endpoints crashed at the same time. */
 export enum CrashFellows {
-  /** So few that a task may have done it. */
+  /** So few that one task may be the cause. */
   Few = 0,
-  /** More than tasks take with them, unless several such tasks began together. */
+  /** More than one task takes down, unless several such tasks started together. */
   Several = 1,
-  /** A loss of power or of a network, whatever ran there. */
+  /** A loss of power or network, independent of the tasks. */
   Many = 2,
 }
 
-/** What is known of a crash. */
+/** The evidence about a crash. */
 export interface CrashEvidence {
-  /** Nothing but this task's unit ran on the endpoint. */
+  /** Whether only this task's unit ran on the endpoint. */
   readonly wasAlone: boolean;
   readonly fellows: CrashFellows;
   readonly presence: Presence;
 }
 
-/** Nothing speaks for or against the task. */
+/** No evidence for or against the task. */
 export const NO_EVIDENCE: CrashEvidence = {
   wasAlone: false,
   fellows: CrashFellows.Few,
   presence: Presence.Unknown,
 };
 
-/** Whether a lasting task has run for so long that an older crash is no trait. */
+/** Whether a lasting task has run long enough to discard its earlier crashes. */
 export function isProvenLasting(step: spec.StepSpec, ranMs: number): boolean {
-  return step.lasting && ranMs >= LASTING_PROVEN_MS;
+  return step.lasting && ranMs >= STABLE_AFTER_MS;
 }
 
 /**
- * Whether the crashes under a task are reason enough to give it up. Starts that it has
- * spent otherwise, or whose ends are not known, show nothing: they count only where two
- * crashes are sure.
+ * Whether the crashes under a task are reason enough to give it up. Starts that
+ * ended otherwise, or whose outcome is unknown, prove nothing: they count only if
+ * two crashes are certain.
  */
 export function hasCrashedTooOften(
   count: CrashCount,
@@ -116,26 +123,27 @@
   spentStarts: number,
 ): boolean {
   const { laid, excused, presence, unseen } = count;
-  const inAll = laid + excused + unseen;
-  if (inAll >= MOST_IN_ALL) return presence >= LEAST_PRESENCE_IN_ALL;
-  if (countCertain(count) < LEAST_CERTAIN) return false;
-  return inAll + spentStarts >= MOST_IN_ALL || laid >= MOST_CRASHES ||
-    (laid >= MOST_LAID && wasAlone);
+  const total = laid + excused + unseen;
+  if (total >= TOTAL_CRASH_LIMIT) return presence >= MIN_TOTAL_PRESENCE;
+  if (countCertainCrashes(count) < MIN_CERTAIN_CRASHES) return false;
+  return total + spentStarts >= TOTAL_CRASH_LIMIT ||
+    laid >= CRASH_LIMIT ||
+    (laid >= CRASH_LIMIT_ALONE && wasAlone);
 }
 
 /**
- * Crashes with which the task certainly was there, at least: each that counts brings
- * its presence, and one that was only likely brings one. Excused ones may have brought
- * none.
+ * Lower bound for the crashes at which the task was certainly present. Each
+ * attributed crash adds its presence, which is 1 for a likely one; excused crashes
+ * may have added none.
  */
-function countCertain({ laid, excused, presence }: CrashCount): number {
+function countCertainCrashes({ laid, excused, presence }: CrashCount): number {
   return presence - laid - excused;
 }
 
 /**
- * The count after one more crash. Where nothing has shown the run on the endpoint,
- * the crash makes the task a suspect and counts nothing: the start may have been
- * sent to an endpoint that had ended before.
+ * Returns the count after one more crash. If the run was never confirmed on the
+ * endpoint, the crash makes the task a suspect but is not attributed to it: the
+ * start may have been sent to an endpoint that had already ended.
  */
 export function addCrash(
   count: CrashCount,
@@ -154,24 +162,24 @@
 }
 
 /**
- * Whether a task has spent all starts that operators allow after a third crash, the
- * last of them without a crash, and is known to have crashed endpoints.
+ * Whether a task that has certainly crashed endpoints has used all starts that
+ * operators allow after a third crash, the last of them without a crash.
  */
-export function hasSpentAllStarts(
+export function hasUsedAllStarts(
   count: CrashCount,
   spentStarts: number,
 ): boolean {
   const { laid, excused, unseen } = count;
-  return laid + excused + unseen + spentStarts >= MOST_IN_ALL &&
-    countCertain(count) >= LEAST_CERTAIN;
+  return laid + excused + unseen + spentStarts >= TOTAL_CRASH_LIMIT &&
+    countCertainCrashes(count) >= MIN_CERTAIN_CRASHES;
 }
 
 /**
- * Whether each further start of a task may be one of the two that operators allow
- * after a third crash: none is spent without need.
+ * Whether each further start may be one of the two that operators allow after a
+ * third crash, so that none should be wasted.
  */
 export function hasFewStarts(possibleCrashes: number): boolean {
-  return possibleCrashes >= MOST_LAID;
+  return possibleCrashes >= CRASH_LIMIT_ALONE;
 }
 
 /** Ends of a task that were crashes, or may have been. */
@@ -182,24 +190,32 @@
   return laid + excused + unseen + goneRuns;
 }
 
-/** Shortest pause of a task that has used all starts that operators allow, in ms. */
-const LEAST_HOLD_MS = 10_000;
-/** Longest such pause, in ms: a cut that lasts a minute is an outage of its own. */
-const MOST_HOLD_MS = 60_000;
+/**
+ * Shortest delay in ms before the restart of a task that has used all starts that
+ * operators allow.
+ */
+const MIN_RESTART_DELAY_MS = 10_000;
+/**
+ * Longest such delay in ms: a network partition of a minute is an outage in itself.
+ */
+const MAX_RESTART_DELAY_MS = 60_000;
 
 /**
- * How long a task waits that may have crashed as many endpoints as operators allow,
- * while too little is shown to give it up: twice as long with each further end.
+ * Restart delay in ms of a task that may have crashed as many endpoints as
+ * operators allow while the evidence does not suffice to give it up. The delay
+ * doubles with each further end.
  */
 export function holdMs(possibleCrashes: number, spentStarts = 0): number {
-  const over = possibleCrashes + spentStarts - MOST_IN_ALL;
-  return over < 0 ? 0 : Math.min(MOST_HOLD_MS, LEAST_HOLD_MS * 2 ** over);
+  const excess = possibleCrashes + spentStarts - TOTAL_CRASH_LIMIT;
+  return excess < 0
+    ? 0
+    : Math.min(MAX_RESTART_DELAY_MS, MIN_RESTART_DELAY_MS * 2 ** excess);
 }
 
 /**
- * The count after a counted crash was found to have struck other endpoints as well.
- * Where they are several, one is excused for each task: tasks that crash their
- * endpoints may do so together. Where they are many, each is.
+ * Returns the count after a counted crash turned out to have struck other endpoints
+ * too. With several endpoints, one crash is excused for each task, as tasks that
+ * crash their endpoints may do so together. With many, every crash is excused.
  */
 export function excuseCrash(
   count: CrashCount,
@@ -215,18 +231,18 @@
 }
 
 /**
- * Whether a run whose end is not known may be given up and followed by another.
- * Each such end may turn out to be a failure or a crash, so no more of them may
- * be open than failures and crashes are left.
+ * Whether a run of unknown outcome may be given up and followed by another. Each
+ * such run may turn out to be a failure or a crash, so there may be no more of them
+ * than the failures and crashes that are left.
  */
-export function mayLeaveEndOpen(known: {
+export function canLeaveRunUnresolved(counts: {
   readonly failures: number;
   readonly crashes: CrashCount;
   readonly attempts: number;
-  /** Runs whose ends are open, with this one. */
+  /** Runs of unknown outcome, including this one. */
   readonly open: number;
 }): boolean {
-  const { failures, crashes, attempts, open } = known;
+  const { failures, crashes, attempts, open } = counts;
   return failures + open < attempts &&
-    crashes.laid + crashes.excused + crashes.unseen + open < MOST_LAID;
+    crashes.laid + crashes.excused + crashes.unseen + open < CRASH_LIMIT_ALONE;
 }
--- a/packages/workflow/src/run_history.ts
+++ b/packages/workflow/src/run_history.ts
@@ -1,149 +1,165 @@
 /**
- * Runs of a task that counted towards giving it up, or might have: how each of them
- * ended, what shows it and what it counted. It is kept for people; nothing is
- * decided by it.
+ * The runs of a task that counted towards giving it up, or might have: how each
+ * ended, on what evidence, and what it counted as. It is for diagnosis only; no
+ * decision depends on it.
  */
 import * as budgets from "./restart_budget.ts";
 import type * as tasks from "./task_state.ts";
 
-/** What shows how a run ended. */
+/** The evidence for how a run ended. */
 export enum RunEvidence {
-  /** Its endpoint told it. */
+  /** The endpoint reported it. */
   OwnWord = "word",
   /**
-   * Its endpoint was shown to have ended; the run had been seen there and its time
+   * The endpoint is shown to have ended; the run was confirmed there and its time
    * was not up.
    */
   SeenThere = "seen",
   /**
-   * Its endpoint was shown to have ended; the run's time was not up at its last
-   * answer, or the start had followed one.
+   * The endpoint is shown to have ended; at its last answer the run's time was not
+   * up, or the start was sent shortly after that answer.
    */
   Likely = "likely",
-  /** Its endpoint was shown to have ended; nothing shows the run under way. */
+  /** The endpoint is shown to have ended; the run was never confirmed. */
   NeverShown = "unshown",
-  /** Its endpoint is not heard, and not listed or the task is in doubt. */
+  /**
+   * The endpoint is unreachable, and it is not listed or the task is a crash
+   * suspect.
+   */
   NotListed = "unlisted",
-  /** Its gang ended, and its endpoint is not heard. */
+  /** The gang ended, and the endpoint is unreachable. */
   NotHeard = "unheard",
-  /** Its end was not known; then its endpoint answered again. */
+  /** The outcome was unknown until the endpoint answered again. */
   Withdrawn = "withdrawn",
 }
 
-/** What the end of a run counted. */
+/** What the end of a run counted as. */
 export enum RunCount {
   Failure = "failure",
-  /** A crash that is laid to the task. */
+  /** A crash attributed to the task. */
   Crash = "crash",
-  /** A crash with which so many endpoints fell that the task is not to blame. */
+  /**
+   * A crash excused because so many endpoints crashed together that the task is not
+   * the cause.
+   */
   Excused = "excused",
-  /** Laid to nobody; one of the ends of which a task has only so many in all. */
+  /**
+   * A possible crash, not attributed to the task, but included in the limit for all
+   * possible crashes.
+   */
   Suspicion = "suspicion",
   Nothing = "nothing",
 }
 
 /** Where a run was and how it ended. */
-export interface RunAtEnd {
+export interface RunOutcome {
   readonly run: number;
-  /** For a member of a gang that ended with another one: that one's endpoint. */
+  /** If a gang ended because of another member: that member's endpoint. */
   readonly endpoint: string;
   readonly how: tasks.RunEnd;
 }
 
 /** One run of a history. */
-export interface RunEntry extends RunAtEnd {
+export interface RunEntry extends RunOutcome {
   readonly evidence: RunEvidence;
   readonly counted: RunCount;
 }
 
 /** The history of a task. */
 export interface RunHistory {
-  /** In the order in which their ends became known. */
+  /** In the order in which the ends became known. */
   readonly entries: readonly RunEntry[];
-  /** Some may be missing: there were too many, or an earlier term saw them. */
+  /**
+   * Some runs may be missing: there were too many, or an earlier coordinator did
+   * not store them.
+   */
   readonly isPartial: boolean;
 }
 
-/** Nothing has ended that might count. */
+/** The history of a task without ends that might count. */
 export const NO_HISTORY: RunHistory = { entries: [], isPartial: false };
 
-/** Runs are missing that an earlier coordinator saw. */
-export const LOST_HISTORY: RunHistory = { entries: [], isPartial: true };
+/** A history without the runs that an earlier coordinator recorded. */
+export const MISSING_HISTORY: RunHistory = { entries: [], isPartial: true };
 
 /**
- * Entries of one task. Queues of the users allow three failures, the rules for
- * crashes five ends in all; the rest is for runs that counted nothing.
+ * Maximum number of entries of one task. Queues of the users allow three failures
+ * and the crash limits allow five ends in total; the rest is for runs that counted
+ * nothing.
  */
-const MOST_ENTRIES = 12;
+const MAX_ENTRIES = 12;
 
-const EVIDENCE_OF: Readonly<Record<budgets.Presence, RunEvidence>> = {
+const EVIDENCE_BY_PRESENCE: Readonly<Record<budgets.Presence, RunEvidence>> = {
   [budgets.Presence.Unknown]: RunEvidence.NeverShown,
   [budgets.Presence.Likely]: RunEvidence.Likely,
   [budgets.Presence.Certain]: RunEvidence.SeenThere,
 };
 
-/** A run that failed and counted. */
-export function failedEntry(ended: RunAtEnd): RunEntry {
+/** An entry for a counted failure. */
+export function failedEntry(ended: RunOutcome): RunEntry {
   const evidence = RunEvidence.OwnWord;
   return makeEntry(ended, { evidence, counted: RunCount.Failure });
 }
 
-/** A run whose endpoint crashed, with the task's count before it and after. */
+/** An entry for a crash, given the task's crash count before and after it. */
 export function crashedEntry(
-  ended: RunAtEnd,
-  known: {
+  ended: RunOutcome,
+  crash: {
     readonly presence: budgets.Presence;
     readonly before: budgets.CrashCount;
     readonly after: budgets.CrashCount;
   },
 ): RunEntry {
-  const evidence = EVIDENCE_OF[known.presence];
-  const counted = countedBetween(known.before, known.after);
+  const evidence = EVIDENCE_BY_PRESENCE[crash.presence];
+  const counted = countedBetween(crash.before, crash.after);
   return makeEntry(ended, { evidence, counted });
 }
 
-/** A run that counts nothing as far as is known. */
-export function openEntry(ended: RunAtEnd, evidence: RunEvidence): RunEntry {
+/** An entry for a run that counts nothing so far. */
+export function uncountedEntry(
+  ended: RunOutcome,
+  evidence: RunEvidence,
+): RunEntry {
   return makeEntry(ended, { evidence, counted: RunCount.Nothing });
 }
 
-/** The history with one more run, or with more that is known of one. */
+/** Adds a run to a history, or replaces its entry with newer information. */
 export function addEntry(history: RunHistory, entry: RunEntry): RunHistory {
-  const isSame = ({ run, endpoint }: RunEntry) =>
+  const isSameRun = ({ run, endpoint }: RunEntry) =>
     run === entry.run && endpoint === entry.endpoint;
-  const known = history.entries.filter(isSame);
-  if (!hasCounted(entry) && known.some(hasCounted)) return history;
-  const others = history.entries.filter((one) =>
-    !isSame(one) || hasCounted(one)
+  const existing = history.entries.filter(isSameRun);
+  if (!isCounted(entry) && existing.some(isCounted)) return history;
+  const others = history.entries.filter((other) =>
+    !isSameRun(other) || isCounted(other)
   );
-  return limit({ ...history, entries: [...others, entry] });
+  return trimToMaxEntries({ ...history, entries: [...others, entry] });
 }
 
-/** The history after the crash with a run was found to be nobody's doing. */
+/** Marks the newest counted crash of a run as excused. */
 export function excuseRun(history: RunHistory, run: number): RunHistory {
   const { entries } = history;
-  const at = entries.findLastIndex((one) =>
-    one.run === run &&
-    (one.counted === RunCount.Crash || one.counted === RunCount.Suspicion)
+  const index = entries.findLastIndex((entry) =>
+    entry.run === run &&
+    (entry.counted === RunCount.Crash || entry.counted === RunCount.Suspicion)
   );
-  if (at < 0) return history;
-  const excused = { ...entries[at], counted: RunCount.Excused };
-  return { ...history, entries: entries.with(at, excused) };
+  if (index < 0) return history;
+  const excused = { ...entries[index], counted: RunCount.Excused };
+  return { ...history, entries: entries.with(index, excused) };
 }
 
-/** What was counted of a task. */
-export interface Counted {
+/** The counts of a task. */
+export interface TaskCounts {
   readonly failures: number;
   readonly crashes: budgets.CrashCount;
 }
 
-/** The history beside what was counted: it is partial where they differ. */
-export function checkHistory(
+/** Marks a history as partial if its entries do not add up to the task's counts. */
+export function markIfIncomplete(
   history: RunHistory,
-  { failures, crashes }: Counted,
+  { failures, crashes }: TaskCounts,
 ): RunHistory {
-  const countOf = (which: RunCount) =>
-    history.entries.filter(({ counted }) => counted === which).length;
+  const countOf = (kind: RunCount) =>
+    history.entries.filter(({ counted }) => counted === kind).length;
   const isComplete = countOf(RunCount.Failure) === failures &&
     countOf(RunCount.Crash) === crashes.laid &&
     countOf(RunCount.Excused) === crashes.excused &&
@@ -152,10 +168,10 @@
 }
 
 function makeEntry(
-  { run, endpoint, how }: RunAtEnd,
-  judged: Pick<RunEntry, "evidence" | "counted">,
+  { run, endpoint, how }: RunOutcome,
+  assessment: Pick<RunEntry, "evidence" | "counted">,
 ): RunEntry {
-  return { run, endpoint, how, ...judged };
+  return { run, endpoint, how, ...assessment };
 }
 
 function countedBetween(
@@ -167,14 +183,17 @@
   return after.unseen > before.unseen ? RunCount.Suspicion : RunCount.Nothing;
 }
 
-function hasCounted({ counted }: RunEntry): boolean {
+function isCounted({ counted }: RunEntry): boolean {
   return counted !== RunCount.Nothing;
 }
 
-/** Leaves out the oldest that counted nothing, or the oldest. */
-function limit(history: RunHistory): RunHistory {
+/** Drops the oldest entry that counted nothing, or else the oldest entry. */
+function trimToMaxEntries(history: RunHistory): RunHistory {
   const { entries } = history;
-  if (entries.length <= MOST_ENTRIES) return history;
-  const idle = entries.findIndex((one) => !hasCounted(one));
-  return { entries: entries.toSpliced(Math.max(0, idle), 1), isPartial: true };
+  if (entries.length <= MAX_ENTRIES) return history;
+  const uncountedIndex = entries.findIndex((entry) => !isCounted(entry));
+  return {
+    entries: entries.toSpliced(Math.max(0, uncountedIndex), 1),
+    isPartial: true,
+  };
 }
--- a/packages/workflow/src/run_history_test.ts
+++ b/packages/workflow/src/run_history_test.ts
@@ -1,4 +1,7 @@
-/** Workflows keep which runs counted towards giving a task up, and why. */
+/**
+ * Workflows record which runs counted towards giving up a task, and on what
+ * evidence.
+ */
 import * as TestUtils from "@cairngate/test-utils";
 import * as vitest from "vitest";
 import * as records from "./progress_record.ts";
@@ -11,12 +14,12 @@
 const { RunCount, RunEvidence } = histories;
 const { Presence } = budgets;
 const { Crashed, Failed, Lost } = tasks.RunEnd;
-/** Entries of one task, as the module bounds them. */
-const MOST_ENTRIES = 12;
+/** Maximum number of entries of one task, as in the module. */
+const MAX_ENTRIES = 12;
 /** Characters that fit into one row of the store, in its own encoding. */
-const ROW_LENGTH = 48_000;
-/** Length of the platform's ids of endpoints, in characters. */
-const ENDPOINT_LENGTH = 12;
+const ROW_CHARS = 48_000;
+/** Length of the platform's endpoint ids, in characters. */
+const ENDPOINT_ID_CHARS = 12;
 
 function build(
   steps: readonly spec.StepSpec[] = [TestUtils.buildStep()],
@@ -39,7 +42,7 @@
 }
 
 /** Places a run on an endpoint of its own and ends it. */
-function play(
+function runAndEnd(
   workflow: workflows.Workflow,
   run: number,
   end: Partial<workflows.EndOfRun>,
@@ -58,154 +61,171 @@
 }
 
 /** Evidence and count of each run of a task. */
-function judged(workflow: workflows.Workflow): unknown[] {
+function assessments(workflow: workflows.Workflow): unknown[] {
   return taskOf(workflow).history.entries.map((
     { run, evidence, counted },
   ) => [run, evidence, counted]);
 }
 
-/** The workflow as the next coordinator reads it from its row. */
-function reread(
+/** The workflow as the next coordinator restores it from its row. */
+function restore(
   workflow: workflows.Workflow,
   steps?: readonly spec.StepSpec[],
 ): workflows.Workflow {
-  const kept = JSON.parse(JSON.stringify(records.toProgress(workflow)));
-  const again = build(steps);
-  records.applyProgress(again, kept);
-  return again;
+  const stored = JSON.parse(JSON.stringify(records.toProgress(workflow)));
+  const restored = build(steps);
+  records.applyProgress(restored, stored);
+  return restored;
 }
 
 vitest.describe("the history of a task", () => {
-  vitest.it("tells what showed each crash and what it counted", () => {
-    const workflow = build();
-    play(workflow, 1, crash(Presence.Certain, budgets.CrashFellows.Several));
-    play(workflow, 2, crash(Presence.Likely));
-    play(workflow, 3, crash(Presence.Unknown));
-    play(workflow, 4, crash(Presence.Unknown, budgets.CrashFellows.Many));
-    play(workflow, 5, { how: Failed });
-    vitest.expect(judged(workflow)).toEqual([
-      [1, RunEvidence.SeenThere, RunCount.Excused],
-      [2, RunEvidence.Likely, RunCount.Crash],
-      [3, RunEvidence.NeverShown, RunCount.Suspicion],
-      [4, RunEvidence.NeverShown, RunCount.Excused],
-      [5, RunEvidence.OwnWord, RunCount.Failure],
-    ]);
-    vitest.expect(taskOf(workflow).history.entries[0].endpoint).toBe("i-1");
-  });
+  vitest.it(
+    "records the evidence for each crash and what it counted as",
+    () => {
+      const workflow = build();
+      runAndEnd(
+        workflow,
+        1,
+        crash(Presence.Certain, budgets.CrashFellows.Several),
+      );
+      runAndEnd(workflow, 2, crash(Presence.Likely));
+      runAndEnd(workflow, 3, crash(Presence.Unknown));
+      runAndEnd(
+        workflow,
+        4,
+        crash(Presence.Unknown, budgets.CrashFellows.Many),
+      );
+      runAndEnd(workflow, 5, { how: Failed });
+      vitest.expect(assessments(workflow)).toEqual([
+        [1, RunEvidence.SeenThere, RunCount.Excused],
+        [2, RunEvidence.Likely, RunCount.Crash],
+        [3, RunEvidence.NeverShown, RunCount.Suspicion],
+        [4, RunEvidence.NeverShown, RunCount.Excused],
+        [5, RunEvidence.OwnWord, RunCount.Failure],
+      ]);
+      vitest.expect(taskOf(workflow).history.entries[0].endpoint).toBe("i-1");
+    },
+  );
 
-  vitest.it("leaves out runs that can not count", () => {
+  vitest.it("omits runs that can not count", () => {
     const workflow = build();
     const { Stopped, Lapsed, Broken, Alone } = tasks.RunEnd;
     [Stopped, Lapsed, Broken, Alone, Lost].forEach((how, i) =>
-      play(workflow, i + 1, { how })
+      runAndEnd(workflow, i + 1, { how })
     );
-    vitest.expect(judged(workflow)).toEqual([]);
+    vitest.expect(assessments(workflow)).toEqual([]);
   });
 
   vitest.it("marks a crash that is excused later", () => {
     const workflow = build();
-    play(workflow, 1, crash(Presence.Certain));
-    play(workflow, 2, crash(Presence.Certain));
+    runAndEnd(workflow, 1, crash(Presence.Certain));
+    runAndEnd(workflow, 2, crash(Presence.Certain));
     workflow.excuseCrash(taskOf(workflow), 2, {
       fellows: budgets.CrashFellows.Several,
       presence: Presence.Certain,
     });
-    vitest.expect(judged(workflow)).toEqual([
+    vitest.expect(assessments(workflow)).toEqual([
       [1, RunEvidence.SeenThere, RunCount.Crash],
       [2, RunEvidence.SeenThere, RunCount.Excused],
     ]);
   });
 
-  vitest.it("follows a run whose endpoint is neither heard nor listed", () => {
-    const workflow = build();
-    play(workflow, 1, { isOpen: true });
-    vitest.expect(judged(workflow))
-      .toEqual([[1, RunEvidence.NotHeard, RunCount.Nothing]]);
-    const task = taskOf(workflow);
-    const presence = Presence.Certain;
-    workflow.suspectGone({
-      task,
-      run: 1,
-      worker: "i-1",
-      bornMs: null,
-      presence,
-    });
-    vitest.expect(judged(workflow))
-      .toEqual([[1, RunEvidence.NotListed, RunCount.Nothing]]);
-    const told = { run: 1, endpoint: "i-1", checkpoint: "" };
-    workflow.endRun(task, { ...told, how: Lost }, 0);
-    vitest.expect(judged(workflow))
-      .toEqual([[1, RunEvidence.Withdrawn, RunCount.Nothing]]);
-  });
+  vitest.it(
+    "updates a run whose endpoint is neither reachable nor listed",
+    () => {
+      const workflow = build();
+      runAndEnd(workflow, 1, { isOpen: true });
+      vitest.expect(assessments(workflow))
+        .toEqual([[1, RunEvidence.NotHeard, RunCount.Nothing]]);
+      const task = taskOf(workflow);
+      const presence = Presence.Certain;
+      workflow.suspectGone({
+        task,
+        run: 1,
+        worker: "i-1",
+        bornMs: null,
+        presence,
+      });
+      vitest.expect(assessments(workflow))
+        .toEqual([[1, RunEvidence.NotListed, RunCount.Nothing]]);
+      const report = { run: 1, endpoint: "i-1", checkpoint: "" };
+      workflow.endRun(task, { ...report, how: Lost }, 0);
+      vitest.expect(assessments(workflow))
+        .toEqual([[1, RunEvidence.Withdrawn, RunCount.Nothing]]);
+    },
+  );
 
-  vitest.it("takes the word of an endpoint that is heard late", () => {
+  vitest.it("applies a late report of an endpoint", () => {
     const workflow = build();
-    play(workflow, 1, { isOpen: true });
-    const told = { run: 1, endpoint: "i-1", checkpoint: "" };
-    workflow.endRun(taskOf(workflow), { ...told, how: Failed }, 0);
-    vitest.expect(judged(workflow))
+    runAndEnd(workflow, 1, { isOpen: true });
+    const report = { run: 1, endpoint: "i-1", checkpoint: "" };
+    workflow.endRun(taskOf(workflow), { ...report, how: Failed }, 0);
+    vitest.expect(assessments(workflow))
       .toEqual([[1, RunEvidence.OwnWord, RunCount.Failure]]);
   });
 
-  vitest.it("lays a gang's failure to all members, with its endpoint", () => {
-    const workflow = build([TestUtils.buildStep({ count: 2, gang: true })]);
-    for (const task of workflow.tasks) task.place(`i-${task.index}`, 1, 0);
-    const end = { run: 1, how: Failed, checkpoint: "" };
-    workflow.endRun(taskOf(workflow, "0.0.1"), end, 0);
-    const [entry] = taskOf(workflow).history.entries;
-    vitest.expect(entry.endpoint).toBe("i-1");
-    vitest.expect(entry.counted).toBe(RunCount.Failure);
-  });
+  vitest.it(
+    "records a gang's failure for all members, with its endpoint",
+    () => {
+      const workflow = build([TestUtils.buildStep({ count: 2, gang: true })]);
+      for (const task of workflow.tasks) task.place(`i-${task.index}`, 1, 0);
+      const end = { run: 1, how: Failed, checkpoint: "" };
+      workflow.endRun(taskOf(workflow, "0.0.1"), end, 0);
+      const [entry] = taskOf(workflow).history.entries;
+      vitest.expect(entry.endpoint).toBe("i-1");
+      vitest.expect(entry.counted).toBe(RunCount.Failure);
+    },
+  );
 
-  vitest.it("begins anew where a lasting task has proved itself", () => {
+  vitest.it("is cleared once a lasting task has run for long", () => {
     const workflow = build([TestUtils.buildStep({ lasting: true })]);
-    play(workflow, 1, crash(Presence.Certain));
+    runAndEnd(workflow, 1, crash(Presence.Certain));
     const task = taskOf(workflow);
     task.place("i-2", 2, 0);
     const end = { run: 2, how: Crashed, checkpoint: "" };
     workflow.endRun(task, { ...end, ...crash(Presence.Certain) }, 30_000);
     vitest.expect(task.crashes.laid).toBe(1);
-    vitest.expect(judged(workflow))
+    vitest.expect(assessments(workflow))
       .toEqual([[2, RunEvidence.SeenThere, RunCount.Crash]]);
   });
 
   vitest.it(
-    "is bounded; what counted nothing goes first, and it says so",
+    "is bounded, drops uncounted runs first and is then partial",
     () => {
       const workflow = build();
-      play(workflow, 1, crash(Presence.Certain));
+      runAndEnd(workflow, 1, crash(Presence.Certain));
       const task = taskOf(workflow);
-      for (let run = 2; run <= MOST_ENTRIES + 3; run++) {
+      for (let run = 2; run <= MAX_ENTRIES + 3; run++) {
         const presence = Presence.Unknown;
         const worker = `i-${run}`;
         workflow.suspectGone({ task, run, worker, bornMs: null, presence });
       }
       const { entries, isPartial } = task.history;
-      vitest.expect(entries.length).toBe(MOST_ENTRIES);
+      vitest.expect(entries.length).toBe(MAX_ENTRIES);
       vitest.expect(entries[0].run).toBe(1);
-      vitest.expect(entries.at(-1)?.run).toBe(MOST_ENTRIES + 3);
+      vitest.expect(entries.at(-1)?.run).toBe(MAX_ENTRIES + 3);
       vitest.expect(isPartial).toBe(true);
     },
   );
 });
 
 vitest.describe("the record of a history", () => {
-  vitest.it("shows the next coordinator what this one saw", () => {
+  vitest.it("restores the history for the next coordinator", () => {
     const workflow = build();
-    play(workflow, 1, crash(Presence.Certain));
-    play(workflow, 2, crash(Presence.Likely));
-    const again = reread(workflow);
-    vitest.expect(judged(again)).toEqual(judged(workflow));
+    runAndEnd(workflow, 1, crash(Presence.Certain));
+    runAndEnd(workflow, 2, crash(Presence.Likely));
+    const restored = restore(workflow);
+    vitest.expect(assessments(restored)).toEqual(assessments(workflow));
     for (let run = 3; run <= 4; run++) {
-      play(again, run, crash(Presence.Certain));
+      runAndEnd(restored, run, crash(Presence.Certain));
     }
-    vitest.expect(again.giveUp?.history?.entries.map(({ run }) => run))
+    vitest.expect(restored.giveUp?.history?.entries.map(({ run }) => run))
       .toEqual([1, 2, 3, 4]);
-    vitest.expect(again.giveUp?.history?.isPartial).toBe(false);
-    vitest.expect(reread(again).giveUp).toEqual(again.giveUp);
+    vitest.expect(restored.giveUp?.history?.isPartial).toBe(false);
+    vitest.expect(restore(restored).giveUp).toEqual(restored.giveUp);
   });
 
-  vitest.it("is left out where there is none", () => {
+  vitest.it("is omitted if there is no history", () => {
     const workflow = build();
     taskOf(workflow).place("i-1", 1, 0);
     const record = records.toProgress(workflow);
@@ -213,51 +233,56 @@
     vitest.expect(record.hasLeftOutHistories).toBeUndefined();
   });
 
-  vitest.it("of an earlier version is partial, and its end is read", () => {
-    const workflow = build();
-    for (let run = 1; run <= 3; run++) {
-      play(workflow, run, crash(Presence.Certain));
-    }
-    const { histories: _, ...earlier } = records.toProgress(workflow);
-    const again = build();
-    records.applyProgress(again, earlier);
-    play(again, 4, crash(Presence.Certain));
-    vitest.expect(again.giveUp?.history?.isPartial).toBe(true);
-    vitest.expect(judged(again).length).toBe(1);
-    const { giveUp, ...ended } = records.toProgress(again);
-    if (giveUp === undefined) throw new RangeError("not given up");
-    const { history: __, ...known } = giveUp;
-    const last = build();
-    records.applyProgress(last, { ...ended, giveUp: known });
-    vitest.expect(last.giveUp).toEqual({ ...known, history: null });
-    vitest.expect(records.toProgress(last).giveUp).toEqual(known);
-  });
+  vitest.it(
+    "of an earlier version is partial and its give-up is restored",
+    () => {
+      const workflow = build();
+      for (let run = 1; run <= 3; run++) {
+        runAndEnd(workflow, run, crash(Presence.Certain));
+      }
+      const { histories: _, ...earlier } = records.toProgress(workflow);
+      const restored = build();
+      records.applyProgress(restored, earlier);
+      runAndEnd(restored, 4, crash(Presence.Certain));
+      vitest.expect(restored.giveUp?.history?.isPartial).toBe(true);
+      vitest.expect(assessments(restored).length).toBe(1);
+      const { giveUp, ...ended } = records.toProgress(restored);
+      if (giveUp === undefined) throw new RangeError("not given up");
+      const { history: __, ...rest } = giveUp;
+      const last = build();
+      records.applyProgress(last, { ...ended, giveUp: rest });
+      vitest.expect(last.giveUp).toEqual({ ...rest, history: null });
+      vitest.expect(records.toProgress(last).giveUp).toEqual(rest);
+    },
+  );
 
-  vitest.it("fits into one row, however many tasks have one", () => {
-    const count = 2 * workflows.MOST_PLACED;
+  vitest.it("fits into one row, however many tasks have a history", () => {
+    const count = 2 * workflows.MAX_PLACED_TASKS;
     const steps = [TestUtils.buildStep({ count, checkpoints: true })];
     const workflow = build(steps);
     for (const task of workflow.tasks) {
-      const endpoint = `i-${task.index}`.padEnd(ENDPOINT_LENGTH, "0");
-      if (task.index < workflows.MOST_PLACED) task.place(endpoint, 9, 0);
+      const endpoint = `i-${task.index}`.padEnd(ENDPOINT_ID_CHARS, "0");
+      if (task.index < workflows.MAX_PLACED_TASKS) task.place(endpoint, 9, 0);
       else task.run = 9;
       task.checkpoint = "0123456789abcdef";
       task.crashes = { laid: 2, excused: 1, presence: 4, unseen: 1 };
       task.confirmedRun = 9;
       for (let run = 1; run <= 4; run++) {
         const ended = { run, endpoint, how: Lost };
-        task.note(histories.openEntry(ended, RunEvidence.NotListed));
+        task.addHistoryEntry(
+          histories.uncountedEntry(ended, RunEvidence.NotListed),
+        );
       }
     }
     const worst = taskOf(workflow, "0.0.7");
     worst.failures = 2;
     const record = records.toProgress(workflow);
-    vitest.expect(JSON.stringify(record).length).toBeLessThan(ROW_LENGTH);
+    vitest.expect(JSON.stringify(record).length).toBeLessThan(ROW_CHARS);
     vitest.expect(record.hasLeftOutHistories).toBe(true);
-    const again = reread(workflow, steps);
-    vitest.expect(taskOf(again, "0.0.7").history).toEqual(worst.history);
-    vitest.expect(taskOf(again, "0.0.999").history.isPartial).toBe(true);
-    const third = reread(again, steps);
+    const restored = restore(workflow, steps);
+    vitest.expect(taskOf(restored, "0.0.7").history).toEqual(worst.history);
+    vitest.expect(taskOf(restored, "0.0.999").history.isPartial).toBe(true);
+    const third = restore(restored, steps);
     vitest.expect(taskOf(third, "0.0.999").history.isPartial).toBe(true);
   });
 });
--- a/packages/workflow/src/spec.ts
+++ b/packages/workflow/src/spec.ts
@@ -1,6 +1,6 @@
-/** What callers ask for: a workflow of steps, each with a number of tasks. */
+/** The specification of a workflow: steps, each with a number of tasks. */
 
-/** Resources of one task or one worker. */
+/** Resources of one task or one endpoint. */
 export interface Resources {
   /** Thousandths of a processor core. */
   readonly cpuMillis: number;
@@ -8,40 +8,43 @@
   readonly accelerators: number;
 }
 
-/** One step: tasks that are alike. */
+/** One step: a number of identical tasks. */
 export interface StepSpec extends Resources {
   readonly count: number;
   /** Rough run time of one task. */
   readonly estimateMs: number;
-  /** Numbers of the steps that must have ended before. */
+  /** Indexes of the steps that must have ended before. */
   readonly after: readonly number[];
   /** Whether tasks save checkpoints. */
   readonly checkpoints: boolean;
-  /** All tasks run together or not at all. */
+  /** Whether all tasks run together or not at all. */
   readonly gang: boolean;
-  /** The tasks of a gang run slower when they lie in several racks. */
+  /** Whether the tasks of a gang run slower when spread over several racks. */
   readonly sameRack: boolean;
-  /** Label that the worker must have; null for any worker. */
+  /** Label that the endpoint must have; null for any endpoint. */
   readonly label: string | null;
-  /** Rack where the data lies; null where it does not matter. */
+  /** Rack that holds the input data; null for any rack. */
   readonly rack: string | null;
-  /** Most tasks of the step on one worker; 0 for no limit. */
+  /** Maximum number of tasks of the step on one endpoint; 0 for no limit. */
   readonly perWorker: number;
-  /** Copies of a task may run side by side. */
+  /** Whether copies of a task may run at the same time. */
   readonly duplicates: boolean;
-  /** The tasks run until the workflow is cancelled. */
+  /** Whether the tasks run until the workflow is cancelled. */
   readonly lasting: boolean;
-  /** Program that the tasks run; tasks of one image behave alike. */
+  /** Program that the tasks run; tasks of the same image behave alike. */
   readonly image: string;
-  /** Aim for the slowest answers of a serving task; 0 for none. */
+  /** Target for the slowest answers of a serving task; 0 for none. */
   readonly latencyTargetMs: number;
-  /** The task takes only processor time that others leave. */
+  /** Whether the task uses only processor time that other tasks leave. */
   readonly fills: boolean;
-  /** Tasks of a lasting step that may be away at once through our doing. */
+  /**
+   * Number of tasks of a lasting step that the scheduler may take down at the same
+   * time.
+   */
   readonly mayMiss: number;
 }
 
-const NOTHING_ASKED: StepSpec = {
+const DEFAULT_STEP: StepSpec = {
   count: 1,
   cpuMillis: 0,
   memoryMb: 0,
@@ -62,9 +65,9 @@
   mayMiss: 0,
 };
 
-/** A step of one task that asks for nothing but what is given here. */
-export function createStep(asked: Partial<StepSpec>): StepSpec {
-  return { ...NOTHING_ASKED, ...asked };
+/** Creates a step of one task with defaults for all fields that are not given. */
+export function createStep(fields: Partial<StepSpec>): StepSpec {
+  return { ...DEFAULT_STEP, ...fields };
 }
 
 /** When the steps of a scheduled workflow run again. */
@@ -75,19 +78,19 @@
   readonly rounds: number;
 }
 
-/** What the operator's configuration says of a queue. */
+/** A queue in the operator's configuration. */
 export interface QueuePolicy {
   readonly queue: string;
-  /** Service whose workers run the tasks. */
+  /** Service whose endpoints run the tasks. */
   readonly service: string;
-  /** 0 comes first and may make others yield. */
+  /** Priority 0 is served first and may preempt others. */
   readonly priority: number;
-  /** Failed runs after which a task is given up. */
+  /** Number of failed runs after which a task is given up. */
   readonly attempts: number;
-  /** Objective: `stretch` times the work, plus `latencyMs`. */
+  /** The objective is `stretch` times the work plus `latencyMs`. */
   readonly stretch: number;
   readonly latencyMs: number;
-  /** Workers must be named by the advice service first. */
+  /** Set if the advice service must name the endpoints before tasks are placed. */
   readonly advice: AdvicePolicy | null;
 }
 
@@ -99,14 +102,14 @@
 }
 
 /**
- * A workflow as it is stored when it is accepted. It changes once: after the end
- * its work is dropped, see `withoutWork`.
+ * A workflow as stored on acceptance. It changes once: when it has ended,
+ * `withoutWork` removes its work.
  */
 export interface WorkflowSpec {
   readonly id: string;
   readonly tenant: string;
   readonly policy: QueuePolicy;
-  /** Text that is handed to each task. */
+  /** Text that is passed to each task. */
   readonly payload: string;
   readonly steps: readonly StepSpec[];
   /** Null for a workflow that runs once, at once. */
@@ -116,14 +119,15 @@
 }
 
 /**
- * What is kept of a workflow that has ended, so that it can still be asked for
- * and is not accepted once more. A new coordinator reads all that is kept.
+ * What is kept of a workflow that has ended, so that its status can still be read
+ * and it is not accepted twice. The work is removed because a new coordinator reads
+ * all that is kept.
  */
 export function withoutWork(spec: WorkflowSpec): WorkflowSpec {
   return { ...spec, payload: "", steps: [], schedule: null };
 }
 
-/** Rounds of a workflow: 1, or those of its schedule. */
+/** Number of rounds: those of the schedule, or 1. */
 export function countRounds(spec: WorkflowSpec): number {
   return spec.schedule?.rounds ?? 1;
 }
@@ -135,8 +139,8 @@
 }
 
 /**
- * Whether a round may start. Without a schedule it always may: the clock of the
- * node that accepted the workflow may be ahead of this one's.
+ * Whether a round may start. Without a schedule it always may, as the clock of the
+ * box that accepted the workflow may be ahead of this one's.
  */
 export function isDue(
   spec: WorkflowSpec,
@@ -146,12 +150,12 @@
   return spec.schedule === null || dueAtMs(spec, round) <= wallMs;
 }
 
-/** Estimated length of the longest chain of steps. */
+/** Estimated length of the longest chain of dependent steps, in ms. */
 export function longestChainMs(steps: readonly StepSpec[]): number {
   const ends: number[] = [];
   for (const step of steps) {
-    const before = step.after.map((n) => ends[n] ?? 0);
-    ends.push(Math.max(0, ...before) + step.estimateMs);
+    const predecessorEnds = step.after.map((n) => ends[n] ?? 0);
+    ends.push(Math.max(0, ...predecessorEnds) + step.estimateMs);
   }
   return Math.max(0, ...ends);
 }
@@ -163,5 +167,7 @@
   return dueAtMs(spec, round) + stretch * workMs + latencyMs;
 }
 
-/** An end within this many times the objective is late, and still of use. */
+/**
+ * An end after the objective is late but still useful within this multiple of it.
+ */
 export const LATE_FACTOR = 3;
--- a/packages/workflow/src/task_state.ts
+++ b/packages/workflow/src/task_state.ts
@@ -1,31 +1,31 @@
-/** Where a task is in its life, and how its runs end. */
+/** States of a task and outcomes of its runs. */
 
-/** Where a task is in its life. */
+/** State of a task. */
 export enum TaskState {
-  /** Runs nowhere. */
+  /** Not placed. */
   Waiting = "waiting",
-  /** Has a place; the worker has not confirmed the start. */
+  /** Placed; the endpoint has not confirmed the start. */
   Starting = "starting",
   Running = "running",
-  /** Was told to stop; its place is not free yet. */
+  /** The run was ordered to stop but still occupies its place. */
   Stopping = "stopping",
   Done = "done",
 }
 
-/** How a run ended, as its worker tells. */
+/** How a run ended, as its endpoint reports it. */
 export enum RunEnd {
   Done = "done",
-  /** By its own fault or its worker's. */
+  /** Failed through a fault of the task or of its endpoint. */
   Failed = "failed",
   Stopped = "stopped",
-  /** The worker's lease ran out. */
+  /** The endpoint's lease expired. */
   Lapsed = "lapsed",
   /** Another member of the gang ended. */
   Broken = "broken",
-  /** The other members of the gang did not come. */
+  /** The other members of the gang did not arrive. */
   Alone = "alone",
-  /** The worker is gone or never had the run. */
+  /** The endpoint is gone or never had the run. */
   Lost = "lost",
-  /** The worker has crashed with the run on it. */
+  /** The endpoint crashed with the run on it. */
   Crashed = "crashed",
 }
