--- a/packages/gateway/src/access.ts
+++ b/packages/gateway/src/access.ts
@@ -30,15 +30,15 @@
 /** Holds the newest configuration; it never goes back. */
 export class AccessTable {
   readonly #log: Logger.Logger;
-  readonly #mayBeStale: () => boolean;
+  readonly #mayBeOutdated: () => boolean;
   #config: Ports.AccessConfig | null = null;
   #byHost = new Map<string, Ports.QueueRoute[]>();
-  #tenantOfKey = new Map<string, string>();
+  #teamOfKey = new Map<string, string>();
 
-  /** @param mayBeStale whether a newer version may be in force elsewhere */
-  constructor(log: Logger.Logger, mayBeStale: () => boolean) {
+  /** @param mayBeOutdated whether a newer version may be in force elsewhere */
+  constructor(log: Logger.Logger, mayBeOutdated: () => boolean) {
     this.#log = log;
-    this.#mayBeStale = mayBeStale;
+    this.#mayBeOutdated = mayBeOutdated;
   }
 
   /** The configuration in force; null before the first. */
@@ -51,7 +51,7 @@
     if (config.version <= (this.#config?.version ?? 0)) return;
     this.#config = config;
     this.#byHost = indexRoutes(config);
-    this.#tenantOfKey = new Map(
+    this.#teamOfKey = new Map(
       config.tenants.flatMap(({ name, keys }) => keys.map((k) => [k, name])),
     );
     this.#log.info(`Configuration ${config.version} is in force.`);
@@ -63,7 +63,7 @@
       const waitsFor = "the first configuration";
       return Effect.fail(new Errors.NotReadyError({ waitsFor }));
     }
-    if (this.#mayBeStale()) {
+    if (this.#mayBeOutdated()) {
       const waitsFor = "the store, which may hold a newer configuration";
       return Effect.fail(new Errors.NotReadyError({ waitsFor }));
     }
@@ -74,12 +74,12 @@
     if (route === undefined) {
       return Effect.fail(new Errors.UnknownQueueError({ path }));
     }
-    const tenant = key === null ? undefined : this.#tenantOfKey.get(key);
-    if (tenant === undefined && !route.anonymous) {
+    const team = key === null ? undefined : this.#teamOfKey.get(key);
+    if (team === undefined && !route.anonymous) {
       return Effect.fail(new Errors.UnknownKeyError({ queue: route.queue }));
     }
     const rest = path.slice(route.pathPrefix.length);
-    return Effect.succeed({ route, tenant: tenant ?? "", rest });
+    return Effect.succeed({ route, tenant: team ?? "", rest });
   }
 }
 
--- a/packages/gateway/src/access_test.ts
+++ b/packages/gateway/src/access_test.ts
@@ -13,11 +13,11 @@
 };
 
 function buildTable(
-  options: { stale?: boolean; changes?: Partial<Ports.AccessConfig> } = {},
+  options: { outdated?: boolean; changes?: Partial<Ports.AccessConfig> } = {},
 ): access.AccessTable {
   const table = new access.AccessTable(
     Logger.silentLogger(),
-    () => options.stale ?? false,
+    () => options.outdated ?? false,
   );
   table.offer({ ...TestUtils.buildAccess(), ...options.changes });
   return table;
@@ -70,6 +70,8 @@
   });
 
   vitest.it("decides nothing by a configuration that may be old", () => {
-    vitest.expect(failureOf(buildTable({ stale: true }))).toBe("NotReadyError");
+    vitest.expect(failureOf(buildTable({ outdated: true }))).toBe(
+      "NotReadyError",
+    );
   });
 });
--- a/packages/gateway/src/admission_desk.ts
+++ b/packages/gateway/src/admission_desk.ts
@@ -35,11 +35,11 @@
 }
 
 /** Hard load that was told of so lately still counts while the store is away. */
-const REMEMBERED_MS = 60_000;
+const HARD_LOAD_MEMORY_MS = 60_000;
 /** Shortest time after which callers may come back, in ms. */
-const LEAST_RETURN_MS = 1000;
+const MIN_RETRY_AFTER_MS = 1000;
 /** Longest wait for a store that is away, in ms: most come back before. */
-const LONGEST_STORE_MS = 8000;
+const MAX_STORE_RETRY_MS = 8000;
 
 /** Admission at one box. */
 export class AdmissionDesk {
@@ -55,8 +55,8 @@
   }
 
   /** Why a workflow is rejected; null where it is accepted. */
-  judge(spec: Workflow.WorkflowSpec): Errors.RejectedError | null {
-    const known = this.#look();
+  findRejection(spec: Workflow.WorkflowSpec): Errors.RejectedError | null {
+    const known = this.#currentForecast();
     // A store that is silent can't tell whether the workflow is stored already.
     const isSilent = this.#options.storeSilentMs() > 0;
     if (known.forecast === null || isSilent) return null;
@@ -68,13 +68,13 @@
     if (decision.verdict === Admission.Verdict.Rejected) {
       return this.#reject({ spec, job, forecast: known.forecast }, decision);
     }
-    if (decision.doubt === null) return this.#awaitTurn(spec.id);
+    if (decision.doubt === null) return this.#rejectBeforeTurn(spec.id);
     return null;
   }
 
   /** A workflow is going to be stored. */
   noteAccepted(spec: Workflow.WorkflowSpec): void {
-    const known = this.#look();
+    const known = this.#currentForecast();
     if (known.forecast === null) return;
     this.#returns.forget(spec.id);
     const promised = this.#shares.promise(Admission.shapeOf(spec), known);
@@ -87,8 +87,8 @@
     spec: Workflow.WorkflowSpec,
     rejected: Errors.RejectedError,
   ): void {
-    const { forecast, ageMs } = this.#look();
-    this.#rejections.note({ spec, rejected, forecast, ageMs });
+    const { forecast, ageMs } = this.#currentForecast();
+    this.#rejections.add({ spec, rejected, forecast, ageMs });
   }
 
   /**
@@ -97,19 +97,19 @@
    */
   retryAfterStoreMs(): number {
     const { clock, random, storeSilentMs } = this.#options;
-    this.#look();
-    const sinceMs = clock.monotonicMs() - this.#hardLoadAtMs;
-    if (sinceMs > REMEMBERED_MS) return LEAST_RETURN_MS;
+    this.#currentForecast();
+    const sinceHardLoadMs = clock.monotonicMs() - this.#hardLoadAtMs;
+    if (sinceHardLoadMs > HARD_LOAD_MEMORY_MS) return MIN_RETRY_AFTER_MS;
     // An outage lasts, as far as anybody can tell, as long again as it has lasted.
-    const lastsMs = Math.min(LONGEST_STORE_MS, storeSilentMs());
-    const spread = 0.5 + random.next();
-    const returnMs = Math.min(LONGEST_STORE_MS, lastsMs * spread);
-    return Math.max(LEAST_RETURN_MS, returnMs);
+    const expectedOutageMs = Math.min(MAX_STORE_RETRY_MS, storeSilentMs());
+    const jitter = 0.5 + random.next();
+    const retryMs = Math.min(MAX_STORE_RETRY_MS, expectedOutageMs * jitter);
+    return Math.max(MIN_RETRY_AFTER_MS, retryMs);
   }
 
   /** What the desk knows. */
   dump(): AdmissionDump {
-    const { forecast, ageMs } = this.#look();
+    const { forecast, ageMs } = this.#currentForecast();
     return {
       forecastAgeMs: forecast === null || !Number.isFinite(ageMs)
         ? null
@@ -120,19 +120,19 @@
     };
   }
 
-  #look(): Admission.Known {
+  #currentForecast(): Admission.Known {
     const { clock, metrics, known } = this.#options;
-    const found = known();
-    if (found.forecast === null) return found;
-    const madeAtMs = clock.monotonicMs() - found.ageMs;
-    this.#hardLoadAtMs = Math.max(this.#hardLoadAtMs, madeAtMs);
-    const ageSeconds = Math.min(found.ageMs, REMEMBERED_MS) / 1000;
+    const current = known();
+    if (current.forecast === null) return current;
+    const computedAtMs = clock.monotonicMs() - current.ageMs;
+    this.#hardLoadAtMs = Math.max(this.#hardLoadAtMs, computedAtMs);
+    const ageSeconds = Math.min(current.ageMs, HARD_LOAD_MEMORY_MS) / 1000;
     metrics.set("cairngate_forecast_age_seconds", ageSeconds);
-    return found;
+    return current;
   }
 
   #reject(
-    asked: {
+    submission: {
       readonly spec: Workflow.WorkflowSpec;
       readonly job: Admission.JobShape;
       readonly forecast: Admission.Forecast;
@@ -142,16 +142,16 @@
       { verdict: Admission.Verdict.Rejected }
     >,
   ): Errors.RejectedError {
-    const { spec: { id }, job, forecast } = asked;
+    const { spec: { id }, job, forecast } = submission;
     const nowMs = this.#options.clock.monotonicMs();
     // What fits nothing waits for another fleet, and is in nobody's way.
-    const inMs = reason === Errors.RejectReason.TooLate
+    const retryInMs = reason === Errors.RejectReason.TooLate
       ? this.#returns.note({ id, job }, returnInMs, { nowMs, forecast })
       : returnInMs;
-    return rejectedError(id, reason, inMs);
+    return rejectedError(id, reason, retryInMs);
   }
 
-  #awaitTurn(id: string): Errors.RejectedError | null {
+  #rejectBeforeTurn(id: string): Errors.RejectedError | null {
     const waitMs = this.#returns.waitOf(id, this.#options.clock.monotonicMs());
     if (waitMs <= 0) return null;
     return rejectedError(id, Errors.RejectReason.Turn, waitMs);
@@ -161,8 +161,8 @@
 function rejectedError(
   jobId: string,
   reason: Errors.RejectReason,
-  inMs: number,
+  retryInMs: number,
 ): Errors.RejectedError {
-  const retryAfterMs = Math.max(LEAST_RETURN_MS, Math.ceil(inMs));
+  const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, Math.ceil(retryInMs));
   return new Errors.RejectedError({ jobId, reason, retryAfterMs });
 }
--- a/packages/gateway/src/cancellation.ts
+++ b/packages/gateway/src/cancellation.ts
@@ -15,20 +15,20 @@
  * coordinator has recorded the workflow where this box reads it. In ms: a
  * coordinator that reads the mark does so within two writes of a slow store.
  */
-const SURE_LIMIT_MS = 2000;
+const CONFIRM_TIMEOUT_MS = 2000;
 /** Time between two looks for that record, in ms. */
-const AGAIN_MS = 150;
+const RETRY_INTERVAL_MS = 150;
 /**
  * Longest time of a whole cancel, in ms: callers get an answer well within the
  * 6 s that they wait for one.
  */
-const CANCEL_LIMIT_MS = 4500;
+const CANCEL_TIMEOUT_MS = 4500;
 
 /**
  * The home is waited for as long as the store's client waits for one call, in
  * ms: where the home holds the progress, one look is enough.
  */
-const HOME_READ_LIMIT_MS = 1000;
+const HOME_READ_TIMEOUT_MS = 1000;
 
 /** What the cancellations need. */
 export interface CancellationOptions {
@@ -54,53 +54,59 @@
   /** Cancels a workflow that the caller may see; ends when that is kept. */
   cancel(
     id: string,
-    isOwn: (spec: Workflow.WorkflowSpec) => boolean,
+    isVisible: (spec: Workflow.WorkflowSpec) => boolean,
   ): Effect.Effect<void, CancelFailure> {
-    const tried = Effect.suspend(() => this.#markUntilSure(id, isOwn));
+    const attempt = Effect.suspend(() =>
+      this.#markUntilConfirmed(id, isVisible)
+    );
     return Effect.flatMap(
-      this.#clock.within(CANCEL_LIMIT_MS, tried),
-      (timed) => timed === null ? notSure("no answer in time") : Effect.void,
+      this.#clock.within(CANCEL_TIMEOUT_MS, attempt),
+      (timed) =>
+        timed === null ? unconfirmed("no answer in time") : Effect.void,
     );
   }
 
-  #markUntilSure(
+  #markUntilConfirmed(
     id: string,
-    isOwn: (spec: Workflow.WorkflowSpec) => boolean,
+    isVisible: (spec: Workflow.WorkflowSpec) => boolean,
   ): Effect.Effect<void, CancelFailure> {
-    const endMs = this.#clock.monotonicMs() + SURE_LIMIT_MS;
+    const deadlineMs = this.#clock.monotonicMs() + CONFIRM_TIMEOUT_MS;
     return Effect.gen({ self: this }, function* () {
       for (;;) {
-        const sight = yield* this.#rows.look(id, HOME_READ_LIMIT_MS);
-        const [first] = sight.found;
-        if (first === undefined && sight.failure !== null) {
-          return yield* sight.failure;
+        const lookup = yield* this.#rows.lookUp(id, HOME_READ_TIMEOUT_MS);
+        const [first] = lookup.copies;
+        if (first === undefined && lookup.failure !== null) {
+          return yield* lookup.failure;
         }
-        if (first === undefined || !isOwn(first.spec)) {
+        if (first === undefined || !isVisible(first.spec)) {
           return yield* new Errors.UnknownJobError({ jobId: id });
         }
-        if (yield* this.#mark(sight)) return;
-        if (this.#clock.monotonicMs() >= endMs) {
-          return yield* notSure("a partition that may hold it is away");
+        if (yield* this.#markCopies(lookup)) return;
+        if (this.#clock.monotonicMs() >= deadlineMs) {
+          return yield* unconfirmed("a partition that may hold it is away");
         }
-        yield* this.#clock.sleep(AGAIN_MS);
+        yield* this.#clock.sleep(RETRY_INTERVAL_MS);
       }
     });
   }
 
   /** Marks all that was found; tells whether nothing can start after that. */
-  #mark(
-    { found, failure }: workflowRows.Sight,
+  #markCopies(
+    { copies, failure }: workflowRows.LookupResult,
   ): Effect.Effect<boolean, Errors.StoreUnavailableError> {
-    const begun = found.find(({ progress }) => progress !== null);
-    if (begun !== undefined && isSettled(begun)) return Effect.succeed(true);
-    const places = begun === undefined ? found : [begun];
+    const active = copies.find(({ progress }) => progress !== null);
+    if (active !== undefined && isSettled(active)) return Effect.succeed(true);
+    const targets = active === undefined ? copies : [active];
     const marked = Effect.forEach(
-      places.filter(({ isCancelled }) => !isCancelled),
-      (place) => this.#rows.mark(place),
+      targets.filter(({ isCancelled }) => !isCancelled),
+      (target) => this.#rows.markCancelled(target),
       { concurrency: "unbounded" },
     );
-    const isWhole = begun !== undefined || failure === null;
-    return Effect.map(marked, (all) => isWhole && !all.includes(false));
+    const isComplete = active !== undefined || failure === null;
+    return Effect.map(
+      marked,
+      (results) => isComplete && !results.includes(false),
+    );
   }
 }
 
@@ -110,7 +116,7 @@
     (progress.cancelled === true || Workflow.isFinal(progress.state));
 }
 
-function notSure(
+function unconfirmed(
   cause: string,
 ): Effect.Effect<never, Errors.StoreUnavailableError> {
   const operation = "cancel";
--- a/packages/gateway/src/first_success.ts
+++ b/packages/gateway/src/first_success.ts
@@ -15,37 +15,37 @@
  * the errors of all of them, in order, once every one has failed.
  */
 export function firstSuccess<A, E>(
-  ways: readonly Effect.Effect<A, E>[],
+  alternatives: readonly Effect.Effect<A, E>[],
   options: FirstSuccessOptions,
 ): Effect.Effect<A, readonly E[]> {
   return Effect.gen(function* () {
     const failures: E[] = [];
-    const all = Deferred.makeUnsafe<A, readonly E[]>();
+    const outcome = Deferred.makeUnsafe<A, readonly E[]>();
     const start = (index: number): Effect.Effect<void> =>
       Effect.gen(function* () {
-        if (index >= ways.length) return;
+        if (index >= alternatives.length) return;
         const failed = Deferred.makeUnsafe<void>();
-        const attempt = Effect.matchEffect(ways[index], {
-          onSuccess: (value) => Deferred.succeed(all, value),
+        const attempt = Effect.matchEffect(alternatives[index], {
+          onSuccess: (value) => Deferred.succeed(outcome, value),
           onFailure: (err) => {
             failures.push(err);
             Deferred.doneUnsafe(failed, Effect.void);
-            return failures.length === ways.length
-              ? Deferred.fail(all, failures)
+            return failures.length === alternatives.length
+              ? Deferred.fail(outcome, failures)
               : Effect.succeed(false);
           },
         });
-        const next = options.clock.within(
+        const beforeNext = options.clock.within(
           options.staggerMs,
           Deferred.await(failed),
         );
-        const rest = Effect.andThen(
-          next,
+        const following = Effect.andThen(
+          beforeNext,
           Effect.suspend(() => start(index + 1)),
         );
-        yield* Effect.all([attempt, rest], { concurrency: "unbounded" });
+        yield* Effect.all([attempt, following], { concurrency: "unbounded" });
       });
-    const tries = Effect.andThen(start(0), Effect.never);
-    return yield* Effect.raceFirst(Deferred.await(all), tries);
+    const attempts = Effect.andThen(start(0), Effect.never);
+    return yield* Effect.raceFirst(Deferred.await(outcome), attempts);
   });
 }
--- a/packages/gateway/src/known_filings.ts
+++ b/packages/gateway/src/known_filings.ts
@@ -6,48 +6,50 @@
 import * as Effect from "effect/Effect";
 
 /** Ids that are kept; of more the first are dropped, and looked for in the store. */
-const MOST_KEPT = 2000;
+const MAX_RECENT = 2000;
 
 /** Ids of such workflows. */
-export class KnownFilings {
+export class RecentWrites {
   /** Writes under way, by id. */
-  readonly #underWay = new Map<string, number>();
-  readonly #kept = new Set<string>();
+  readonly #pending = new Map<string, number>();
+  readonly #recent = new Set<string>();
 
   /** Whether the workflow of this id is stored, or may be. */
-  mayHave(id: string): boolean {
-    return this.#underWay.has(id) || this.#kept.has(id);
+  mayBeStored(id: string): boolean {
+    return this.#pending.has(id) || this.#recent.has(id);
   }
 
   /** Watches the write of a workflow. */
-  watch(
+  track(
     id: string,
     write: Effect.Effect<void, Errors.StoreUnavailableError>,
   ): Effect.Effect<void, Errors.StoreUnavailableError> {
     const begin = Effect.sync(() => {
-      this.#underWay.set(id, (this.#underWay.get(id) ?? 0) + 1);
+      this.#pending.set(id, (this.#pending.get(id) ?? 0) + 1);
     });
-    const keep = Effect.sync(() => this.#keep(id));
-    const watched = write.pipe(
-      Effect.tap(() => keep),
-      Effect.tapError((err) => err.perhapsDone === true ? keep : Effect.void),
-      Effect.onInterrupt(() => keep),
+    const remember = Effect.sync(() => this.#remember(id));
+    const tracked = write.pipe(
+      Effect.tap(() => remember),
+      Effect.tapError((err) =>
+        err.perhapsDone === true ? remember : Effect.void
+      ),
+      Effect.onInterrupt(() => remember),
       Effect.ensuring(Effect.sync(() => this.#end(id))),
     );
-    return Effect.andThen(begin, watched);
+    return Effect.andThen(begin, tracked);
   }
 
   #end(id: string): void {
-    const left = (this.#underWay.get(id) ?? 1) - 1;
-    if (left > 0) this.#underWay.set(id, left);
-    else this.#underWay.delete(id);
+    const remaining = (this.#pending.get(id) ?? 1) - 1;
+    if (remaining > 0) this.#pending.set(id, remaining);
+    else this.#pending.delete(id);
   }
 
-  #keep(id: string): void {
-    this.#kept.delete(id);
-    this.#kept.add(id);
-    if (this.#kept.size <= MOST_KEPT) return;
-    const [oldest] = this.#kept;
-    this.#kept.delete(oldest);
+  #remember(id: string): void {
+    this.#recent.delete(id);
+    this.#recent.add(id);
+    if (this.#recent.size <= MAX_RECENT) return;
+    const [oldest] = this.#recent;
+    this.#recent.delete(oldest);
   }
 }
--- a/packages/gateway/src/known_filings_test.ts
+++ b/packages/gateway/src/known_filings_test.ts
@@ -8,7 +8,7 @@
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
 import * as vitest from "vitest";
-import * as filings from "./known_filings.ts";
+import * as writes from "./known_filings.ts";
 
 const ID = "a000000000000001";
 
@@ -25,24 +25,24 @@
   vitest.it(
     "may be stored while the write is under way or broke off",
     async () => {
-      const known = new filings.KnownFilings();
-      const fiber = Effect.runFork(known.watch(ID, Effect.never));
-      vitest.expect(known.mayHave(ID)).toBe(true);
+      const recent = new writes.RecentWrites();
+      const fiber = Effect.runFork(recent.track(ID, Effect.never));
+      vitest.expect(recent.mayBeStored(ID)).toBe(true);
       await Effect.runPromise(Fiber.interrupt(fiber));
-      vitest.expect(known.mayHave(ID)).toBe(true);
+      vitest.expect(recent.mayBeStored(ID)).toBe(true);
     },
   );
 
   vitest.it(
     "may be stored unless the failure proves that it is not",
     async () => {
-      const known = new filings.KnownFilings();
+      const recent = new writes.RecentWrites();
       const stateAfter = async (
         id: string,
         write: Effect.Effect<void, Errors.StoreUnavailableError>,
       ) => {
-        await Effect.runPromise(Effect.ignore(known.watch(id, write)));
-        return known.mayHave(id);
+        await Effect.runPromise(Effect.ignore(recent.track(id, write)));
+        return recent.mayBeStored(id);
       };
       vitest.expect(await stateAfter("stored", Effect.void)).toBe(true);
       const perhaps = Effect.fail(failure(true));
--- a/packages/gateway/src/rejection_log.ts
+++ b/packages/gateway/src/rejection_log.ts
@@ -18,7 +18,7 @@
 }
 
 /** What is known of one when it is told. */
-export interface RejectionFacts {
+export interface RejectionDetails {
   readonly spec: Workflow.WorkflowSpec;
   readonly rejected: Errors.RejectedError;
   readonly forecast: Admission.Forecast | null;
@@ -33,18 +33,18 @@
 }
 
 /** Lines in one stretch of time; more are only counted. */
-const MOST_LINES = 5;
-const STRETCH_MS = 1000;
+const MAX_LINES_PER_INTERVAL = 5;
+const LOG_INTERVAL_MS = 1000;
 /** Rejections that a dump shows. */
-const MOST_KEPT = 10;
+const MAX_KEPT = 10;
 
 /** Rejections of one box. */
 export class RejectionLog {
   readonly #options: RejectionLogOptions;
   #last: readonly Rejection[] = [];
-  #stretchEndMs = Number.NEGATIVE_INFINITY;
+  #intervalEndMs = Number.NEGATIVE_INFINITY;
   #lines = 0;
-  #leftOut = 0;
+  #suppressed = 0;
 
   constructor(options: RejectionLogOptions) {
     this.#options = options;
@@ -56,66 +56,68 @@
   }
 
   /** Tells of one. */
-  note(facts: RejectionFacts): void {
+  add(details: RejectionDetails): void {
     const { clock, metrics, log } = this.#options;
-    const { spec: { id, tenant: team, policy }, rejected } = facts;
+    const { spec: { id, tenant: team, policy }, rejected } = details;
     const { reason, retryAfterMs } = rejected;
     metrics.count("cairngate_rejected_total", { reason });
     const { queue } = policy;
     const atMs = clock.wallMs();
-    const told = { id, team, queue, reason, retryAfterMs, atMs };
-    this.#last = [told, ...this.#last].slice(0, MOST_KEPT);
-    if (this.#mayTell()) log.info(this.#sentenceOf(facts));
+    const rejection = { id, team, queue, reason, retryAfterMs, atMs };
+    this.#last = [rejection, ...this.#last].slice(0, MAX_KEPT);
+    if (this.#mayLog()) log.info(this.#messageOf(details));
   }
 
-  #mayTell(): boolean {
+  #mayLog(): boolean {
     const nowMs = this.#options.clock.monotonicMs();
-    if (nowMs >= this.#stretchEndMs) {
-      this.#stretchEndMs = nowMs + STRETCH_MS;
+    if (nowMs >= this.#intervalEndMs) {
+      this.#intervalEndMs = nowMs + LOG_INTERVAL_MS;
       this.#lines = 0;
     }
-    if (this.#lines < MOST_LINES) {
+    if (this.#lines < MAX_LINES_PER_INTERVAL) {
       this.#lines++;
       return true;
     }
-    this.#leftOut++;
+    this.#suppressed++;
     return false;
   }
 
-  #sentenceOf({ spec, rejected, forecast, ageMs }: RejectionFacts): string {
+  #messageOf({ spec, rejected, forecast, ageMs }: RejectionDetails): string {
     const { id, tenant, policy: { queue } } = spec;
     const { reason, retryAfterMs } = rejected;
-    const leftOut = this.#leftOut === 0
+    const suppressed = this.#suppressed === 0
       ? ""
-      : ` ${this.#leftOut} more were rejected without a line.`;
-    this.#leftOut = 0;
+      : ` ${this.#suppressed} more were rejected without a line.`;
+    this.#suppressed = 0;
     return `Workflow ${id} of team ${tenant} in ${queue} is rejected: ` +
       `${reason}; it may come back in ${retryAfterMs} ms. ` +
-      `It wants ${wantedBy(spec)}; room: ${roomFor(spec, forecast)}, ` +
-      `forecast ${Math.round(ageMs)} ms ago.${leftOut}`;
+      `It wants ${describeDemand(spec)}; room: ${
+        describeRoom(spec, forecast)
+      }, ` +
+      `forecast ${Math.round(ageMs)} ms ago.${suppressed}`;
   }
 }
 
 /** Steps as tasks times accelerators. */
-function wantedBy({ steps }: Workflow.WorkflowSpec): string {
-  const wanted = steps.map(({ count, accelerators, gang }) =>
+function describeDemand({ steps }: Workflow.WorkflowSpec): string {
+  const demands = steps.map(({ count, accelerators, gang }) =>
     `${count} x ${accelerators}${gang ? " together" : ""}`
   );
-  const [first, ...others] = wanted;
+  const [first, ...others] = demands;
   return others.length === 0
     ? `${first} accelerators`
     : `${first} accelerators and ${others.length} more steps`;
 }
 
 /** Accelerators that get free for work of this priority, span by span. */
-function roomFor(
+function describeRoom(
   { policy }: Workflow.WorkflowSpec,
   forecast: Admission.Forecast | null,
 ): string {
   const service = forecast?.services.find((one) =>
     one.service === policy.service
   );
-  const ahead = service?.room.find((one) => one.priority === policy.priority);
-  if (ahead === undefined) return "not known";
-  return ahead.last.map(({ accelerators }) => accelerators).join(", ");
+  const room = service?.room.find((one) => one.priority === policy.priority);
+  if (room === undefined) return "not known";
+  return room.last.map(({ accelerators }) => accelerators).join(", ");
 }
--- a/packages/gateway/src/rejection_log_test.ts
+++ b/packages/gateway/src/rejection_log_test.ts
@@ -8,7 +8,7 @@
 
 const REASON = Errors.RejectReason.TooLate;
 
-function factsOf(id: string): logs.RejectionFacts {
+function buildDetails(id: string): logs.RejectionDetails {
   const [route] = TestUtils.buildAccess().queues;
   const steps = [
     TestUtils.buildStep({ count: 3, accelerators: 2, gang: true }),
@@ -35,8 +35,8 @@
     const clock = new TestUtils.FakeClock();
     const log = new TestUtils.KeptLog();
     const metrics = new Metrics.Metrics();
-    const told = new logs.RejectionLog({ clock, log, metrics });
-    for (let i = 0; i < 7; i++) told.note(factsOf(`job-${i}`));
+    const rejectionLog = new logs.RejectionLog({ clock, log, metrics });
+    for (let i = 0; i < 7; i++) rejectionLog.add(buildDetails(`job-${i}`));
     vitest.expect(log.sentences).toHaveLength(5);
     vitest.expect(log.sentences[0]).toBe(
       "Workflow job-0 of team hana in queue-0 is rejected: too-late; it may " +
@@ -44,11 +44,11 @@
         "not known, forecast 740 ms ago.",
     );
     await clock.advance(1000);
-    told.note(factsOf("job-7"));
+    rejectionLog.add(buildDetails("job-7"));
     vitest.expect(log.sentences[5])
       .toMatch(/ 2 more were rejected without a line\.$/);
     const labels = { reason: REASON };
     vitest.expect(metrics.get("cairngate_rejected_total", labels)).toBe(8);
-    vitest.expect(told.last[0].id).toBe("job-7");
+    vitest.expect(rejectionLog.last[0].id).toBe("job-7");
   });
 });
--- a/packages/gateway/src/submissions.ts
+++ b/packages/gateway/src/submissions.ts
@@ -5,9 +5,9 @@
 import * as Workflow from "@cairngate/workflow";
 import * as Effect from "effect/Effect";
 import type * as access from "./access.ts";
-import type * as desks from "./admission_desk.ts";
+import type * as admission from "./admission_desk.ts";
 import * as cancellation from "./cancellation.ts";
-import * as filings from "./known_filings.ts";
+import * as recentWrites from "./known_filings.ts";
 import * as waiting from "./waiting_counts.ts";
 import * as workflowRows from "./workflow_rows.ts";
 
@@ -26,7 +26,7 @@
   /** Most bytes of one row's value. */
   readonly rowBytes: number;
   /** Rejects what surely can't be of use under hard load. */
-  readonly desk: desks.AdmissionDesk;
+  readonly desk: admission.AdmissionDesk;
 }
 
 /** How a workflow stands, whoever's it is. */
@@ -42,7 +42,7 @@
  * A look for a stored copy that takes longer is given up, in ms, and the workflow
  * written: a rejection is worth no more of the time that its caller has.
  */
-const COPY_LOOK_MS = 300;
+const COPY_LOOKUP_TIMEOUT_MS = 300;
 
 /** Callers' side of the workflows. */
 export class Submissions {
@@ -51,8 +51,8 @@
   readonly #waiting: waiting.WaitingCounts;
   readonly #clock: Ports.Clock;
   readonly #rowBytes: number;
-  readonly #desk: desks.AdmissionDesk;
-  readonly #filings = new filings.KnownFilings();
+  readonly #desk: admission.AdmissionDesk;
+  readonly #recentWrites = new recentWrites.RecentWrites();
 
   constructor(options: SubmissionOptions) {
     this.#rowBytes = options.rowBytes;
@@ -71,12 +71,12 @@
    * Stores a workflow; the same id again changes nothing. An error without
    * `perhapsDone` proves that it is not stored. One that surely can't be of use is
    * rejected: it is not stored, and this box has sent no write of it.
-   * @param waitsMs how long the caller still waits for the answer
+   * @param callerWaitMs how long the caller still waits for the answer
    */
   accept(
     allowed: access.Access,
     submission: Submission,
-    waitsMs?: number,
+    callerWaitMs?: number,
   ): Effect.Effect<
     void,
     | Errors.BadRequestError
@@ -102,12 +102,12 @@
       return Effect.fail(new Errors.TooLargeError({ what, limitBytes }));
     }
     return Effect.suspend(() => {
-      const rejected = this.#filings.mayHave(id)
+      const rejected = this.#recentWrites.mayBeStored(id)
         ? null
-        : this.#desk.judge(spec);
+        : this.#desk.findRejection(spec);
       return rejected === null
-        ? this.#file(spec, waitsMs)
-        : this.#rejectUnlessStored(spec, rejected, waitsMs);
+        ? this.#insert(spec, callerWaitMs)
+        : this.#rejectUnlessStored(spec, rejected, callerWaitMs);
     });
   }
 
@@ -116,37 +116,42 @@
    * @param mayBeStored whether an earlier copy may be stored: that this one was not
    * written proves nothing then
    */
-  #file(
+  #insert(
     spec: Workflow.WorkflowSpec,
-    waitsMs?: number,
-    mayBeStored = this.#filings.mayHave(spec.id),
+    callerWaitMs?: number,
+    mayBeStored = this.#recentWrites.mayBeStored(spec.id),
   ): Effect.Effect<void, Errors.StoreUnavailableError> {
-    if (!this.#filings.mayHave(spec.id)) this.#desk.noteAccepted(spec);
-    const filed = this.#filings.watch(spec.id, this.#rows.file(spec, waitsMs));
-    return mayBeStored ? Effect.mapError(filed, withDoubt) : filed;
+    if (!this.#recentWrites.mayBeStored(spec.id)) this.#desk.noteAccepted(spec);
+    const inserted = this.#recentWrites.track(
+      spec.id,
+      this.#rows.insert(spec, callerWaitMs),
+    );
+    return mayBeStored ? Effect.mapError(inserted, asPerhapsDone) : inserted;
   }
 
   /** To reject what is stored already, or may be, would be untrue. */
   #rejectUnlessStored(
     spec: Workflow.WorkflowSpec,
     rejected: Errors.RejectedError,
-    waitsMs?: number,
+    callerWaitMs?: number,
   ): Effect.Effect<void, Errors.RejectedError | Errors.StoreUnavailableError> {
     return Effect.gen({ self: this }, function* () {
-      const begunAtMs = this.#clock.monotonicMs();
-      const look = this.#rows.look(spec.id, COPY_LOOK_MS);
-      const seen = yield* this.#clock.within(COPY_LOOK_MS, look);
+      const startMs = this.#clock.monotonicMs();
+      const lookup = this.#rows.lookUp(spec.id, COPY_LOOKUP_TIMEOUT_MS);
+      const timed = yield* this.#clock.within(COPY_LOOKUP_TIMEOUT_MS, lookup);
       // It was accepted before.
-      if (seen !== null && seen.value.found.length > 0) return;
-      const isNowhere = seen !== null && seen.value.failure === null &&
-        !this.#filings.mayHave(spec.id);
-      if (isNowhere) {
+      if (timed !== null && timed.value.copies.length > 0) return;
+      const isNotStored = timed !== null && timed.value.failure === null &&
+        !this.#recentWrites.mayBeStored(spec.id);
+      if (isNotStored) {
         this.#desk.noteRejected(spec, rejected);
         return yield* rejected;
       }
-      const tookMs = this.#clock.monotonicMs() - begunAtMs;
-      const leftMs = waitsMs === undefined ? undefined : waitsMs - tookMs;
-      return yield* this.#file(spec, leftMs, true);
+      const elapsedMs = this.#clock.monotonicMs() - startMs;
+      const remainingMs = callerWaitMs === undefined
+        ? undefined
+        : callerWaitMs - elapsedMs;
+      return yield* this.#insert(spec, remainingMs, true);
     });
   }
 
@@ -199,8 +204,8 @@
   > {
     return Effect.gen({ self: this }, function* () {
       const found = yield* this.#rows.find(id);
-      const isOwn = found !== null && isVisible(allowed, found.spec);
-      if (!isOwn) return yield* new Errors.UnknownJobError({ jobId: id });
+      const isAllowed = found !== null && isVisible(allowed, found.spec);
+      if (!isAllowed) return yield* new Errors.UnknownJobError({ jobId: id });
       return found;
     });
   }
@@ -223,9 +228,9 @@
   spec: Workflow.WorkflowSpec,
 ): boolean {
   const isOfQueue = spec.policy.queue === allowed.route.queue;
-  const isOfTenant = spec.tenant === "" || allowed.tenant === spec.tenant ||
+  const isOfTeam = spec.tenant === "" || allowed.tenant === spec.tenant ||
     allowed.route.anonymous;
-  return isOfQueue && isOfTenant;
+  return isOfQueue && isOfTeam;
 }
 
 function policyOf(route: Ports.QueueRoute): Workflow.QueuePolicy {
@@ -242,7 +247,7 @@
 }
 
 /** The same failure of a workflow that may be stored all the same. */
-function withDoubt(
+function asPerhapsDone(
   { operation, cause }: Errors.StoreUnavailableError,
 ): Errors.StoreUnavailableError {
   return new Errors.StoreUnavailableError({
--- a/packages/gateway/src/waiting_counts.ts
+++ b/packages/gateway/src/waiting_counts.ts
@@ -16,9 +16,9 @@
 }
 
 /** Age up to which counts are given again, in ms; callers bear twice as much. */
-const FRESH_MS = 1000;
+const MAX_AGE_MS = 1000;
 /** A scan is not repeated after this time, in ms: callers wait for it. */
-const READ_LIMIT_MS = 450;
+const READ_TIMEOUT_MS = 450;
 
 type Counts = ReadonlyMap<string, number>;
 
@@ -44,9 +44,9 @@
   #counts(): Effect.Effect<Counts, Errors.StoreUnavailableError> {
     return Effect.suspend(() => {
       const nowMs = this.#options.clock.monotonicMs();
-      const known = this.#last;
-      if (known !== null && nowMs - known.atMs < FRESH_MS) {
-        return Deferred.await(known.counts);
+      const last = this.#last;
+      if (last !== null && nowMs - last.atMs < MAX_AGE_MS) {
+        return Deferred.await(last.counts);
       }
       return this.#scan(nowMs);
     });
@@ -71,18 +71,18 @@
   #readAll(): Effect.Effect<Counts, Errors.StoreUnavailableError> {
     const scans = TableClient.Keys.PARTITIONS.map((partition) => {
       const prefix = TableClient.Keys.waitingPrefix(partition);
-      return this.#options.store.scan(prefix, 0, READ_LIMIT_MS);
+      return this.#options.store.scan(prefix, 0, READ_TIMEOUT_MS);
     });
     return Effect.map(
       Effect.all(scans, { concurrency: "unbounded" }),
-      (found) => countByQueue(found.flat()),
+      (pages) => countByQueue(pages.flat()),
     );
   }
 }
 
-function countByQueue(marks: readonly Ports.Row[]): Counts {
+function countByQueue(rows: readonly Ports.Row[]): Counts {
   const counts = new Map<string, number>();
-  for (const { key } of marks) {
+  for (const { key } of rows) {
     const queue = TableClient.Keys.queueOfWaitingKey(key);
     counts.set(queue, (counts.get(queue) ?? 0) + 1);
   }
--- a/packages/gateway/src/waiting_counts_test.ts
+++ b/packages/gateway/src/waiting_counts_test.ts
@@ -1,4 +1,4 @@
-/** One scan serves all who ask for counts at about the same time. */
+/** One scan serves all who countOf for counts at about the same time. */
 import * as Metrics from "@cairngate/metrics";
 import * as StandIns from "@cairngate/stand-ins";
 import * as TableClient from "@cairngate/table-client";
@@ -30,44 +30,44 @@
     const writes = [{ key, value: 1 }];
     Effect.runSync(table.transact({ writeId: id, conditions: [], writes }));
   };
-  const ask = async (queue: string) => {
-    const asked = Effect.runPromise(Effect.result(counts.of(queue)));
+  const countOf = async (queue: string) => {
+    const pending = Effect.runPromise(Effect.result(counts.of(queue)));
     await clock.advance(500);
-    return await asked;
+    return await pending;
   };
-  return { clock, faults, scan, mark, ask };
+  return { clock, faults, scan, mark, countOf };
 }
 
 vitest.describe("WaitingCounts", () => {
   vitest.it("counts each queue by itself", async () => {
-    const { mark, ask } = createCounts();
+    const { mark, countOf } = createCounts();
     mark("maps", "a1");
     mark("maps", "a2");
     mark("scans", "a3");
-    vitest.expect(await ask("maps")).toMatchObject({ success: 2 });
-    vitest.expect(await ask("scans")).toMatchObject({ success: 1 });
-    vitest.expect(await ask("others")).toMatchObject({ success: 0 });
+    vitest.expect(await countOf("maps")).toMatchObject({ success: 2 });
+    vitest.expect(await countOf("scans")).toMatchObject({ success: 1 });
+    vitest.expect(await countOf("others")).toMatchObject({ success: 0 });
   });
 
   vitest.it("scans once for several queues, and again soon", async () => {
-    const { clock, scan, mark, ask } = createCounts();
-    await ask("maps");
-    await ask("scans");
+    const { clock, scan, mark, countOf } = createCounts();
+    await countOf("maps");
+    await countOf("scans");
     vitest.expect(scan.mock.calls.length).toBe(PARTITIONS);
     mark("maps", "a1");
     await clock.advance(500);
-    vitest.expect(await ask("maps")).toMatchObject({ success: 1 });
+    vitest.expect(await countOf("maps")).toMatchObject({ success: 1 });
     vitest.expect(scan.mock.calls.length).toBe(2 * PARTITIONS);
   });
 
   vitest.it("gives nobody the failure of an earlier scan", async () => {
-    const { faults, ask } = createCounts();
+    const { faults, countOf } = createCounts();
     faults.set({ down: true });
-    const failed = await ask("maps");
+    const failed = await countOf("maps");
     vitest.expect(failed).toMatchObject({
       failure: { _tag: "StoreUnavailableError" },
     });
     faults.set({ down: false });
-    vitest.expect(await ask("maps")).toMatchObject({ success: 0 });
+    vitest.expect(await countOf("maps")).toMatchObject({ success: 0 });
   });
 });
--- a/packages/gateway/src/workflow_rows.ts
+++ b/packages/gateway/src/workflow_rows.ts
@@ -8,7 +8,7 @@
 import * as TableClient from "@cairngate/table-client";
 import type * as Workflow from "@cairngate/workflow";
 import * as Effect from "effect/Effect";
-import * as attempts from "./first_success.ts";
+import * as alternatives from "./first_success.ts";
 
 /** A workflow as its rows show it. */
 export interface FoundWorkflow {
@@ -22,9 +22,9 @@
 }
 
 /** Where a workflow lies, as far as the store told. */
-export interface Sight {
+export interface LookupResult {
   /** Its home comes first. */
-  readonly found: readonly FoundWorkflow[];
+  readonly copies: readonly FoundWorkflow[];
   /**
    * Why some partition is not known; null where all are, or where the home holds
    * the progress.
@@ -33,15 +33,15 @@
 }
 
 /** A write of the store that a caller waits for ends within this time. */
-const WRITE_LIMIT_MS = 450;
+const WRITE_TIMEOUT_MS = 450;
 /** A read is not repeated after this time, in ms: callers wait for it. */
-const READ_LIMIT_MS = 450;
+const READ_TIMEOUT_MS = 450;
 /** A home partition is waited for at least this long, also where it is slow. */
-const HOME_READ_LIMIT_MS = 400;
+const HOME_READ_TIMEOUT_MS = 400;
 /** An answer is on its way to the caller for less than this, in ms. */
-const ANSWER_MS = 50;
+const RESPONSE_MARGIN_MS = 50;
 /** Partitions in which an acceptance is tried. */
-const MOST_TRIED = 4;
+const MAX_PARTITIONS_TRIED = 4;
 
 /** Rows of workflows. */
 export class WorkflowRows {
@@ -59,41 +59,47 @@
   /**
    * Files a workflow in one partition at least; a second copy does no harm. An
    * error without `perhapsDone` proves that it is filed nowhere.
-   * @param waitsMs how long the caller still waits: nothing is tried that takes
+   * @param callerWaitMs how long the caller still waits: nothing is tried that takes
    * longer, and what has begun is answered before
    */
-  file(
+  insert(
     spec: Workflow.WorkflowSpec,
-    waitsMs = Number.POSITIVE_INFINITY,
+    callerWaitMs = Number.POSITIVE_INFINITY,
   ): Effect.Effect<void, Errors.StoreUnavailableError> {
-    const limitMs = waitsMs - ANSWER_MS;
-    if (this.#store.usualWriteMs > limitMs) {
+    const timeoutMs = callerWaitMs - RESPONSE_MARGIN_MS;
+    if (this.#store.usualWriteMs > timeoutMs) {
       const cause = "it takes longer than the caller waits";
       return unavailable(cause, false);
     }
-    const filed = this.#fileSomewhere(spec);
-    if (limitMs === Number.POSITIVE_INFINITY) return filed;
-    return Effect.flatMap(this.#clock.within(limitMs, filed), (timed) => {
+    const inserted = this.#insertAnywhere(spec);
+    if (timeoutMs === Number.POSITIVE_INFINITY) return inserted;
+    return Effect.flatMap(this.#clock.within(timeoutMs, inserted), (timed) => {
       if (timed !== null) return Effect.void;
       return unavailable("the caller waits no longer", true);
     });
   }
 
-  #fileSomewhere(
+  #insertAnywhere(
     spec: Workflow.WorkflowSpec,
   ): Effect.Effect<void, Errors.StoreUnavailableError> {
-    const endMs = this.#clock.monotonicMs() + WRITE_LIMIT_MS;
-    const ways = this.#order(spec.id).slice(0, MOST_TRIED).map((partition) =>
-      Effect.suspend(() => this.#fileIn(partition, spec, endMs))
+    const deadlineMs = this.#clock.monotonicMs() + WRITE_TIMEOUT_MS;
+    const attempts = this.#partitionOrder(spec.id).slice(
+      0,
+      MAX_PARTITIONS_TRIED,
+    ).map((partition) =>
+      Effect.suspend(() => this.#insertInto(partition, spec, deadlineMs))
     );
     return Effect.suspend(() => {
       const staggerMs = this.#store.hedgeMs;
-      return attempts.firstSuccess(ways, { clock: this.#clock, staggerMs });
-    }).pipe(Effect.mapError(joinFailures));
+      return alternatives.firstSuccess(attempts, {
+        clock: this.#clock,
+        staggerMs,
+      });
+    }).pipe(Effect.mapError(mergeFailures));
   }
 
   /** Marks it as cancelled where it was found; false where it has left. */
-  mark(
+  markCancelled(
     { partition, revision, spec: { id } }: FoundWorkflow,
   ): Effect.Effect<boolean, Errors.StoreUnavailableError> {
     const write = {
@@ -105,7 +111,7 @@
         value: this.#clock.wallMs(),
       }],
     };
-    return this.#store.write(write, WRITE_LIMIT_MS).pipe(
+    return this.#store.write(write, WRITE_TIMEOUT_MS).pipe(
       Effect.as(true),
       Effect.catchTag("ConditionFailedError", () => Effect.succeed(false)),
     );
@@ -116,48 +122,51 @@
     id: string,
   ): Effect.Effect<FoundWorkflow | null, Errors.StoreUnavailableError> {
     return Effect.gen({ self: this }, function* () {
-      const { found, failure } = yield* this.look(id);
-      const best = found.find(({ progress }) => progress !== null) ?? found[0];
+      const { copies, failure } = yield* this.lookUp(id);
+      const best = copies.find(({ progress }) => progress !== null) ??
+        copies[0];
       if (best !== undefined) return best;
       return failure === null ? null : yield* failure;
     });
   }
 
   /** Looks for a workflow in all partitions that may matter. */
-  look(
+  lookUp(
     id: string,
-    homeLimitMs = HOME_READ_LIMIT_MS,
-  ): Effect.Effect<Sight> {
+    homeTimeoutMs = HOME_READ_TIMEOUT_MS,
+  ): Effect.Effect<LookupResult> {
     return Effect.gen({ self: this }, function* () {
-      const [home, ...others] = this.#order(id);
-      const homeMs = Math.max(homeLimitMs, this.#store.hedgeMs);
-      const atHome = yield* Effect.result(
-        this.#within(homeMs, this.#findIn(home, id)),
+      const [home, ...others] = this.#partitionOrder(id);
+      const homeWaitMs = Math.max(homeTimeoutMs, this.#store.hedgeMs);
+      const homeResult = yield* Effect.result(
+        this.#within(homeWaitMs, this.#findIn(home, id)),
       );
-      const first = atHome._tag === "Success" ? atHome.success : null;
-      if (first !== null && first.progress !== null) {
-        return { found: [first], failure: null };
+      const homeCopy = homeResult._tag === "Success"
+        ? homeResult.success
+        : null;
+      if (homeCopy !== null && homeCopy.progress !== null) {
+        return { copies: [homeCopy], failure: null };
       }
-      const elsewhere = yield* Effect.forEach(
+      const otherResults = yield* Effect.forEach(
         others,
         (partition) => Effect.result(this.#findIn(partition, id)),
         { concurrency: "unbounded" },
       );
-      const found: FoundWorkflow[] = [];
+      const copies: FoundWorkflow[] = [];
       let failure: Errors.StoreUnavailableError | null = null;
-      for (const one of [atHome, ...elsewhere]) {
-        if (one._tag === "Failure") failure ??= one.failure;
-        else if (one.success !== null) found.push(one.success);
+      for (const result of [homeResult, ...otherResults]) {
+        if (result._tag === "Failure") failure ??= result.failure;
+        else if (result.success !== null) copies.push(result.success);
       }
-      return { found, failure };
+      return { copies, failure };
     });
   }
 
   /** Home first; partitions that have failed lately come last. */
-  #order(id: string): readonly string[] {
+  #partitionOrder(id: string): readonly string[] {
     const all = TableClient.Keys.PARTITIONS;
-    const at = all.indexOf(TableClient.Keys.homePartition(id));
-    const fromHome = [...all.slice(at), ...all.slice(0, at)];
+    const start = all.indexOf(TableClient.Keys.homePartition(id));
+    const fromHome = [...all.slice(start), ...all.slice(0, start)];
     const isShut = (partition: string) => this.#store.isShut(partition);
     return [
       ...fromHome.filter((partition) => !isShut(partition)),
@@ -165,21 +174,21 @@
     ];
   }
 
-  #fileIn(
+  #insertInto(
     partition: string,
     spec: Workflow.WorkflowSpec,
-    endMs: number,
+    deadlineMs: number,
   ): Effect.Effect<void, Errors.StoreUnavailableError> {
     const { id, policy: { queue } } = spec;
     const key = TableClient.Keys.workflowKey(partition, id);
-    const mark = TableClient.Keys.waitingKey(partition, queue, id);
+    const waitingKey = TableClient.Keys.waitingKey(partition, queue, id);
     const write = {
       conditions: [{ key, revision: 0 }],
-      writes: [{ key, value: spec }, { key: mark, value: 1 }],
+      writes: [{ key, value: spec }, { key: waitingKey, value: 1 }],
     };
-    const limitMs = endMs - this.#clock.monotonicMs();
-    if (limitMs <= 0) return unavailable("no time is left", false);
-    return this.#store.write(write, limitMs).pipe(
+    const timeoutMs = deadlineMs - this.#clock.monotonicMs();
+    if (timeoutMs <= 0) return unavailable("no time is left", false);
+    return this.#store.write(write, timeoutMs).pipe(
       Effect.asVoid,
       // The row is there: it was accepted before.
       Effect.catchTag("ConditionFailedError", () => Effect.void),
@@ -188,10 +197,10 @@
 
   /** A call that must not hang; a late one fails. */
   #within<A>(
-    limitMs: number,
+    timeoutMs: number,
     call: Effect.Effect<A, Errors.StoreUnavailableError>,
   ): Effect.Effect<A, Errors.StoreUnavailableError> {
-    return Effect.flatMap(this.#clock.within(limitMs, call), (timed) => {
+    return Effect.flatMap(this.#clock.within(timeoutMs, call), (timed) => {
       if (timed !== null) return Effect.succeed(timed.value);
       const cause = "no answer in time";
       return Effect.fail(
@@ -207,7 +216,7 @@
     const prefix = TableClient.Keys.intakePrefix(partition, id);
     return Effect.gen({ self: this }, function* () {
       const [rows, progress] = yield* Effect.all([
-        this.#store.scan(prefix, 0, READ_LIMIT_MS),
+        this.#store.scan(prefix, 0, READ_TIMEOUT_MS),
         this.#readProgress(partition, id),
       ], { concurrency: "unbounded" });
       const byKey = new Map(rows.map((row) => [row.key, row]));
@@ -235,7 +244,7 @@
   > {
     const key = TableClient.Keys.progressKey(partition, id);
     return Effect.map(
-      this.#store.read([key], READ_LIMIT_MS),
+      this.#store.read([key], READ_TIMEOUT_MS),
       ([row]) => (row?.value as Workflow.ProgressRecord | undefined) ?? null,
     );
   }
@@ -252,7 +261,7 @@
 }
 
 /** One failure for all: perhaps done where one of them was perhaps done. */
-function joinFailures(
+function mergeFailures(
   failures: readonly Errors.StoreUnavailableError[],
 ): Errors.StoreUnavailableError {
   return failures.find(({ perhapsDone }) => perhapsDone === true) ??
--- a/packages/http-json/src/answer_watch.ts
+++ b/packages/http-json/src/answer_watch.ts
@@ -7,7 +7,7 @@
  */
 
 /** A call that waits for its answer. */
-export interface WaitingCall {
+export interface PendingCall {
   readonly address: string;
   /** Monotonic time at which it was sent, in ms. */
   readonly sentAtMs: number;
@@ -17,14 +17,14 @@
    * Whether its connection has carried earlier calls. A new connection that is
    * not answered tells something about the address, nothing about neighbours.
    */
-  onKept: boolean;
+  isReused: boolean;
 }
 
 /** What is known of one address. */
-interface AddressNotes {
-  readonly waiting: Set<WaitingCall>;
+interface AddressStats {
+  readonly pending: Set<PendingCall>;
   /** What an answer usually takes, in ms. */
-  usualMs: number;
+  averageMs: number;
 }
 
 /**
@@ -36,34 +36,34 @@
  * No answer is overdue sooner, in ms: a box that is busy for a moment reads its
  * answers this much late without anything being wrong.
  */
-const LEAST_OVERDUE_MS = 100;
+const MIN_OVERDUE_MS = 100;
 /** Weight of the newest answer in the usual time: about three answers count. */
-const NEWEST_WEIGHT = 0.3;
+const NEWEST_SAMPLE_WEIGHT = 0.3;
 /** Addresses that are remembered; idle ones are forgotten beyond this. */
-const MOST_ADDRESSES = 5000;
+const MAX_ADDRESSES = 5000;
 
 /** Watches for answers that do not come. */
-export class AnswerWatch {
-  readonly #addresses = new Map<string, AddressNotes>();
+export class SilenceDetector {
+  readonly #addresses = new Map<string, AddressStats>();
 
   /** A call is sent. */
-  begin(call: WaitingCall): void {
-    this.#notesOf(call.address).waiting.add(call);
+  add(call: PendingCall): void {
+    this.#statsOf(call.address).pending.add(call);
   }
 
   /** Its answer has come, whole. */
-  answered(call: WaitingCall, nowMs: number): void {
-    const notes = this.#notesOf(call.address);
-    notes.waiting.delete(call);
-    const tookMs = nowMs - call.sentAtMs - call.quietMs;
+  noteResponse(call: PendingCall, nowMs: number): void {
+    const stats = this.#statsOf(call.address);
+    stats.pending.delete(call);
+    const delayMs = nowMs - call.sentAtMs - call.quietMs;
     // An answer before the agreed time tells no delay.
-    if (tookMs < 0) return;
-    notes.usualMs += (tookMs - notes.usualMs) * NEWEST_WEIGHT;
+    if (delayMs < 0) return;
+    stats.averageMs += (delayMs - stats.averageMs) * NEWEST_SAMPLE_WEIGHT;
   }
 
   /** It has ended without an answer. */
-  ended(call: WaitingCall): void {
-    this.#notesOf(call.address).waiting.delete(call);
+  remove(call: PendingCall): void {
+    this.#statsOf(call.address).pending.delete(call);
   }
 
   /**
@@ -71,37 +71,37 @@
    * used; null where nothing is overdue.
    */
   suspectBeforeMs(address: string, nowMs: number): number | null {
-    const notes = this.#addresses.get(address);
-    if (notes === undefined) return null;
-    const usualMs = notes.usualMs * OVERDUE_FACTOR;
-    const allowedMs = Math.max(LEAST_OVERDUE_MS, usualMs);
-    let newestMs: number | null = null;
-    for (const { onKept, sentAtMs, quietMs } of notes.waiting) {
+    const stats = this.#addresses.get(address);
+    if (stats === undefined) return null;
+    const scaledMs = stats.averageMs * OVERDUE_FACTOR;
+    const allowedMs = Math.max(MIN_OVERDUE_MS, scaledMs);
+    let newestSentAtMs: number | null = null;
+    for (const { isReused, sentAtMs, quietMs } of stats.pending) {
       const isOverdue = nowMs - sentAtMs > quietMs + allowedMs;
-      if (!onKept || !isOverdue) continue;
-      newestMs = Math.max(newestMs ?? sentAtMs, sentAtMs);
+      if (!isReused || !isOverdue) continue;
+      newestSentAtMs = Math.max(newestSentAtMs ?? sentAtMs, sentAtMs);
     }
-    return newestMs;
+    return newestSentAtMs;
   }
 
   /** Whether a call that is given up now has waited in vain. */
-  isSilence(call: WaitingCall, heardAtMs: number, nowMs: number): boolean {
-    const quietSinceMs = Math.max(call.sentAtMs + call.quietMs, heardAtMs);
-    return call.onKept && nowMs - quietSinceMs > LEAST_OVERDUE_MS;
+  isSilent(call: PendingCall, receivedAtMs: number, nowMs: number): boolean {
+    const silentSinceMs = Math.max(call.sentAtMs + call.quietMs, receivedAtMs);
+    return call.isReused && nowMs - silentSinceMs > MIN_OVERDUE_MS;
   }
 
-  #notesOf(address: string): AddressNotes {
-    const known = this.#addresses.get(address);
-    if (known !== undefined) return known;
-    if (this.#addresses.size >= MOST_ADDRESSES) this.#forgetIdle();
-    const made = { waiting: new Set<WaitingCall>(), usualMs: 0 };
-    this.#addresses.set(address, made);
-    return made;
+  #statsOf(address: string): AddressStats {
+    const existing = this.#addresses.get(address);
+    if (existing !== undefined) return existing;
+    if (this.#addresses.size >= MAX_ADDRESSES) this.#removeIdle();
+    const created = { pending: new Set<PendingCall>(), averageMs: 0 };
+    this.#addresses.set(address, created);
+    return created;
   }
 
-  #forgetIdle(): void {
-    for (const [address, { waiting }] of this.#addresses) {
-      if (waiting.size === 0) this.#addresses.delete(address);
+  #removeIdle(): void {
+    for (const [address, { pending }] of this.#addresses) {
+      if (pending.size === 0) this.#addresses.delete(address);
     }
   }
 }
--- a/packages/http-json/src/http_caller.ts
+++ b/packages/http-json/src/http_caller.ts
@@ -2,10 +2,10 @@
 import * as Effect from "effect/Effect";
 import type * as http from "node:http";
 import type * as net from "node:net";
-import * as watches from "./answer_watch.ts";
+import * as detectors from "./answer_watch.ts";
 import * as calls from "./http_call.ts";
-import * as answers from "./json_answer.ts";
-import * as kept from "./kept_connections.ts";
+import * as responses from "./json_answer.ts";
+import * as pools from "./kept_connections.ts";
 
 export { type HttpCall } from "./http_call.ts";
 
@@ -27,7 +27,7 @@
 }
 
 /** How calls are made. */
-export interface HttpCallerOptions extends kept.KeptConnectionsOptions {
+export interface HttpCallerOptions extends pools.ConnectionPoolOptions {
   /** Told of each connection that is given up as silent. */
   readonly onSilence?: (silent: SilentConnection) => void;
 }
@@ -38,32 +38,32 @@
  */
 export class HttpCaller {
   readonly #options: HttpCallerOptions;
-  readonly #kept: kept.KeptConnections;
-  readonly #watch = new watches.AnswerWatch();
+  readonly #pool: pools.ConnectionPool;
+  readonly #detector = new detectors.SilenceDetector();
 
   constructor(options: HttpCallerOptions) {
     this.#options = options;
-    this.#kept = new kept.KeptConnections(options);
+    this.#pool = new pools.ConnectionPool(options);
   }
 
   /** Closes all connections. */
   close(): void {
-    this.#kept.close();
+    this.#pool.close();
   }
 
   /** Calls and waits for the whole answer; interruption ends the call. */
   call(
     address: string,
-    what: calls.HttpCall,
+    call: calls.HttpCall,
   ): Effect.Effect<calls.HttpReply, calls.HttpLostError> {
     return Effect.suspend(() => {
       const nowMs = performance.now();
-      const suspectMs = this.#watch.suspectBeforeMs(address, nowMs);
-      if (suspectMs !== null) this.#kept.closeIdle(address, suspectMs);
-      if (what.onlyTo !== undefined) this.#kept.closeToOthers(address, what);
-      const exchange = this.#exchange(address, what);
+      const suspectMs = this.#detector.suspectBeforeMs(address, nowMs);
+      if (suspectMs !== null) this.#pool.closeIdle(address, suspectMs);
+      if (call.onlyTo !== undefined) this.#pool.closeOthers(address, call);
+      const exchange = this.#exchange(address, call);
       // A connection leaves the pool a turn after it was closed.
-      return this.#kept.isClosing(address)
+      return this.#pool.isClosing(address)
         ? Effect.andThen(nextTurn, exchange)
         : exchange;
     });
@@ -71,104 +71,108 @@
 
   #exchange(
     address: string,
-    what: calls.HttpCall,
+    call: calls.HttpCall,
   ): Effect.Effect<calls.HttpReply, calls.HttpLostError> {
     return Effect.callback<calls.HttpReply, calls.HttpLostError>((resume) => {
-      const lose = (cause: string, neverSent: boolean) => {
+      const failWith = (cause: string, neverSent: boolean) => {
         const err = new calls.HttpLostError({ address, cause, neverSent });
         resume(Effect.fail(err));
       };
-      if (!this.#kept.mayReachSpeaker(address, what)) {
-        return lose("no open connection to the one that answered before", true);
+      if (!this.#pool.canReachResponder(address, call)) {
+        return failWith(
+          "no open connection to the one that answered before",
+          true,
+        );
       }
-      const call = this.#begin(address, what);
+      const pending = this.#addPending(address, call);
       let socket: net.Socket | null = null;
-      let wasOpen = false;
-      const req = this.#kept.request(address, what);
+      let isConnected = false;
+      const req = this.#pool.request(address, call);
       const fail = (cause: string, neverSent: boolean) => {
-        this.#watch.ended(call);
-        lose(cause, neverSent);
+        this.#detector.remove(pending);
+        failWith(cause, neverSent);
       };
       req.on("socket", (assigned) => {
         socket = assigned;
         if (assigned.connecting) {
-          assigned.once("connect", () => (wasOpen = true));
-        } else wasOpen = true;
-        call.onKept = req.reusedSocket;
-        this.#kept.of(assigned);
+          assigned.once("connect", () => (isConnected = true));
+        } else isConnected = true;
+        pending.isReused = req.reusedSocket;
+        this.#pool.stateOf(assigned);
       });
       req.on("error", (err: NodeJS.ErrnoException) => {
-        fail(err.message, !wasOpen && CONNECT_REFUSED.has(err.code ?? ""));
+        fail(err.message, !isConnected && CONNECT_REFUSED.has(err.code ?? ""));
       });
       req.on("response", (res) => {
-        const done = (reply: calls.HttpReply) => resume(Effect.succeed(reply));
-        this.#read(call, res, { done, fail });
+        const succeed = (response: calls.HttpReply) =>
+          resume(Effect.succeed(response));
+        this.#read(pending, res, { succeed, fail });
       });
-      req.end(what.body === undefined ? undefined : JSON.stringify(what.body));
+      req.end(call.body === undefined ? undefined : JSON.stringify(call.body));
       return Effect.sync(() => {
-        this.#giveUp(call, socket);
+        this.#abandon(pending, socket);
         req.destroy();
       });
     });
   }
 
-  #begin(address: string, what: calls.HttpCall): watches.WaitingCall {
-    const call: watches.WaitingCall = {
+  #addPending(address: string, call: calls.HttpCall): detectors.PendingCall {
+    const pending: detectors.PendingCall = {
       address,
       sentAtMs: performance.now(),
-      quietMs: what.quietMs ?? 0,
-      onKept: false,
+      quietMs: call.quietMs ?? 0,
+      isReused: false,
     };
-    this.#watch.begin(call);
-    return call;
+    this.#detector.add(pending);
+    return pending;
   }
 
   /** Reads an answer whose head has come. */
   #read(
-    call: watches.WaitingCall,
+    pending: detectors.PendingCall,
     res: http.IncomingMessage,
-    { done, fail }: Outcome,
+    { succeed, fail }: ResponseHandlers,
   ): void {
-    const connection = this.#kept.of(res.socket);
-    const heard = () => {
-      connection.heardAtMs = performance.now();
+    const connection = this.#pool.stateOf(res.socket);
+    const noteReceived = () => {
+      connection.receivedAtMs = performance.now();
     };
-    heard();
-    res.on("data", heard);
+    noteReceived();
+    res.on("data", noteReceived);
     // Until its answer says who speaks, nobody is known to.
-    connection.speaker = null;
-    const noteSpeaker = (speaker: string) => {
-      connection.speaker = speaker;
+    connection.responder = null;
+    const noteSpeaker = (responder: string) => {
+      connection.responder = responder;
     };
-    answers.collect(res, (reply) => {
-      this.#watch.answered(call, connection.heardAtMs);
-      this.#kept.tellTraffic(res.socket, connection);
-      done({ ...reply, noteSpeaker });
+    responses.readResponse(res, (response) => {
+      this.#detector.noteResponse(pending, connection.receivedAtMs);
+      this.#pool.reportTraffic(res.socket, connection);
+      succeed({ ...response, noteSpeaker });
     }, fail);
   }
 
   /** The caller waits no longer. */
-  #giveUp(call: watches.WaitingCall, socket: net.Socket | null): void {
-    this.#watch.ended(call);
+  #abandon(pending: detectors.PendingCall, socket: net.Socket | null): void {
+    this.#detector.remove(pending);
     if (socket === null) return;
     const nowMs = performance.now();
-    const { openedAtMs, heardAtMs } = this.#kept.of(socket);
-    if (!this.#watch.isSilence(call, heardAtMs, nowMs)) return;
-    const { address, sentAtMs } = call;
-    const sinceMs = Math.max(sentAtMs, heardAtMs);
-    const neighbours = this.#kept.closeIdle(address, sinceMs);
+    const { openedAtMs, receivedAtMs } = this.#pool.stateOf(socket);
+    if (!this.#detector.isSilent(pending, receivedAtMs, nowMs)) return;
+    const { address, sentAtMs } = pending;
+    const silentSinceMs = Math.max(sentAtMs, receivedAtMs);
+    const neighbours = this.#pool.closeIdle(address, silentSinceMs);
     this.#options.onSilence?.({
       address,
       ageMs: nowMs - openedAtMs,
-      silentMs: nowMs - sinceMs,
+      silentMs: nowMs - silentSinceMs,
       neighbours,
     });
   }
 }
 
 /** Told what came of a call. */
-interface Outcome {
-  readonly done: (reply: calls.HttpReply) => void;
+interface ResponseHandlers {
+  readonly succeed: (response: calls.HttpReply) => void;
   readonly fail: (cause: string, neverSent: boolean) => void;
 }
 
--- a/packages/http-json/src/json_answer.ts
+++ b/packages/http-json/src/json_answer.ts
@@ -3,9 +3,9 @@
 import type * as calls from "./http_call.ts";
 
 /** Reads an answer to its end; one that is cut off or is not JSON fails. */
-export function collect(
+export function readResponse(
   res: http.IncomingMessage,
-  done: (reply: Omit<calls.HttpReply, "noteSpeaker">) => void,
+  succeed: (response: Omit<calls.HttpReply, "noteSpeaker">) => void,
   fail: (cause: string, neverSent: boolean) => void,
 ): void {
   let text = "";
@@ -17,9 +17,9 @@
   });
   res.on("end", () => {
     const { statusCode, headers } = res;
-    const body = parseAnswer(text, headers["content-type"] ?? "");
+    const body = parseBody(text, headers["content-type"] ?? "");
     if (body === undefined) fail("the answer is not JSON", false);
-    else done({ status: statusCode ?? 0, body, headers });
+    else succeed({ status: statusCode ?? 0, body, headers });
   });
 }
 
@@ -27,7 +27,7 @@
  * Undefined where the answer claims to be JSON and is not. One without a body is
  * whole: its status may say all.
  */
-function parseAnswer(text: string, type: string): unknown {
+function parseBody(text: string, type: string): unknown {
   if (!type.includes("json")) return text;
   if (text === "") return null;
   try {
--- a/packages/http-json/src/kept_connections.ts
+++ b/packages/http-json/src/kept_connections.ts
@@ -11,7 +11,7 @@
 ) => void;
 
 /** How connections are kept. */
-export interface KeptConnectionsOptions {
+export interface ConnectionPoolOptions {
   /** Most connections to one address. */
   readonly connections: number;
   readonly onTraffic?: TrafficListener | null;
@@ -20,13 +20,13 @@
 }
 
 /** What is known of one connection. */
-export interface Connection {
+export interface ConnectionState {
   readonly openedAtMs: number;
-  heardAtMs: number;
+  receivedAtMs: number;
   /** Bytes that the listener was told of. */
-  told: { sent: number; received: number };
+  reported: { sent: number; received: number };
   /** Who has answered on it last; null: nobody has said. */
-  speaker: string | null;
+  responder: string | null;
 }
 
 /**
@@ -34,7 +34,7 @@
  * just as the server closes the connection would be lost, and nobody could
  * tell whether it was carried out.
  */
-const IDLE_MS = 4000;
+const IDLE_TIMEOUT_MS = 4000;
 
 /** Keeps the connections of each lane apart. */
 class LaneAgent extends http.Agent {
@@ -48,21 +48,21 @@
 }
 
 /** Connections of one caller. */
-export class KeptConnections {
-  readonly #options: KeptConnectionsOptions;
+export class ConnectionPool {
+  readonly #options: ConnectionPoolOptions;
   readonly #agent: LaneAgent;
-  readonly #connections = new WeakMap<net.Socket, Connection>();
+  readonly #connections = new WeakMap<net.Socket, ConnectionState>();
   /** Lanes that calls have had; few words, the same for all addresses. */
   readonly #lanes = new Set<string | undefined>([undefined]);
   /** Addresses whose suspect connections are being closed in this turn. */
   readonly #closing = new Set<string>();
 
-  constructor(options: KeptConnectionsOptions) {
+  constructor(options: ConnectionPoolOptions) {
     this.#options = options;
     this.#agent = new LaneAgent({
       keepAlive: true,
       maxSockets: options.connections,
-      timeout: IDLE_MS,
+      timeout: IDLE_TIMEOUT_MS,
     });
   }
 
@@ -72,36 +72,41 @@
   }
 
   /** Opens a request over one of them. */
-  request(address: string, what: calls.HttpCall): http.ClientRequest {
+  request(address: string, call: calls.HttpCall): http.ClientRequest {
     const { host, port } = addresses.parseAddress(address);
-    const { method, path, lane } = what;
+    const { method, path, lane } = call;
     this.#lanes.add(lane);
-    const headers = { "content-type": "application/json", ...what.headers };
-    const agent = what.onNewConnection === true ? false : this.#agent;
+    const headers = { "content-type": "application/json", ...call.headers };
+    const agent = call.onNewConnection === true ? false : this.#agent;
     const options = { host, port, method, path, headers, agent, lane };
     return http.request(options);
   }
 
   /** What is known of a connection. */
-  of(socket: net.Socket): Connection {
-    const known = this.#connections.get(socket);
-    if (known !== undefined) return known;
+  stateOf(socket: net.Socket): ConnectionState {
+    const existing = this.#connections.get(socket);
+    if (existing !== undefined) return existing;
     const nowMs = performance.now();
-    const told = { sent: 0, received: 0 };
-    const made = { openedAtMs: nowMs, heardAtMs: nowMs, told, speaker: null };
-    this.#connections.set(socket, made);
+    const reported = { sent: 0, received: 0 };
+    const created = {
+      openedAtMs: nowMs,
+      receivedAtMs: nowMs,
+      reported,
+      responder: null,
+    };
+    this.#connections.set(socket, created);
     this.#options.onOpened?.();
-    return made;
+    return created;
   }
 
   /** An answer has come, whole: its bytes are told of. */
-  tellTraffic(socket: net.Socket, connection: Connection): void {
+  reportTraffic(socket: net.Socket, connection: ConnectionState): void {
     const listener = this.#options.onTraffic ?? null;
     if (listener === null) return;
     const { bytesWritten: sent, bytesRead: received } = socket;
-    const { told } = connection;
-    connection.told = { sent, received };
-    listener(sent - told.sent, received - told.received);
+    const { reported } = connection;
+    connection.reported = { sent, received };
+    listener(sent - reported.sent, received - reported.received);
   }
 
   /** Whether connections to an address are closed, and still in the pool. */
@@ -112,36 +117,39 @@
   /** Closes idle connections that were not heard since; returns how many. */
   closeIdle(address: string, sinceMs: number): number {
     const idle = [...this.#lanes].flatMap((lane) =>
-      this.#idleTo(address, lane)
+      this.#idleSockets(address, lane)
     );
     const suspects = idle.filter((socket) =>
-      this.of(socket).heardAtMs < sinceMs
+      this.stateOf(socket).receivedAtMs < sinceMs
     );
     this.#close(address, suspects);
     return suspects.length;
   }
 
   /** Closes idle connections that lead to others than whom a call is for. */
-  closeToOthers(address: string, { lane, onlyTo }: calls.HttpCall): void {
-    const others = this.#idleTo(address, lane).filter((socket) =>
-      this.of(socket).speaker !== onlyTo
+  closeOthers(address: string, { lane, onlyTo }: calls.HttpCall): void {
+    const others = this.#idleSockets(address, lane).filter((socket) =>
+      this.stateOf(socket).responder !== onlyTo
     );
     this.#close(address, others);
   }
 
   /** Whether the connection that will be taken leads to whom the call is for. */
-  mayReachSpeaker(address: string, { lane, onlyTo }: calls.HttpCall): boolean {
+  canReachResponder(
+    address: string,
+    { lane, onlyTo }: calls.HttpCall,
+  ): boolean {
     if (onlyTo === undefined) return true;
-    const idle = this.#idleTo(address, lane);
+    const idle = this.#idleSockets(address, lane);
     return idle.length > 0 &&
-      idle.every((socket) => this.of(socket).speaker === onlyTo);
+      idle.every((socket) => this.stateOf(socket).responder === onlyTo);
   }
 
   /** Idle connections of a lane. */
-  #idleTo(address: string, lane: string | undefined): net.Socket[] {
+  #idleSockets(address: string, lane: string | undefined): net.Socket[] {
     const { host, port } = addresses.parseAddress(address);
-    const name = this.#agent.getName({ host, port, lane });
-    const idle = this.#agent.freeSockets[name] ?? [];
+    const poolName = this.#agent.getName({ host, port, lane });
+    const idle = this.#agent.freeSockets[poolName] ?? [];
     return idle.filter(({ destroyed }) => !destroyed);
   }
 
--- a/packages/http-json/src/never_sent_test.ts
+++ b/packages/http-json/src/never_sent_test.ts
@@ -14,15 +14,15 @@
 const CALL = { method: "POST", path: "/start", body: {} } as const;
 
 /** How a call ends that has arrived when its connection fails. */
-async function failOpen(code: string): Promise<boolean> {
+async function failConnected(code: string): Promise<boolean> {
   const address = await TestUtils.findFreeAddress();
   const [host, port] = address.split(":");
   const caller = new callers.HttpCaller({ connections: 2 });
   const opened: net.Socket[] = [];
-  const keep = (message: unknown) => {
+  const captureSocket = (message: unknown) => {
     opened.push((message as { socket: net.Socket }).socket);
   };
-  diagnostics.subscribe("net.client.socket", keep);
+  diagnostics.subscribe("net.client.socket", captureSocket);
   const server = http.createServer(() => {
     const err = Object.assign(new Error(`read ${code}`), {
       code,
@@ -33,30 +33,30 @@
   await new Promise<void>((done) => {
     server.listen(Number(port), host, done);
   });
-  const failed = await Effect.runPromise(
+  const err = await Effect.runPromise(
     Effect.flip(caller.call(address, CALL)),
   );
-  diagnostics.unsubscribe("net.client.socket", keep);
+  diagnostics.unsubscribe("net.client.socket", captureSocket);
   caller.close();
   server.closeAllConnections();
   server.close();
-  return failed.neverSent;
+  return err.neverSent;
 }
 
 vitest.describe("a call whose host can't be reached any more", () => {
   for (const code of ["EHOSTUNREACH", "ENETUNREACH", "ECONNRESET"]) {
     vitest.it(`was sent where its connection was open (${code})`, async () => {
-      vitest.expect(await failOpen(code)).toBe(false);
+      vitest.expect(await failConnected(code)).toBe(false);
     });
   }
 
   vitest.it("was never sent where nobody listens", async () => {
     const address = await TestUtils.findFreeAddress();
     const caller = new callers.HttpCaller({ connections: 2 });
-    const failed = await Effect.runPromise(
+    const err = await Effect.runPromise(
       Effect.flip(caller.call(address, CALL)),
     );
-    vitest.expect(failed.neverSent).toBe(true);
+    vitest.expect(err.neverSent).toBe(true);
     caller.close();
   });
 });
--- a/packages/http-json/src/read_json_body.ts
+++ b/packages/http-json/src/read_json_body.ts
@@ -41,13 +41,13 @@
 }
 
 function concat(chunks: readonly Uint8Array[], size: number): Uint8Array {
-  const all = new Uint8Array(size);
-  let at = 0;
+  const bytes = new Uint8Array(size);
+  let offset = 0;
   for (const chunk of chunks) {
-    all.set(chunk, at);
-    at += chunk.length;
+    bytes.set(chunk, offset);
+    offset += chunk.length;
   }
-  return all;
+  return bytes;
 }
 
 function parseBody(
--- a/packages/http-json/src/send.ts
+++ b/packages/http-json/src/send.ts
@@ -5,10 +5,10 @@
 export function sendJson(
   res: http.ServerResponse,
   status: number,
-  answer: { body: unknown; headers?: Readonly<Record<string, string>> },
+  response: { body: unknown; headers?: Readonly<Record<string, string>> },
 ): void {
-  const headers = { "content-type": "application/json", ...answer.headers };
-  send(res, status, { text: JSON.stringify(answer.body) ?? "null", headers });
+  const headers = { "content-type": "application/json", ...response.headers };
+  send(res, status, { text: JSON.stringify(response.body) ?? "null", headers });
 }
 
 /** Sends a plain text answer. */
@@ -24,10 +24,10 @@
 function send(
   res: http.ServerResponse,
   status: number,
-  answer: { text: string; headers: Readonly<Record<string, string>> },
+  response: { text: string; headers: Readonly<Record<string, string>> },
 ): void {
   if (res.headersSent || res.destroyed) return;
-  const body = new TextEncoder().encode(answer.text);
-  res.writeHead(status, { ...answer.headers, "content-length": body.length });
+  const body = new TextEncoder().encode(response.text);
+  res.writeHead(status, { ...response.headers, "content-length": body.length });
   res.end(body);
 }
--- a/packages/http-json/src/silence_test.ts
+++ b/packages/http-json/src/silence_test.ts
@@ -13,19 +13,19 @@
 /** The store's pool of a box. */
 const CONNECTIONS = 24;
 /** Time that a call of the tests is given, in ms. */
-const LIMIT_MS = 400;
+const TIMEOUT_MS = 400;
 /**
  * Time of a call that goes on while another one is made, in ms: ten times what that
  * one takes beside three busy processes a core.
  */
-const LONG_LIMIT_MS = 2000;
+const LONG_TIMEOUT_MS = 2000;
 /** A store 90 times slower answers after this time, in ms: 4 ms x 90. */
-const SLOW_MS = 360;
+const SLOW_RESPONSE_MS = 360;
 
 /** A server on loopback behind a proxy, and a caller of it. */
-class Bench {
+class Fixture {
   /** Time that the server takes for an answer, in ms. */
-  answerMs = 0;
+  responseMs = 0;
   served = 0;
   readonly silences: callers.SilentConnection[] = [];
   readonly caller = new callers.HttpCaller({
@@ -35,9 +35,9 @@
   readonly #server = http.createServer((req, res) => {
     this.served++;
     req.resume();
-    const answer = () => sending.sendJson(res, 200, { body: { ok: true } });
-    if (this.answerMs === 0) answer();
-    else setTimeout(answer, this.answerMs);
+    const respond = () => sending.sendJson(res, 200, { body: { ok: true } });
+    if (this.responseMs === 0) respond();
+    else setTimeout(respond, this.responseMs);
   });
   proxy!: TestUtils.SilentProxy;
   #address = "";
@@ -58,119 +58,119 @@
 
   /** One call; whether it was answered in time. */
   call(
-    how: Partial<callers.HttpCall> = {},
-    limitMs = LIMIT_MS,
+    options: Partial<callers.HttpCall> = {},
+    timeoutMs = TIMEOUT_MS,
   ): Promise<boolean> {
     const call = this.caller.call(this.#address, {
       method: "GET",
       path: "/",
-      ...how,
+      ...options,
     });
-    const timed = Effect.result(clock.within(limitMs, call));
+    const timed = Effect.result(clock.within(timeoutMs, call));
     return Effect.runPromise(
       Effect.map(
         timed,
-        (done) => done._tag === "Success" && done.success !== null,
+        (result) => result._tag === "Success" && result.success !== null,
       ),
     );
   }
 
   /** Many calls side by side; how many were answered. */
-  async callMany(count: number, limitMs = LIMIT_MS): Promise<number> {
-    const calls = Array.from({ length: count }, () => this.call({}, limitMs));
-    return (await Promise.all(calls)).filter((done) => done).length;
+  async callMany(count: number, timeoutMs = TIMEOUT_MS): Promise<number> {
+    const calls = Array.from({ length: count }, () => this.call({}, timeoutMs));
+    return (await Promise.all(calls)).filter((isAnswered) => isAnswered).length;
   }
 }
 
-let bench: Bench;
+let fixture: Fixture;
 
 vitest.beforeEach(async () => {
-  bench = new Bench();
-  await bench.start();
+  fixture = new Fixture();
+  await fixture.start();
 });
-vitest.afterEach(() => bench.stop());
+vitest.afterEach(() => fixture.stop());
 
 vitest.describe("kept connections that turn silent", () => {
   vitest.it("cost at most one call when none is under way", async () => {
-    vitest.expect(await bench.callMany(CONNECTIONS, LONG_LIMIT_MS))
+    vitest.expect(await fixture.callMany(CONNECTIONS, LONG_TIMEOUT_MS))
       .toBe(CONNECTIONS);
-    vitest.expect(bench.proxy.silence()).toBe(CONNECTIONS);
+    vitest.expect(fixture.proxy.silence()).toBe(CONNECTIONS);
     const answered: boolean[] = [];
-    for (let i = 0; i < 4; i++) answered.push(await bench.call());
+    for (let i = 0; i < 4; i++) answered.push(await fixture.call());
     vitest.expect(answered).toEqual([false, true, true, true]);
-    vitest.expect(bench.silences).toHaveLength(1);
-    vitest.expect(bench.silences[0].neighbours).toBe(CONNECTIONS - 1);
+    vitest.expect(fixture.silences).toHaveLength(1);
+    vitest.expect(fixture.silences[0].neighbours).toBe(CONNECTIONS - 1);
   });
 
   vitest.it("are left as soon as one answer is overdue", async () => {
-    await bench.callMany(4);
-    bench.proxy.silence();
-    let isFirstOver = false;
-    const first = bench.call({}, LONG_LIMIT_MS).finally(() => {
-      isFirstOver = true;
+    await fixture.callMany(4);
+    fixture.proxy.silence();
+    let isFirstDone = false;
+    const first = fixture.call({}, LONG_TIMEOUT_MS).finally(() => {
+      isFirstDone = true;
     });
     await Effect.runPromise(clock.sleep(200));
     // The first call still waits; the second one goes over a new connection.
-    vitest.expect(await bench.call({}, LONG_LIMIT_MS / 2)).toBe(true);
-    vitest.expect(isFirstOver).toBe(false);
+    vitest.expect(await fixture.call({}, LONG_TIMEOUT_MS / 2)).toBe(true);
+    vitest.expect(isFirstDone).toBe(false);
     vitest.expect(await first).toBe(false);
   });
 
   vitest.it("are noticed when silent one way only", async () => {
     for (const way of ["to-server", "to-client"] as const) {
-      await bench.callMany(4);
-      bench.proxy.silence(way);
-      await bench.call();
-      vitest.expect(await bench.call()).toBe(true);
+      await fixture.callMany(4);
+      fixture.proxy.silence(way);
+      await fixture.call();
+      vitest.expect(await fixture.call()).toBe(true);
     }
   });
 
   vitest.it("are noticed while a look waits for a change", async () => {
-    await bench.callMany(4);
-    bench.proxy.silence();
-    const look = bench.call({ quietMs: 300 }, 500);
+    await fixture.callMany(4);
+    fixture.proxy.silence();
+    const poll = fixture.call({ quietMs: 300 }, 500);
     await Effect.runPromise(clock.sleep(50));
-    vitest.expect(await look).toBe(false);
-    vitest.expect(await bench.call()).toBe(true);
-    vitest.expect(bench.silences).toHaveLength(1);
+    vitest.expect(await poll).toBe(false);
+    vitest.expect(await fixture.call()).toBe(true);
+    vitest.expect(fixture.silences).toHaveLength(1);
   });
 
   vitest.it("do not cast doubt on those that were heard since", async () => {
-    await bench.callMany(2);
-    bench.proxy.silence();
-    const first = bench.call();
+    await fixture.callMany(2);
+    fixture.proxy.silence();
+    const first = fixture.call();
     await Effect.runPromise(clock.sleep(150));
-    await bench.call();
-    const opened = bench.proxy.opened;
+    await fixture.call();
+    const opened = fixture.proxy.opened;
     await first;
-    await bench.callMany(1);
-    vitest.expect(bench.proxy.opened).toBe(opened);
+    await fixture.callMany(1);
+    vitest.expect(fixture.proxy.opened).toBe(opened);
   });
 });
 
 vitest.describe("an address that is slow, not silent", () => {
   vitest.it("gets no flood of new connections", async () => {
-    await bench.callMany(4, LONG_LIMIT_MS);
-    bench.answerMs = SLOW_MS;
+    await fixture.callMany(4, LONG_TIMEOUT_MS);
+    fixture.responseMs = SLOW_RESPONSE_MS;
     for (let round = 0; round < 5; round++) {
-      vitest.expect(await bench.callMany(4, LONG_LIMIT_MS)).toBe(4);
+      vitest.expect(await fixture.callMany(4, LONG_TIMEOUT_MS)).toBe(4);
     }
     // One more set at most: until the slower pace is known.
-    vitest.expect(bench.proxy.opened).toBeLessThanOrEqual(8);
-    vitest.expect(bench.silences).toEqual([]);
+    vitest.expect(fixture.proxy.opened).toBeLessThanOrEqual(8);
+    vitest.expect(fixture.silences).toEqual([]);
   });
 
   vitest.it("gets a bounded number even where answers are late", async () => {
-    await bench.callMany(4);
-    bench.answerMs = LIMIT_MS + 100;
-    for (let round = 0; round < 5; round++) await bench.callMany(4);
+    await fixture.callMany(4);
+    fixture.responseMs = TIMEOUT_MS + 100;
+    for (let round = 0; round < 5; round++) await fixture.callMany(4);
     // Each call that is given up costs its own connection, as it has to.
-    vitest.expect(bench.proxy.opened).toBeLessThanOrEqual(4 + 5 * 4);
+    vitest.expect(fixture.proxy.opened).toBeLessThanOrEqual(4 + 5 * 4);
   });
 
   vitest.it("is asked over a new connection where one is wanted", async () => {
-    await bench.callMany(2);
-    bench.proxy.silence();
-    vitest.expect(await bench.call({ onNewConnection: true })).toBe(true);
+    await fixture.callMany(2);
+    fixture.proxy.silence();
+    vitest.expect(await fixture.call({ onNewConnection: true })).toBe(true);
   });
 });
