--- a/packages/workflow-node/src/admission_test.ts
+++ b/packages/workflow-node/src/admission_test.ts
@@ -1,6 +1,6 @@
 /**
- * Under hard load, work that surely can't be of use is rejected at once. Whoever is
- * rejected was told the truth: it has not run, and is stored nowhere.
+ * Under hard load, submissions that cannot finish in time to be useful are rejected
+ * at once. A rejected submission has not run and is stored nowhere.
  */
 import type * as Errors from "@cairngate/errors";
 import * as TestUtils from "@cairngate/test-utils";
@@ -13,19 +13,19 @@
   competingTeams: Types.FeatureUse.On,
   unevenEndpoints: Types.FeatureUse.Off,
 };
-/** A run of this length keeps its endpoint beyond the use of all short work. */
+/** Duration of runs that occupy an endpoint until short work is too late, in ms. */
 const LONG_MS = 40_000;
-/** Time in which boxes that rest learn the newest forecast, in ms. */
+/** Time within which idle boxes receive the newest forecast, in ms. */
 const FORECAST_DELIVERY_MS = 3000;
-/** Time after a start in which the sizes of endpoints count as unknown, in ms. */
+/** Time after a start during which endpoint sizes are treated as unknown, in ms. */
 const STARTUP_MS = 10_000;
 
-/** Objective 2.5 s, so of use for 7.5 s; beyond what its team has paid for. */
+/** Target of 2.5 s, so useful for 7.5 s; exceeds the guarantee of its team. */
 const SHORT = TestUtils.buildStep({ accelerators: 2 });
 
 type Failure = Errors.RejectedError | Errors.StoreUnavailableError;
 
-/** Hands in at a box; null: accepted. */
+/** Submits a workflow to a box; returns null if it was accepted. */
 function submit(
   fleet: TestUtils.TestFleet,
   name: string,
@@ -57,7 +57,7 @@
   );
 }
 
-/** A fleet all of whose endpoints are kept busy by long work. */
+/** Starts a fleet whose endpoints are all occupied by long work. */
 async function startFullFleet(
   hardLoad: Types.HardLoadSettings = COMPETING,
 ): Promise<TestUtils.TestFleet> {
@@ -83,7 +83,7 @@
 const ID = "a000000000000001";
 
 vitest.describe("a submission under hard load", () => {
-  vitest.it("that can't be of use is rejected by each box", async () => {
+  vitest.it("that would be too late is rejected by each box", async () => {
     const fleet = await startFullFleet();
     for (const name of fleet.nodes.keys()) {
       const failure = await submit(fleet, name, ID);
@@ -99,8 +99,8 @@
     await fleet.stop();
   });
 
-  vitest.it("that may be stored is never said not to be", async () => {
-    // The second try comes with so little time left that nothing is written.
+  vitest.it("that may be stored is never reported as not stored", async () => {
+    // The second submission leaves too little time for a write.
     const fleet = await startFullFleet();
     const stored = "f000000000000000";
     const long = TestUtils.buildStep({ accelerators: 2, estimateMs: LONG_MS });
@@ -109,7 +109,7 @@
         const failure = await submit(fleet, name, stored, step, 1);
         const isDefinite = failure?._tag === "StoreUnavailableError" &&
           failure.perhapsDone !== true;
-        // A box that has neither stored it nor looks for it knows of no copy.
+        // A box that has neither stored it nor searched for it may deny it.
         const isFirst = step === long && name !== "node-1";
         vitest.expect([name, isDefinite && !isFirst]).toEqual([name, false]);
       }
@@ -117,7 +117,7 @@
     await fleet.stop();
   });
 
-  vitest.it("is accepted once it would be of use, and runs", async () => {
+  vitest.it("is accepted once it can finish in time, and runs", async () => {
     const fleet = await startFullFleet();
     let attempts = 0;
     for (;;) {
@@ -133,7 +133,7 @@
     await fleet.stop();
   });
 
-  vitest.it("is accepted while endpoints may still come up", async () => {
+  vitest.it("is accepted while endpoints may still start", async () => {
     const fleet = new TestUtils.TestFleet({ hardLoad: COMPETING });
     await fleet.start();
     await fleet.clock.advance(FORECAST_DELIVERY_MS);
@@ -145,7 +145,7 @@
     await fleet.stop();
   });
 
-  vitest.it("is accepted where there is none", async () => {
+  vitest.it("is accepted if the settings for hard load are off", async () => {
     const fleet = await startFullFleet(Types.HARD_LOAD_OFF);
     vitest.expect(await submit(fleet, "node-1", ID)).toBe(null);
     const [row] = fleet.table.rowsUnder("election/lease");
@@ -155,7 +155,7 @@
 });
 
 vitest.describe("a workflow that is stored already", () => {
-  vitest.it("is never rejected, at no box", async () => {
+  vitest.it("is never rejected by any box", async () => {
     const fleet = await startFullFleet();
     for (const name of fleet.nodes.keys()) {
       vitest.expect(await submit(fleet, name, "f000000000000000")).toBe(null);
@@ -163,7 +163,7 @@
     await fleet.stop();
   });
 
-  vitest.it("is accepted where its first answer was lost", async () => {
+  vitest.it("is accepted after its first answer was lost", async () => {
     const fleet = new TestUtils.TestFleet({ hardLoad: COMPETING });
     fleet.workers.behave = (task) => ({
       runMs: task.startsWith("f") ? LONG_MS : 500,
@@ -188,7 +188,7 @@
     await fleet.stop();
   });
 
-  vitest.it("is written where the store can't tell whether it is", async () => {
+  vitest.it("is not rejected while the store does not answer", async () => {
     const fleet = await startFullFleet();
     for (const name of fleet.nodes.keys()) {
       fleet.faultsOf(name).set({ silent: true });
@@ -200,7 +200,7 @@
 });
 
 vitest.describe("a forecast", () => {
-  vitest.it("that stops coming holds nobody off", async () => {
+  vitest.it("that is outdated rejects no submission", async () => {
     const fleet = await startFullFleet();
     const coordinator = fleet.coordinator() ?? "";
     const other = [...fleet.nodes.keys()].find((name) =>
@@ -213,7 +213,7 @@
     await fleet.stop();
   });
 
-  vitest.it("of a holder that is gone ends with the takeover", async () => {
+  vitest.it("is replaced after a takeover", async () => {
     const fleet = await startFullFleet();
     const coordinator = fleet.coordinator() ?? "";
     await fleet.kill(coordinator);
@@ -222,7 +222,7 @@
     await fleet.clock.advance(FORECAST_DELIVERY_MS);
     const failure = await submit(fleet, name, ID);
     vitest.expect(failure?._tag).toBe("RejectedError");
-    // All that was accepted before is still there, and nothing of what was not.
+    // Accepted workflows are kept, and rejected ones are not stored.
     for (const id of ["f000000000000000", "f000000000000001"]) {
       vitest.expect(await fleet.ask(name, id)).toBe("running");
     }
@@ -231,15 +231,15 @@
   });
 });
 
-vitest.describe("boxes that accept at once", () => {
-  vitest.it("promise no room twice", async () => {
+vitest.describe("boxes that accept at the same time", () => {
+  vitest.it("do not promise the same capacity twice", async () => {
     const fleet = new TestUtils.TestFleet({
       hardLoad: COMPETING,
       workers: [4, 4, 4],
     });
     fleet.workers.behave = () => ({ runMs: LONG_MS, fails: false });
     await fleet.start();
-    // Boxes know each other by then.
+    // The boxes have discovered each other by then.
     await fleet.clock.advance(STARTUP_MS + FORECAST_DELIVERY_MS);
     const names = [...fleet.nodes.keys()];
     const ids = Array.from({ length: 18 }, (_, i) => `c0000000000000${10 + i}`);
--- a/packages/workflow-node/src/advice_test.ts
+++ b/packages/workflow-node/src/advice_test.ts
@@ -1,4 +1,4 @@
-/** Steps of queues with advice run only where the advice lets them. */
+/** Steps of queues with advice run only on endpoints that the advice allows. */
 import * as Ports from "@cairngate/ports";
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
@@ -8,7 +8,7 @@
 const VALIDITY_MS = 2000;
 const DECISION_MS = 100;
 
-/** Lets every step run on one worker only. */
+/** Allows every step to run on one endpoint only. */
 class FixedAdvisor extends Ports.Advisor {
   readonly #clock: Ports.Clock;
   readonly #allowed: string;
@@ -39,7 +39,7 @@
 }
 
 vitest.describe("a queue with advice", () => {
-  vitest.it("runs where the advice says, and asks one by one", async () => {
+  vitest.it("runs on advised endpoints and asks one by one", async () => {
     const access = TestUtils.buildAccess();
     const advice = {
       decisionMs: DECISION_MS,
--- a/packages/workflow-node/src/aside_endpoints_test.ts
+++ b/packages/workflow-node/src/aside_endpoints_test.ts
@@ -5,7 +5,7 @@
 
 const ID = "a000000000000001";
 const TASK = `${ID}.0.0.0`;
-/** Longest time that work may wait while endpoints have room, in ms. */
+/** Longest time that work may wait while endpoints have capacity, in ms. */
 const MAX_WAIT_MS = 3000;
 /** Time during which all starts are lost, in ms. */
 const STARTS_LOST_MS = 8000;
--- a/packages/workflow-node/src/busy_box_test.ts
+++ b/packages/workflow-node/src/busy_box_test.ts
@@ -1,27 +1,27 @@
-/** A box with little processor coordinates a large fleet. */
+/** A box with little processor capacity coordinates a large fleet. */
 import type * as Coordinator from "@cairngate/coordinator";
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
 
-/** Endpoints, about as many as one of the grown deployments has. */
+/** Number of endpoints, about that of a large deployment. */
 const ENDPOINTS = 300;
 /**
- * Time that a call takes on a third of a core, in ms: measured looks at 350
- * endpoints in a second use all of such a box.
+ * Processor time of a call on a third of a core, in ms: 350 polls a second use all
+ * of it.
  */
 const CALL_MS = 3;
-/** Time in which the term has to stay where it is, in ms. */
+/** Time during which the term must not change, in ms. */
 const OBSERVATION_MS = 12_000;
-/** Longest wait of a look that the protocol of the endpoints takes, in ms. */
+/** Longest wait of a poll that the endpoint protocol accepts, in ms. */
 const MAX_POLL_WAIT_MS = 2000;
 const LONG_ID = "a000000000000001";
 const URGENT_ID = "a000000000000002";
-/** In which an urgent workflow starts on a box with little processor, in ms. */
+/** Time within which a slow coordinator starts an urgent workflow, in ms. */
 const START_TIMEOUT_MS = 1500;
 
-/** Every endpoint but ten runs something that goes on. */
+/** Starts a fleet in which all endpoints but ten are occupied by long work. */
 async function startBusyFleet(
   longestLeaseMs?: number,
 ): Promise<TestUtils.TestFleet> {
@@ -45,7 +45,7 @@
   return fleet;
 }
 
-vitest.describe("a box with little processor", () => {
+vitest.describe("a box with little processor capacity", () => {
   vitest.it("keeps the term that it has just taken over", async () => {
     const fleet = await startBusyFleet();
     const before = fleet.token();
@@ -68,7 +68,7 @@
     await fleet.stop();
   });
 
-  vitest.it("asks no endpoint to wait longer than it may", async () => {
+  vitest.it("sends no poll with a wait above the maximum", async () => {
     const waits: number[] = [];
     const fleet = await startBusyFleet(10_000);
     const renew = fleet.workers.renew.bind(fleet.workers);
@@ -85,7 +85,7 @@
     await fleet.stop();
   });
 
-  vitest.it("does not take silent endpoints for its own delay", async () => {
+  vitest.it("does not count silent endpoints as its own delay", async () => {
     const fleet = await startBusyFleet();
     for (const name of fleet.nodes.keys()) {
       fleet.faultsOf(name).processor.callMs = 0;
--- a/packages/workflow-node/src/calm_starts_test.ts
+++ b/packages/workflow-node/src/calm_starts_test.ts
@@ -1,9 +1,9 @@
 /**
- * After any faults, and a calm of a few seconds, whatever was accepted and has
- * not ended runs, because most of the endpoints are free. Longer histories of
- * faults than `random_faults_test.ts` has, with a bound in seconds.
- * CAIRNGATE_CALM_RUNS sets how many seeds are played, CAIRNGATE_CALM_FIRST the
- * first of them.
+ * Guards against accepted work that stays queued after faults: once all faults have
+ * been cleared for a few seconds, every unfinished workflow must run, because most
+ * endpoints are free. The sequences of faults are longer than those of
+ * `random_faults_test.ts`, and the bound is a few seconds.
+ * CAIRNGATE_CALM_RUNS sets the number of seeds, CAIRNGATE_CALM_FIRST the first one.
  */
 import * as TableClient from "@cairngate/table-client";
 import * as TestUtils from "@cairngate/test-utils";
@@ -13,35 +13,35 @@
 
 const SEEDS = Number(process.env["CAIRNGATE_CALM_RUNS"] ?? 4);
 const FIRST_SEED = Number(process.env["CAIRNGATE_CALM_FIRST"] ?? 1);
-/** Times that faults are followed by a calm in one play. */
+/** Rounds of faults, each followed by a quiet period, in one scenario. */
 const ROUNDS = 6;
-/** Workflows handed in before the faults of one round. */
+/** Workflows of one batch of submissions. */
 const BATCH_SIZE = 4;
-/** A calm of this length, in ms, mends what faults have left behind. */
+/** Time that the fleet has to recover after the faults are cleared, in ms. */
 const RECOVERY_MS = 4000;
-/** Nothing may wait for longer than this in a calm, in ms. */
+/** Longest time that a workflow may wait in a quiet period, in ms. */
 const MAX_WAIT_MS = 3000;
-/** Time between two looks at what runs, in ms. */
+/** Interval at which running workflows are sampled, in ms. */
 const SAMPLE_MS = 50;
-/** Accelerators of the endpoints; the work needs less than a third of them. */
+/** Accelerators of each endpoint; the work needs less than a third of all. */
 const ENDPOINTS: readonly number[] = [4, 4, 4, 4, 4, 4, 4, 4];
-/** Rows of ended workflows that a new coordinator has to read. */
+/** Ended workflows whose rows a new coordinator has to read. */
 const ENDED_WORKFLOWS = 160;
 
-/** Time that a kilobyte takes at 4 Mbit/s, in ms. */
+/** Transfer time of a kilobyte at 4 Mbit/s, in ms. */
 const SLOW_LINK_MS = 2;
 
-/** A play takes 8 s of a free processor; a busy one may take longer, in ms. */
+/** Test limit in ms; a scenario takes 8 s on an idle processor, more on a busy one. */
 const TEST_TIMEOUT_MS = 120_000;
 
-/** A fault of one round; it is mended at the round's end. */
+/** Injects a fault, which is cleared at the end of the round. */
 type Fault = (scenario: Scenario) => Promise<void> | void;
 
 class Scenario {
   readonly fleet: TestUtils.TestFleet;
   readonly random: TestUtils.SeededRandom;
   readonly accepted: string[] = [];
-  /** Endpoints that are off the list. */
+  /** Indexes of endpoints that are not listed. */
   readonly unlisted = new Set<number>();
   #submitted = 0;
 
@@ -73,7 +73,7 @@
     }
   }
 
-  /** Hands in somewhere; a refusal is tried again at other boxes. */
+  /** Submits to the first box that accepts; returns whether one did. */
   async #submit(id: string): Promise<boolean> {
     const steps = [
       TestUtils.buildStep({ count: this.random.between(1, 2) }),
@@ -88,7 +88,7 @@
     return false;
   }
 
-  /** Ends a box and starts another life of it. */
+  /** Kills a box and starts it again. */
   async restart(name: string): Promise<void> {
     if (!this.fleet.nodes.has(name)) return;
     await this.fleet.kill(name);
@@ -168,7 +168,7 @@
   },
 ];
 
-/** Workflows of which something runs, as the endpoints know. */
+/** Returns the workflows that have a running task on an endpoint. */
 function findRunningIds(fleet: TestUtils.TestFleet): Set<string> {
   fleet.workers.settle();
   const running = fleet.workers.runs.filter(({ endedAtMs }) =>
@@ -177,7 +177,7 @@
   return new Set(running.map(({ task }) => task.split(".")[0]));
 }
 
-/** Workflows that wait for too long in a calm. */
+/** Returns the workflows that wait for too long in a quiet period. */
 async function findDelayed(scenario: Scenario): Promise<string[]> {
   const { fleet, accepted } = scenario;
   await fleet.clock.advance(RECOVERY_MS);
@@ -228,12 +228,12 @@
   return violations;
 }
 
-vitest.describe("in a calm after faults", () => {
+vitest.describe("in a quiet period after faults", () => {
   for (let seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
-    vitest.it(`nothing waits while there is room, seed ${seed}`, async () => {
+    vitest.it(`nothing waits for free endpoints, seed ${seed}`, async () => {
       vitest.expect(await runScenario(seed)).toEqual([]);
     }, TEST_TIMEOUT_MS);
-    vitest.it(`nor on slow links, seed ${seed}`, async () => {
+    vitest.it(`nothing waits on slow links, seed ${seed}`, async () => {
       vitest.expect(await runScenario(seed, SLOW_LINK_MS)).toEqual([]);
     }, TEST_TIMEOUT_MS);
   }
--- a/packages/workflow-node/src/cancel_test.ts
+++ b/packages/workflow-node/src/cancel_test.ts
@@ -1,6 +1,6 @@
 /**
- * A cancelled workflow is not started again, wherever its rows lie and whoever
- * coordinates.
+ * Guards against starts of a cancelled workflow, whichever partitions hold its rows
+ * and whichever box coordinates.
  */
 import * as StandIns from "@cairngate/stand-ins";
 import * as TableClient from "@cairngate/table-client";
@@ -10,14 +10,13 @@
 
 const ID = "a000000000000001";
 const HOME_PARTITION = TableClient.Keys.homePartition(ID);
-const [COPY_PARTITION, OTHER_PARTITION] = TableClient.Keys.PARTITIONS.filter((
-  partition,
-) => partition !== HOME_PARTITION);
-/** A start later than this after the acknowledgement breaks a promise, in ms. */
+const [COPY_PARTITION, OTHER_PARTITION] = TableClient.Keys.PARTITIONS
+  .filter((partition) => partition !== HOME_PARTITION);
+/** Latest permitted start after an acknowledged cancel, in ms. */
 const MAX_START_DELAY_MS = 4000;
-/** Work that outlasts every test, in ms. */
+/** Duration of runs that outlast every test, in ms. */
 const LONG_RUN_MS = 200_000;
-/** Time that a task takes where it matters, in ms. */
+/** Duration of runs that end within a test, in ms. */
 const RUN_MS = 6000;
 const STEPS = [
   TestUtils.buildStep({ estimateMs: RUN_MS }),
@@ -55,7 +54,7 @@
   return [...fleet.nodes.keys()].filter((name) => name !== coordinator);
 }
 
-/** Files the workflow once more, as a box does that can't reach its home. */
+/** Writes a second row of the workflow, as a box without access to its home does. */
 function writeCopy(
   fleet: TestUtils.TestFleet,
   partition = COPY_PARTITION,
@@ -73,7 +72,7 @@
   );
 }
 
-/** Ends the term at once and waits for the next one to be in charge. */
+/** Kills the coordinator and waits until the next term has begun. */
 async function replaceCoordinator(fleet: TestUtils.TestFleet): Promise<void> {
   const token = fleet.token();
   await fleet.kill(fleet.coordinator() ?? "");
@@ -87,7 +86,7 @@
     .map(({ task, run }) => `${task} run ${run}`);
 }
 
-/** After a cancel at this time nothing starts, and the end is recorded. */
+/** Expects that nothing starts after a cancel at this time and that it is recorded. */
 async function expectCancelled(
   fleet: TestUtils.TestFleet,
   cancelledAtMs: number,
@@ -100,8 +99,8 @@
   vitest.expect(runs).toEqual([]);
 }
 
-vitest.describe("a cancel whose row lies with a copy", () => {
-  vitest.it("outlives the copy of a workflow that never ran", async () => {
+vitest.describe("a cancel of a workflow with a copy", () => {
+  vitest.it("outlasts the copy of a workflow that never ran", async () => {
     const fleet = await startFleet(1000, { nodes: 5 });
     setEndpointsListed(fleet, false);
     await fleet.submit("node-1", ID, { steps: STEPS });
@@ -110,7 +109,7 @@
     writeCopy(fleet);
     writeCancel(fleet, HOME_PARTITION);
     const atMs = fleet.clock.monotonicMs();
-    // The next term reads the copy first and never reads all.
+    // The next term reads the copy first and never reads all partitions.
     setDown(fleet, HOME_PARTITION, OTHER_PARTITION);
     await fleet.clock.advance(4000);
     setDown(fleet, OTHER_PARTITION);
@@ -122,7 +121,7 @@
     await fleet.stop();
   });
 
-  vitest.it("outlives the copy while the home is away", async () => {
+  vitest.it("outlasts the copy while the home is unavailable", async () => {
     const fleet = await startFleet(LONG_RUN_MS);
     await fleet.submit("node-1", ID, { steps: STEPS });
     await fleet.until(() => fleet.workers.runs.length === 1);
@@ -137,11 +136,11 @@
     await fleet.stop();
   });
 
-  vitest.it("outlives the copy at once with the term", async () => {
+  vitest.it("outlasts the copy when the term ends at once", async () => {
     const fleet = await startFleet(LONG_RUN_MS);
     await fleet.submit("node-1", ID, { steps: STEPS });
     await fleet.until(() => fleet.workers.runs.length === 1);
-    // The leader can still read; its records of the home hang.
+    // The coordinator can still read; its writes to the home partition hang.
     fleet.faultsOf(fleet.coordinator() ?? "").set({
       downPartitions: [HOME_PARTITION],
     });
@@ -155,15 +154,15 @@
   });
 });
 
-vitest.describe("a cancel that is acknowledged", () => {
-  vitest.it("holds while its partition is away at a takeover", async () => {
+vitest.describe("an acknowledged cancel", () => {
+  vitest.it("holds if its partition is unavailable at takeover", async () => {
     const fleet = await startFleet(RUN_MS);
     await fleet.submit("node-1", ID, { steps: STEPS });
     await fleet.until(() => fleet.workers.runs.length === 1);
     const [box] = otherBoxes(fleet);
     await fleet.kill(fleet.coordinator() ?? "");
     writeCopy(fleet);
-    // This box can't reach the home; the next leader can't reach the copy.
+    // This box cannot reach the home, and the next coordinator not the copy.
     setDown(fleet, HOME_PARTITION);
     const cancelled = await TestUtils.cancelAt(fleet, { at: box, id: ID });
     setDown(fleet, COPY_PARTITION);
@@ -180,7 +179,7 @@
     await fleet.stop();
   });
 
-  vitest.it("holds while the leader's feed falls behind", async () => {
+  vitest.it("holds while the coordinator's feed falls behind", async () => {
     const fleet = await startFleet(RUN_MS);
     await fleet.submit("node-1", ID, { steps: STEPS });
     await fleet.until(() => fleet.workers.runs.length === 1);
@@ -192,7 +191,7 @@
     await fleet.stop();
   });
 
-  vitest.it("holds where the leader's feed never told of it", async () => {
+  vitest.it("holds if the coordinator's feed never showed it", async () => {
     const fleet = await startFleet(RUN_MS);
     await fleet.submit("node-1", ID, { steps: STEPS });
     await fleet.until(() => fleet.workers.runs.length === 1);
@@ -206,7 +205,7 @@
   });
 
   vitest.it(
-    "holds for a copy that is filed later, and later terms",
+    "holds for a copy that is written later, and in later terms",
     async () => {
       const fleet = await startFleet(LONG_RUN_MS, { nodes: 5 });
       await fleet.submit("node-1", ID, { steps: STEPS });
@@ -228,11 +227,11 @@
   );
 });
 
-/** Callers wait for the answer to a cancel for this time, in ms. */
+/** Time for which callers wait for the answer to a cancel, in ms. */
 const ANSWER_TIMEOUT_MS = 6000;
 
 vitest.describe("the answer to a cancel", () => {
-  /** Answer, and the time that it took in ms. */
+  /** Requests a cancel; returns the answer and the time taken, in ms. */
   const requestCancel = async (fleet: TestUtils.TestFleet) => {
     const fromMs = fleet.clock.monotonicMs();
     const [at] = otherBoxes(fleet);
@@ -241,7 +240,7 @@
   };
 
   for (const delayMs of [150, 600, 900]) {
-    vitest.it(`comes in time from a store of ${delayMs} ms`, async () => {
+    vitest.it(`is in time with a store delay of ${delayMs} ms`, async () => {
       const fleet = await startFleet(LONG_RUN_MS);
       await fleet.submit("node-1", ID, { steps: STEPS });
       await fleet.until(() => fleet.workers.runs.length === 1);
@@ -257,7 +256,7 @@
     });
   }
 
-  vitest.it("comes while a partition without it is away", async () => {
+  vitest.it("needs no unrelated partition", async () => {
     const fleet = await startFleet(LONG_RUN_MS);
     setEndpointsListed(fleet, false);
     await fleet.submit("node-1", ID, { steps: STEPS });
@@ -271,7 +270,7 @@
     await fleet.stop();
   });
 
-  vitest.it("says that it is not sure where it may lie elsewhere", async () => {
+  vitest.it("is uncertain if a copy may be unreachable", async () => {
     const fleet = await startFleet(LONG_RUN_MS);
     await fleet.submit("node-1", ID, { steps: STEPS });
     await fleet.until(() => fleet.workers.runs.length === 1);
@@ -290,8 +289,8 @@
   });
 });
 
-vitest.describe("a workflow that is over and swept away", () => {
-  vitest.it("has no cancel, and leaves no row behind", async () => {
+vitest.describe("a workflow that has ended and been removed", () => {
+  vitest.it("cannot be cancelled, and leaves no row", async () => {
     const fleet = await startFleet(1000);
     await fleet.submit("node-1", ID);
     await fleet.clock.advance(TestUtils.FLEET_BOUNDS.keepEndedMs + 12_000);
@@ -304,7 +303,7 @@
     await fleet.stop();
   });
 
-  vitest.it("is not run again from a copy that nobody has read", async () => {
+  vitest.it("does not run again from an unread copy", async () => {
     const fleet = await startFleet(RUN_MS);
     await fleet.submit("node-1", ID, { steps: STEPS.slice(0, 1) });
     await fleet.until(() => fleet.workers.runs.length === 1);
@@ -319,11 +318,11 @@
   });
 });
 
-/** Steps of a workflow at which its cancel may come. */
+/** Stages of a workflow at which it may be cancelled, with their setup. */
 const CANCEL_STAGES: Readonly<
   Record<string, (fleet: TestUtils.TestFleet) => Promise<unknown>>
 > = {
-  "before the coordinator has seen it": (fleet) => {
+  "before the coordinator has read it": (fleet) => {
     fleet.faultsOf(fleet.coordinator() ?? "").set({ hideChanges: true });
     return fleet.submit("node-1", ID, { steps: STEPS });
   },
@@ -357,7 +356,7 @@
   },
 };
 
-vitest.describe("a cancel just before the leader dies", () => {
+vitest.describe("a cancel just before the coordinator ends", () => {
   for (const [stage, setUp] of Object.entries(CANCEL_STAGES)) {
     vitest.it(`holds ${stage}`, async () => {
       const fleet = await startFleet(RUN_MS);
--- a/packages/workflow-node/src/close_watchers_test.ts
+++ b/packages/workflow-node/src/close_watchers_test.ts
@@ -1,20 +1,20 @@
-/** Few boxes follow each renewal of a term; the others look seldom. */
+/** Few boxes, the close watchers, follow each term renewal; others poll rarely. */
 import * as TestUtils from "@cairngate/test-utils";
 import * as vitest from "vitest";
 
-/** Boxes: twice as many as watch closely. */
+/** Number of boxes, twice that of the close watchers. */
 const BOXES = 12;
-/** Boxes that have the processor to coordinate, and watch closely. */
+/** Number of boxes with enough processor capacity to coordinate: close watchers. */
 const LARGE_BOXES = 6;
-/** Boxes of the test that counts looks: those of a deployment of middle size. */
+/** Number of boxes in the test that counts polls: a medium-sized deployment. */
 const COUNTED_BOXES = 20;
-/** Time for which looks are counted, in ms. */
+/** Time during which polls are counted, in ms. */
 const OBSERVATION_MS = 20_000;
-/** Real time for the play of so many boxes, in ms: 7 s alone. */
+/** Real-time limit for this many boxes, in ms; an idle machine takes 7 s. */
 const TIMEOUT_MS = 120_000;
-/** Time within which a term is taken over while close watchers are left, in ms. */
+/** Takeover limit while close watchers remain, in ms. */
 const TAKEOVER_MS = 2500;
-/** The same where all of them are gone: a rest longer, in ms. */
+/** Takeover limit without close watchers, in ms: one rare poll interval longer. */
 const LATE_TAKEOVER_MS = TAKEOVER_MS + 2500;
 const ELECTION = "election/";
 
@@ -31,7 +31,7 @@
     seed,
   });
   await fleet.start();
-  // Boxes know each other by then.
+  // The boxes have discovered each other by then.
   await fleet.clock.advance(12_000);
   return fleet;
 }
@@ -47,9 +47,9 @@
   return fleet.clock.monotonicMs() - sinceMs;
 }
 
-vitest.describe("the watch of the election", () => {
+vitest.describe("the polling of the election", () => {
   vitest.it(
-    "costs less than half of what all boxes would look",
+    "needs less than half the polls of boxes that are all close watchers",
     async () => {
       const fleet = await startFleet(1, COUNTED_BOXES);
       const names = [...fleet.nodes.keys()];
@@ -67,7 +67,7 @@
     TIMEOUT_MS,
   );
 
-  vitest.it("takes a term over as soon as ever", async () => {
+  vitest.it("allows a takeover within the usual time", async () => {
     for (const seed of [1, 2, 3]) {
       const fleet = await startFleet(seed);
       await fleet.kill(fleet.coordinator() ?? "");
@@ -76,7 +76,7 @@
     }
   });
 
-  vitest.it("takes it over also where all close watchers go", async () => {
+  vitest.it("allows a takeover after all close watchers end", async () => {
     for (const seed of [1, 2, 3]) {
       const fleet = await startFleet(seed);
       const killed = [...fleet.nodes.keys()].filter(isLarge);
@@ -88,7 +88,7 @@
     }
   });
 
-  vitest.it("leaves a released term to its successor at once", async () => {
+  vitest.it("passes a released term to a successor at once", async () => {
     for (const seed of [1, 2, 3]) {
       const fleet = await startFleet(seed);
       const first = fleet.coordinator() ?? "";
--- a/packages/workflow-node/src/cold_endpoints_test.ts
+++ b/packages/workflow-node/src/cold_endpoints_test.ts
@@ -1,4 +1,4 @@
-/** Endpoints that have just come up run slowly for a while. */
+/** Endpoints that have just started are cold: they run slowly for some time. */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
@@ -6,9 +6,9 @@
 /** Endpoints 0 to 3 are cold, 4 to 7 warm. */
 const SIZES: readonly number[] = [1, 1, 1, 1, 1, 1, 1, 1];
 const isCold = (index: number) => index < 4;
-/** Longer than the test looks, in ms. */
+/** Time for which endpoints are cold, in ms; longer than the test. */
 const COLD_MS = 60_000;
-/** Time of a run on a warm and on a cold endpoint, in ms. */
+/** Duration of a run on a warm and on a cold endpoint, in ms. */
 const WARM_RUN_MS = 2000;
 const COLD_RUN_MS = 12_000;
 
@@ -45,7 +45,7 @@
     await fleet.stop();
   });
 
-  vitest.it("hold no stragglers: their runs are left alone", async () => {
+  vitest.it("have no stragglers: their runs are not repeated", async () => {
     const fleet = await startFleet();
     const id = "a000000000000001";
     await fleet.submit("node-1", id, { steps: [step(8)] });
@@ -56,7 +56,7 @@
     await fleet.stop();
   });
 
-  vitest.it("take urgent work where nothing warm is free", async () => {
+  vitest.it("get urgent work if no warm endpoint is free", async () => {
     const fleet = await startFleet();
     const options = { priority: 0, steps: [step(8)] };
     await fleet.submit("node-1", "a000000000000001", options);
--- a/packages/workflow-node/src/crashing_tasks_test.ts
+++ b/packages/workflow-node/src/crashing_tasks_test.ts
@@ -1,19 +1,19 @@
-/** Tasks that end the endpoints on which they start are given up. */
+/** Tasks that crash the endpoints on which they start are given up. */
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
 
 const CRASHING_ID = "c000000000000001";
-/** Time from the start to the crash in the users' record, in ms. */
+/** Time from start to crash, in ms, as in the users' record of such a task. */
 const CRASH_DELAY_MS = 10;
 const TIMEOUT_MS = 60_000;
-/** Crashes under a task after which its starts are counted, by the users' rule. */
+/** Crashes of a task after which the users' rule limits its starts. */
 const CRASH_THRESHOLD = 3;
-/** Starts after that crash with which the users' rule is broken. */
+/** Starts after that crash that violate the users' rule. */
 const EXCESSIVE_STARTS = 3;
 
-/** Makes the tasks of one workflow crash whatever starts them. */
+/** Makes these tasks crash every endpoint that starts them. */
 function crashTasks(
   fleet: TestUtils.TestFleet,
   isCrashing: (task: string) => boolean,
@@ -25,7 +25,7 @@
       : { runMs: 1000, fails: false };
 }
 
-/** Starts of a task after the third crash under it. */
+/** Counts the starts of a task after its third crash. */
 function countStartsAfterCrashes(
   fleet: TestUtils.TestFleet,
   task: string,
@@ -43,7 +43,7 @@
   return (note: StandIns.TaskRunNote) => note.startedAtMs > atMs;
 }
 
-/** Names of all tasks that were started too often after their third crash. */
+/** Returns the tasks that were started too often after their third crash. */
 function findExcessivelyStarted(fleet: TestUtils.TestFleet): string[] {
   const names = new Set(fleet.workers.runs.map(({ task }) => task));
   return [...names].filter((task) =>
@@ -78,9 +78,9 @@
     await fleet.stop();
   });
 
-  /** Times from the start to the crash in ms; 0: before the start is answered. */
+  /** Times from start to crash, in ms; 0: before the start is answered. */
   for (const crashesAfterMs of [0, 400, 2500]) {
-    vitest.it(`is given up, with crashes ${crashesAfterMs} ms on`, async () => {
+    vitest.it(`is given up, crashing after ${crashesAfterMs} ms`, async () => {
       const fleet = new TestUtils.TestFleet({ workers: [2, 2, 2, 2] });
       const isCrashing = (task: string) => task.startsWith(CRASHING_ID);
       crashTasks(fleet, isCrashing, crashesAfterMs);
@@ -98,7 +98,7 @@
   }
 
   vitest.it(
-    "is given up though coordinators change between crashes",
+    "is given up even if coordinators change between crashes",
     async () => {
       const fleet = new TestUtils.TestFleet({ workers: [1, 1, 1, 1] });
       crashTasks(fleet, (task) => task.startsWith(CRASHING_ID));
@@ -145,7 +145,7 @@
     await fleet.stop();
   });
 
-  vitest.it("is given up though it would last", async () => {
+  vitest.it("is given up even if it is a lasting task", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1, 1, 1, 1] });
     crashTasks(fleet, (task) => task.startsWith(CRASHING_ID));
     await fleet.start();
@@ -177,7 +177,7 @@
     await fleet.stop();
   });
 
-  vitest.it("hurts the work beside it as little as possible", async () => {
+  vitest.it("hits few other tasks on its endpoints", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [4, 4, 4, 4, 4, 4] });
     const badIds = [1, 2].map((i) => `c00000000000000${i}`);
     crashTasks(fleet, (task) => task.startsWith("c"));
@@ -209,16 +209,16 @@
     const crashed = fleet.workers.runs.filter(({ task, how }) =>
       !task.startsWith("c") && how === "crashed"
     );
-    // Only the first crash of each finds it beside others.
+    // Only the first crash of each task hits others, at most three at a time.
     vitest.expect(crashed.length).toBeLessThanOrEqual(2 * 3);
     await fleet.stop();
   });
 });
 
-vitest.describe("a good task", () => {
+vitest.describe("a task without faults", () => {
   const ID = "a000000000000001";
 
-  /** All endpoints lose their power at once, some time after it has begun. */
+  /** Crashes all endpoints at once, each time some time after the task started. */
   async function loseAllPower(
     fleet: TestUtils.TestFleet,
     times: number,
@@ -232,7 +232,7 @@
     }
   }
 
-  vitest.it("outlives three losses of power", async () => {
+  vitest.it("survives three power losses", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1, 1, 1, 1] });
     fleet.workers.behave = () => ({ runMs: 3000, fails: false });
     await fleet.start();
@@ -246,7 +246,7 @@
     await fleet.stop();
   });
 
-  vitest.it("outlives four losses of power among other work", async () => {
+  vitest.it("survives four power losses among other work", async () => {
     const workers = Array.from({ length: 8 }, () => 1);
     const fleet = new TestUtils.TestFleet({ workers });
     fleet.workers.behave = () => ({ runMs: 4000, fails: false });
@@ -264,7 +264,7 @@
     await fleet.stop();
   });
 
-  vitest.it("outlives cuts of its endpoints", async () => {
+  vitest.it("survives endpoints that become unreachable", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1, 1, 1, 1, 1, 1] });
     fleet.workers.behave = () => ({ runMs: 9000, fails: false });
     await fleet.start();
@@ -288,7 +288,7 @@
     await fleet.stop();
   });
 
-  vitest.it("outlives endpoints that leave as announced", async () => {
+  vitest.it("survives endpoints that leave after an announcement", async () => {
     const sizes = [1, 1, 1, 1, 1, 1];
     const fleet = new TestUtils.TestFleet({ workers: sizes });
     fleet.workers.behave = () => ({ runMs: 3000, fails: false });
@@ -300,7 +300,7 @@
       await fleet.clock.advance(300);
       const { worker: id } = fleet.workers.runs[i - 1];
       const index = fleet.placeOf(id);
-      // So short a notice that its runs can not be moved in time.
+      // The announcement is too short to move its runs in time.
       fleet.list({ id, accelerators: 1 }, index, { draining: true });
       await fleet.clock.advance(100);
       fleet.workers.crash(id);
--- a/packages/workflow-node/src/cut_endpoints_test.ts
+++ b/packages/workflow-node/src/cut_endpoints_test.ts
@@ -1,16 +1,16 @@
 /**
- * Endpoints that are cut off while their entries lapse, and that live on. No
- * endpoint ends in these plays and no task fails, so nothing may be shown as
- * failed, and all has to be done once the cuts are over.
+ * Endpoints become unreachable until their entries expire, and keep running. No
+ * endpoint ends and no task fails in these scenarios, so no workflow may be reported
+ * as failed, and all must complete once the endpoints are reachable again.
  */
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
 import * as vitest from "vitest";
 
-/** Seeds of the variants that have shown the fault, and of those beside them. */
+/** Seeds of variants known to expose wrongly failed workflows; others use fewer. */
 const SEEDS: readonly number[] = [1, 2, 3, 4, 5, 6, 7, 8];
 const FEW_SEEDS = SEEDS.slice(0, 4);
-/** Real time for the plays of one variant, in ms: eight of a few seconds each. */
+/** Real-time limit for a variant, in ms: eight scenarios of a few seconds each. */
 const TIMEOUT_MS = 120_000;
 
 type ScenarioChanges = Partial<TestUtils.CutPlay>;
@@ -21,7 +21,7 @@
 
 const { Silent } = StandIns.OrderFate;
 
-/** What each variant changes in the play. */
+/** Changes of each variant to the usual scenario. */
 const VARIANTS: Readonly<Record<string, ScenarioChanges>> = {
   "whose orders are lost": {},
   "whose orders are never answered": withShape({ fate: Silent }),
@@ -29,7 +29,7 @@
   "while coordinators change": { changesCoordinator: true },
 };
 
-/** Variants in which the fault has not shown itself. */
+/** Related variants, not known to expose such failures. */
 const RELATED_VARIANTS: Readonly<Record<string, ScenarioChanges>> = {
   "under gangs while coordinators change": {
     gangs: true,
@@ -43,7 +43,7 @@
   }),
 };
 
-vitest.describe("endpoints that are cut off and live on", () => {
+vitest.describe("endpoints that are cut off and keep running", () => {
   const checkAll = (
     variants: Readonly<Record<string, ScenarioChanges>>,
     seeds: readonly number[],
--- a/packages/workflow-node/src/cut_neighbours_test.ts
+++ b/packages/workflow-node/src/cut_neighbours_test.ts
@@ -1,28 +1,29 @@
 /**
- * Cuts like those of cut_endpoints_test.ts under other work: answers that come
- * late, two cuts at one moment, gangs that stand apart, and work that yields.
+ * Unreachable endpoints as in cut_endpoints_test.ts, under other conditions: late
+ * answers, two endpoints cut off at once, gangs with one member per endpoint, and
+ * work that yields to guaranteed work.
  */
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
 import * as vitest from "vitest";
 
 const SEEDS: readonly number[] = [1, 2, 3, 4];
-/** Real time for the plays of one variant, in ms: four of a few seconds each. */
+/** Real-time limit for a variant, in ms: four scenarios of a few seconds each. */
 const TIMEOUT_MS = 120_000;
-/** Sixteen endpoints of one accelerator: members of a gang never share one. */
+/** Sixteen endpoints of one accelerator, so that gang members never share one. */
 const SINGLES: readonly number[] = Array.from({ length: 16 }, () => 1);
 
 const { shape } = TestUtils.USUAL_CUTS;
 const { Late, AnswerLost } = StandIns.OrderFate;
 
-/** What each variant changes in the play. */
+/** Changes of each variant to the usual scenario. */
 const VARIANTS: Readonly<Record<string, Partial<TestUtils.CutPlay>>> = {
   "that carry orders out late": { shape: { ...shape, fate: Late } },
   "whose answers are lost": { shape: { ...shape, fate: AnswerLost } },
-  "two at one moment": { victims: 2 },
-  "two at one moment, under gangs": { victims: 2, gangs: true },
-  "each under one member of a gang": { workers: SINGLES, gangs: true },
-  "each under one member of a gang, while coordinators change": {
+  "two at once": { victims: 2 },
+  "two at once, under gangs": { victims: 2, gangs: true },
+  "each with one member of a gang": { workers: SINGLES, gangs: true },
+  "each with one member of a gang, while coordinators change": {
     workers: SINGLES,
     gangs: true,
     changesCoordinator: true,
--- a/packages/workflow-node/src/doubted_work_test.ts
+++ b/packages/workflow-node/src/doubted_work_test.ts
@@ -1,6 +1,6 @@
 /**
- * Good work whose endpoints leave, are cut off or end: it must not be held back for
- * long, and nothing may be counted that is not shown.
+ * Guards against delays and failures of tasks without faults whose endpoints leave,
+ * become unreachable or crash: only crashes with evidence may count against a task.
  */
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
@@ -10,16 +10,16 @@
 const ID = "a000000000000001";
 const TASK = `${ID}.0.0.0`;
 const { Failed } = Workflow.WorkflowState;
-/** The longest lease and what it takes to see its end, in ms. */
+/** The longest lease and the time to detect its end, in ms. */
 const MAX_RESTART_DELAY_MS = 8000;
 
 function singleEndpoints(count: number): number[] {
   return Array.from({ length: count }, () => 1);
 }
 
-vitest.describe("a good task", () => {
+vitest.describe("a task without faults", () => {
   vitest.it(
-    "is not held back by endpoints that leave as announced",
+    "is not delayed by endpoints that leave after an announcement",
     async () => {
       const fleet = new TestUtils.TestFleet({ workers: singleEndpoints(10) });
       fleet.workers.behave = () => ({ runMs: 60_000, fails: false });
@@ -51,7 +51,7 @@
     },
   );
 
-  vitest.it("that lasts is not held back by losses minutes apart", async () => {
+  vitest.it("that lasts is not delayed by losses minutes apart", async () => {
     const fleet = new TestUtils.TestFleet({ workers: singleEndpoints(10) });
     fleet.workers.behave = () => ({ runMs: 1e9, fails: false });
     fleet.workers.onCrash = () => {};
@@ -76,10 +76,10 @@
   });
 
   /**
-   * A look that is under way when the endpoint counts as gone, and fails, must not
-   * take the doubt back: silence is no answer.
+   * A poll that is pending when its endpoint is treated as gone, and then fails, must
+   * not remove the open end of the run: only an answer of the endpoint may.
    */
-  vitest.it("is in doubt until its endpoint answers", async () => {
+  vitest.it("keeps open ends until its endpoints answer", async () => {
     const fleet = new TestUtils.TestFleet({ workers: singleEndpoints(8) });
     const unreachable = new Set<string>();
     fleet.workers.behave = () => ({ runMs: 60_000, fails: false });
@@ -95,7 +95,7 @@
       const { worker } = fleet.workers.runs[i - 1];
       await fleet.clock.advance(20);
       unreachable.add(worker);
-      // One whose entry goes while it answers leaves, and is no doubt.
+      // An endpoint that is unlisted while it answers has left: no open end.
       await fleet.clock.advance(3000);
       fleet.unlist(worker);
     }
@@ -110,8 +110,8 @@
   });
 
   /**
-   * The record of a start is written before the order leaves. A coordinator that
-   * ends in between leaves a run that never was anywhere.
+   * A start is recorded before its order is sent. A coordinator that ends in between
+   * leaves the record of a run that never started.
    */
   vitest.it("does not fail by starts that were only recorded", async () => {
     const fleet = new TestUtils.TestFleet({
@@ -126,9 +126,9 @@
     await fleet.submit("node-1", ID, { steps });
     await fleet.until(() => fleet.workers.runs.length >= 1);
     await fleet.clock.advance(500);
-    // The one crash that is shown.
+    // The only crash with evidence.
     const crashedEndpoint = fleet.workers.runs[0].worker;
-    // All others end as well, long before the next starts are meant for them.
+    // The endpoints of later records crash as well, without having got a start.
     const readAssignment = () => {
       const [row] = fleet.table.rowsUnder("progress:")
         .filter(({ key }) => key.endsWith(`/${ID}`));
@@ -143,7 +143,7 @@
     fleet.workers.crash(crashedEndpoint);
     let run = 1;
     for (let i = 0; i < 3; i++) {
-      // No start arrives any more until the coordinator has changed.
+      // No start is delivered until the coordinator has been replaced.
       fleet.workers.carry = (_, order) =>
         order === "start"
           ? StandIns.OrderFate.Lost
--- a/packages/workflow-node/src/dump_test.ts
+++ b/packages/workflow-node/src/dump_test.ts
@@ -1,10 +1,10 @@
-/** The dump of a node explains what waits and why. */
+/** The state dump of a box lists what waits and why. */
 import type * as Coordinator from "@cairngate/coordinator";
 import * as TestUtils from "@cairngate/test-utils";
 import * as vitest from "vitest";
 
-vitest.describe("the dump of a node", () => {
-  vitest.it("tells at the coordinator why a workflow waits", async () => {
+vitest.describe("the state dump of a box", () => {
+  vitest.it("gives the reason why a workflow waits", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1] });
     fleet.workers.behave = () => ({ runMs: 10_000, fails: false });
     await fleet.start();
@@ -27,7 +27,7 @@
     await fleet.stop();
   });
 
-  vitest.it("tells what came of stops for urgent work", async () => {
+  vitest.it("counts the outcomes of stops for urgent work", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1] });
     fleet.workers.behave = () => ({ runMs: 2000, fails: false });
     await fleet.start();
--- a/packages/workflow-node/src/ended_rows_test.ts
+++ b/packages/workflow-node/src/ended_rows_test.ts
@@ -1,11 +1,11 @@
-/** What is kept of workflows that have ended: little, and not for ever. */
+/** Rows of ended workflows keep only the state, and are removed after some time. */
 import * as TableClient from "@cairngate/table-client";
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
 
 const ID = "a000000000000001";
-/** The rows of ended workflows are looked through this often at least, in ms. */
+/** Longest time between two sweeps of the rows of ended workflows, in ms. */
 const SWEEP_INTERVAL_MS = 5000;
 
 function isCompleted(fleet: TestUtils.TestFleet): boolean {
@@ -28,7 +28,7 @@
 }
 
 vitest.describe("a workflow that has ended", () => {
-  vitest.it("keeps its state and not its work", async () => {
+  vitest.it("keeps its state and drops its steps", async () => {
     const fleet = await startWithEndedWorkflow();
     const [row] = fleet.table.rowsUnder("intake:");
     vitest.expect(row.value).toMatchObject({ id: ID, payload: "", steps: [] });
@@ -37,7 +37,7 @@
     await fleet.stop();
   });
 
-  vitest.it("is not accepted once more, in this term or the next", async () => {
+  vitest.it("does not run again if resubmitted in any term", async () => {
     const fleet = await startWithEndedWorkflow();
     await fleet.submit("node-2", ID);
     await fleet.clock.advance(2000);
@@ -52,7 +52,7 @@
     await fleet.stop();
   });
 
-  vitest.it("keeps its work while runs are still to be stopped", async () => {
+  vitest.it("drops its steps after its runs have been stopped", async () => {
     const fleet = new TestUtils.TestFleet();
     fleet.workers.behave = (task) => ({
       runMs: task.endsWith(".0") ? 300 : 60_000,
@@ -73,7 +73,7 @@
   });
 
   vitest.it(
-    "is swept away, also where an earlier term saw it end",
+    "is removed, even if it ended in an earlier term",
     async () => {
       const fleet = await startWithEndedWorkflow();
       vitest.expect(findRows(fleet).length).toBe(2);
@@ -86,7 +86,7 @@
     },
   );
 
-  vitest.it("stays away when a sweep overtakes a read of it", async () => {
+  vitest.it("stays removed if a sweep overtakes a read of it", async () => {
     const fleet = new TestUtils.TestFleet();
     fleet.workers.behave = () => ({ runMs: 100_000, fails: false });
     await fleet.start();
@@ -104,7 +104,7 @@
     }
     await fleet.clock.advance(500);
     const token = fleet.token();
-    // All is read again, on a slow link, while the sweep goes on.
+    // All rows are read again over a slow link while the sweep continues.
     fleet.faultsOf(fleet.coordinator() ?? "").set({ kilobyteMs: 4 });
     fleet.table.forgetHistory();
     fleet.write("intake:0/z/filler", 1);
--- a/packages/workflow-node/src/evacuated_data_centre_test.ts
+++ b/packages/workflow-node/src/evacuated_data_centre_test.ts
@@ -1,16 +1,16 @@
-/** Nothing starts in a data centre that the operator evacuates. */
+/** Nothing may start in a data centre that the operator has evacuated. */
 import type * as Coordinator from "@cairngate/coordinator";
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
 
-/** Endpoints 0 to 3 stand in one data centre, 4 to 7 in the other. */
+/** Endpoints 0 to 3 are in one data centre, 4 to 7 in the other. */
 const dataCentreOf = (index: number) => index < 4 ? "brno-a" : "brno-b";
 const SIZES: readonly number[] = [2, 2, 2, 2, 2, 2, 2, 2];
-/** By this time after the operator's word every box has heard it, in ms. */
+/** Time within which a change by the operator reaches every box, in ms. */
 const PROPAGATION_MS = 1500;
-/** Time of a run, in ms. */
+/** Duration of a run, in ms. */
 const RUN_MS = 700;
 
 const buildIds = (count: number, first = 0) =>
@@ -30,7 +30,7 @@
   return { fleet, evacuations };
 }
 
-/** Starts in a data centre after a time. */
+/** Returns the starts in a data centre from this time on. */
 function findStartsIn(
   fleet: TestUtils.TestFleet,
   dataCentre: string,
@@ -62,7 +62,7 @@
 }
 
 vitest.describe("a data centre that is evacuated", () => {
-  vitest.it("gets nothing new, and what runs there goes on", async () => {
+  vitest.it("gets no new work and completes its running work", async () => {
     const { fleet, evacuations } = await startFleet(4000);
     const before = buildIds(16);
     await submitAll(fleet, before, 4000);
@@ -79,7 +79,7 @@
     await fleet.stop();
   });
 
-  vitest.it("is used again once it is taken back", async () => {
+  vitest.it("is used again after the evacuation ends", async () => {
     const { fleet, evacuations } = await startFleet();
     evacuations.begin("brno-b");
     await fleet.clock.advance(PROPAGATION_MS);
@@ -94,7 +94,7 @@
   });
 
   vitest.it(
-    "stays empty when its row is written twice, then back",
+    "stays empty if its row is removed and written again twice",
     async () => {
       const { fleet, evacuations } = await startFleet();
       evacuations.begin("brno-b");
@@ -110,7 +110,7 @@
     },
   );
 
-  vitest.it("waits with everything while all are evacuated", async () => {
+  vitest.it("gets no work while all data centres are evacuated", async () => {
     const { fleet, evacuations } = await startFleet();
     evacuations.begin("brno-a");
     evacuations.begin("brno-b");
@@ -125,7 +125,7 @@
   });
 
   vitest.it(
-    "is known to boxes that start after the operator's word",
+    "stays empty if the boxes start after the evacuation",
     async () => {
       const fleet = new TestUtils.TestFleet({ workers: SIZES, dataCentreOf });
       fleet.evacuate("brno-b");
@@ -149,7 +149,7 @@
     await fleet.stop();
   });
 
-  vitest.it("gets no start whose record was still being written", async () => {
+  vitest.it("gets no start whose record is still being written", async () => {
     const { fleet, evacuations } = await startFleet();
     for (const name of fleet.nodes.keys()) {
       fleet.faultsOf(name).set({ delayMs: 400 });
@@ -158,7 +158,7 @@
     await fleet.until(() => fleet.table.rowsUnder("progress:").length > 0);
     evacuations.begin("brno-a");
     evacuations.begin("brno-b");
-    // The operator's word reaches the boxes before the records are answered.
+    // The evacuations reach the boxes before the record writes are answered.
     await fleet.clock.advance(900);
     const sinceMs = fleet.clock.monotonicMs();
     await submission;
@@ -172,7 +172,7 @@
     await fleet.stop();
   });
 
-  vitest.it("gets no second try of a start that was not answered", async () => {
+  vitest.it("gets no retry of an unanswered start", async () => {
     const { fleet, evacuations } = await startFleet();
     let attempts = 0;
     fleet.workers.carry = (worker, order) => {
@@ -192,7 +192,7 @@
   });
 
   vitest.it(
-    "is told to a box that the store turns away, by a peer",
+    "is reported by a peer to a box that the store refuses",
     async () => {
       const { fleet, evacuations } = await startFleet();
       const name = fleet.coordinator() ?? "";
@@ -209,11 +209,11 @@
   );
 
   vitest.it(
-    "gets nothing while the operator's rows can not be heard",
+    "gets nothing while the operator's rows cannot be read",
     async () => {
       const { fleet, evacuations } = await startFleet(1500);
       await submitAll(fleet, buildIds(60));
-      // Everything else of the store answers: only the operator's feed is silent.
+      // Only the operator's feed is silent; the store answers all other calls.
       for (const name of fleet.nodes.keys()) {
         fleet.faultsOf(name).set({ silentFeeds: ["test-operator/"] });
       }
@@ -232,7 +232,7 @@
   );
 
   vitest.it(
-    "gets nothing from a box that was suspended meanwhile",
+    "gets nothing from a box that was suspended at the evacuation",
     async () => {
       const { fleet, evacuations } = await startFleet(1500);
       await submitAll(fleet, buildIds(40));
@@ -248,7 +248,7 @@
   );
 
   vitest.it(
-    "gets no gang, whole or in part, and keeps no room for one",
+    "gets no gang, whole or in part, and no reservation for one",
     async () => {
       const { fleet, evacuations } = await startFleet(2000);
       evacuations.begin("brno-b");
@@ -264,7 +264,7 @@
     },
   );
 
-  vitest.it("is shown, with what goes on there and what is short", async () => {
+  vitest.it("is dumped with its runs and what is short", async () => {
     const config = TestUtils.buildAccess({ hana: 10 });
     const fleet = new TestUtils.TestFleet({
       workers: SIZES,
--- a/packages/workflow-node/src/first_looks_test.ts
+++ b/packages/workflow-node/src/first_looks_test.ts
@@ -1,10 +1,10 @@
-/** Starts that come together wait for one look at an endpoint that was never heard. */
+/** Concurrent starts share one poll of an endpoint that has never answered. */
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
 import * as vitest from "vitest";
 
 vitest.describe("the first starts on an endpoint", () => {
-  vitest.it("wait for one look together", async () => {
+  vitest.it("wait for one shared poll", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [8] });
     fleet.workers.wayMs = 1;
     fleet.workers.behave = () => ({ runMs: 5000, fails: false });
@@ -18,7 +18,7 @@
     await fleet.submit("node-1", "a000000000000001", { steps });
     await fleet.until(() => fleet.workers.runs.length === 8);
     const polls = orders.slice(0, orders.indexOf("start"));
-    // The second is the session's own, as soon as a start is on its way.
+    // The second poll is the regular one, sent as soon as a start is pending.
     vitest.expect(polls.length).toBeLessThanOrEqual(2);
     await fleet.stop();
   });
--- a/packages/workflow-node/src/foreign_entries_test.ts
+++ b/packages/workflow-node/src/foreign_entries_test.ts
@@ -1,7 +1,8 @@
 /**
- * Entries of other writers that name the address of an endpoint which lives on.
- * Such an entry proves no end: only the life that answers at the address can.
- * Orders to the foreign id are answered there as by another life.
+ * Entries by other writers that name the address of a running endpoint. Such an entry
+ * does not prove that the endpoint has ended; only an answer of another incarnation at
+ * the address does. Orders to the foreign id are refused there as meant for another
+ * incarnation.
  */
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
@@ -10,33 +11,33 @@
 import * as vitest from "vitest";
 
 const FIRST_ENDPOINT = "worker-0";
-/** Accelerators of each of the two endpoints: all work fits at once. */
+/** Accelerators of each of the two endpoints; all work fits at once. */
 const ACCELERATORS = 4;
-/** Workflows of one task: three on each endpoint, so that each entry meets some. */
+/** Workflows of one task: three per endpoint, so that every entry affects some. */
 const WORKFLOWS = 6;
-/** Time of a run, in ms. */
+/** Duration of a run, in ms. */
 const RUN_MS = 6000;
-/** Foreign entries, one after another. */
+/** Number of foreign entries, written one after another. */
 const ENTRY_COUNT = 6;
-/** Time from one to the next, in ms: a heartbeat, so that runs of 6 s meet four. */
+/** Time between entries, in ms: one heartbeat, so that a run of 6 s sees four. */
 const ENTRY_INTERVAL_MS = 1500;
-/** Time for which an entry is listed that goes again, in ms. */
+/** Time for which a temporary entry is listed, in ms. */
 const LISTING_DURATION_MS = 750;
-/** Time in which all ends, in ms: several runs one after another. */
+/** Time within which all work ends, in ms: several runs in sequence. */
 const TIMEOUT_MS = 60_000;
 
-/** What a play writes into the list. */
+/** The foreign entries of a test and their circumstances. */
 interface Scenario {
-  /** What the foreign entry says; the rest is as in that of the first endpoint. */
+  /** Fields in which the foreign entry differs from that of the first endpoint. */
   readonly overrides: Partial<Ports.EndpointListing>;
-  /** Whether it stays from its first moment to the end of the play. */
+  /** Whether the entry is listed until the end of the test. */
   readonly isPermanent: boolean;
   /** Whether each entry has an id of its own. */
   readonly hasUniqueIds: boolean;
   readonly atDeadAddress: StandIns.DeadAddress;
-  /** Whether a first entry is there before the work is handed in. */
+  /** Whether a first entry is written before the work is submitted. */
   readonly isEarly: boolean;
-  /** Whether the endpoints write their own entries again meanwhile. */
+  /** Whether the endpoints write their own entries again in between. */
   readonly hasHeartbeats: boolean;
 }
 
@@ -54,7 +55,7 @@
   hasHeartbeats: false,
 };
 
-/** Takes the entry of the first endpoint for that of another id. */
+/** Writes a copy of the first endpoint's entry under another id. */
 function writeForeign(
   fleet: TestUtils.TestFleet,
   id: string,
@@ -79,7 +80,7 @@
   }
 }
 
-/** Plays the entries over running work; returns what has become of it. */
+/** Writes the entries while work is running; returns the outcome of the work. */
 async function runScenario(changes: Partial<Scenario>) {
   const scenario = { ...DEFAULT_SCENARIO, ...changes };
   const fleet = new TestUtils.TestFleet({
@@ -111,33 +112,33 @@
   return outcome;
 }
 
-/** What each variant changes in the play. */
+/** Changes of each variant to the default scenario. */
 const VARIANTS: Readonly<Record<string, Partial<Scenario>>> = {
-  "that come and go": {},
-  "of a new id each time": { hasUniqueIds: true },
-  "that stay": { isPermanent: true },
+  "that are removed again": {},
+  "with a new id each time": { hasUniqueIds: true },
+  "that remain": { isPermanent: true },
   "that look usable": { overrides: {} },
-  "that look usable and stay": { overrides: {}, isPermanent: true },
-  "that look usable, stay and are many": {
+  "that look usable and remain": { overrides: {}, isPermanent: true },
+  "that look usable, remain and are many": {
     overrides: {},
     isPermanent: true,
     hasUniqueIds: true,
   },
-  "that look usable, where the other's answer can't be read": {
+  "that look usable, at an address that resets connections": {
     overrides: {},
     atDeadAddress: StandIns.DeadAddress.Resets,
   },
-  "that look usable and were there before the work": {
+  "that look usable and are listed before the work": {
     overrides: {},
     isEarly: true,
   },
-  "that come and go beside heartbeats": { hasHeartbeats: true },
-  "that stay beside heartbeats": { isPermanent: true, hasHeartbeats: true },
+  "that are removed again, between heartbeats": { hasHeartbeats: true },
+  "that remain, between heartbeats": { isPermanent: true, hasHeartbeats: true },
 };
 
 vitest.describe("entries that name the address of another endpoint", () => {
   for (const [name, changes] of Object.entries(VARIANTS)) {
-    vitest.it(`end nothing, ${name}`, async () => {
+    vitest.it(`end no run, ${name}`, async () => {
       const { Completed } = Workflow.WorkflowState;
       vitest.expect(await runScenario(changes)).toEqual({
         runs: WORKFLOWS,
--- a/packages/workflow-node/src/foreign_records_test.ts
+++ b/packages/workflow-node/src/foreign_records_test.ts
@@ -1,4 +1,4 @@
-/** Rows that somebody else wrote over the product's own hold up nothing else. */
+/** Guards against delays of other work by rows that another writer overwrote. */
 import * as TableClient from "@cairngate/table-client";
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
@@ -17,8 +17,8 @@
   return fleet.state(id) === Workflow.WorkflowState.Completed;
 }
 
-vitest.describe("a record of progress that can't be read", () => {
-  vitest.it("holds up only its own workflow, in one term", async () => {
+vitest.describe("an unreadable progress record", () => {
+  vitest.it("blocks only its own workflow, and ends no term", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1, 1, 1] });
     fleet.workers.behave = () => ({ runMs: 6000, fails: false });
     await fleet.start();
@@ -27,9 +27,10 @@
     await fleet.until(() => fleet.workers.runs.length === 2);
     await fleet.clock.advance(500);
     fleet.write(keyOf(fleet, "progress:", UNREADABLE_ID), undefined);
-    const previous = fleet.coordinator() ?? "";
-    await fleet.kill(previous);
-    const isTakenOver = () => ![previous, null].includes(fleet.coordinator());
+    const coordinator = fleet.coordinator() ?? "";
+    await fleet.kill(coordinator);
+    const isTakenOver = () =>
+      ![coordinator, null].includes(fleet.coordinator());
     vitest.expect(await fleet.until(isTakenOver)).toBe(true);
     await fleet.clock.advance(2000);
     const token = fleet.token();
@@ -48,8 +49,8 @@
   });
 });
 
-vitest.describe("a workflow that can't be read", () => {
-  vitest.it("has no state, and others have theirs", async () => {
+vitest.describe("an unreadable workflow row", () => {
+  vitest.it("makes only its own state unavailable", async () => {
     const fleet = new TestUtils.TestFleet();
     await fleet.start();
     await fleet.submit("node-1", UNREADABLE_ID);
@@ -66,8 +67,8 @@
   });
 });
 
-vitest.describe("a row of the election that can't be read", () => {
-  vitest.it("is written again by whoever coordinates next", async () => {
+vitest.describe("an unreadable election row", () => {
+  vitest.it("is written again by the next coordinator", async () => {
     const fleet = new TestUtils.TestFleet();
     await fleet.start();
     await fleet.submit("node-1", OTHER_ID);
@@ -81,9 +82,9 @@
   });
 });
 
-vitest.describe("a configuration that can't be read", () => {
+vitest.describe("an unreadable configuration", () => {
   vitest.it(
-    "leaves the last one in force until a newer one can be",
+    "leaves the last one in force until a readable one follows",
     async () => {
       const fleet = new TestUtils.TestFleet();
       await fleet.start();
--- a/packages/workflow-node/src/former_leases_test.ts
+++ b/packages/workflow-node/src/former_leases_test.ts
@@ -1,10 +1,9 @@
 /**
- * A task ran twice at once after a takeover beside a slow store. Order of events: the
- * coordinator loses the store and goes on renewing leases; another box is elected, and
- * reading the records takes it two seconds; the endpoint of a run is cut off just
- * before that box calls it. Cause: the lease of that run was counted from the
- * election, while the former coordinator had renewed it until it was cut off. The
- * next run began 0.3 s before the first one lapsed.
+ * Guards against two concurrent runs of a task after a takeover with a slow store: the
+ * coordinator loses the store and continues to renew leases; another box is elected and
+ * takes two seconds to read the records; the endpoint of a run becomes unreachable just
+ * before that box polls it. The previous coordinator may have renewed the lease until
+ * then, so counting the lease from the election starts the next run 0.3 s too early.
  */
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
@@ -13,27 +12,27 @@
 const ID = "a000000000000001";
 const RUN_MS = 40_000;
 const STEPS = [TestUtils.buildStep({ estimateMs: RUN_MS })];
-/** Time of a call to the slow store, in ms: a takeover takes five of them. */
+/** Duration of a call to the slow store, in ms; a takeover needs five calls. */
 const STORE_DELAY_MS = 400;
-/** No endpoint has the room for it. */
+/** Steps that fit no endpoint. */
 const OVERSIZED_STEPS = [TestUtils.buildStep({ accelerators: 8 })];
-/** Workflows that wait, and the time that a kilobyte of them takes to a slow box, in ms. */
+/** Waiting workflows, and the transfer time of a kilobyte to a slow box, in ms. */
 const FILLERS = 60;
 const KILOBYTE_MS = 75;
-/** A lease and a new plan, in ms. */
+/** Time for a lease to expire and for a new plan, in ms. */
 const TIMEOUT_MS = 15_000;
 
-/** The coordinator is cut off from the store and the other boxes, not from endpoints. */
+/** Cuts the coordinator off from the store and the other boxes, not from endpoints. */
 function isolateCoordinator(fleet: TestUtils.TestFleet): void {
-  const previous = fleet.coordinator() ?? "";
+  const coordinator = fleet.coordinator() ?? "";
   for (const name of fleet.nodes.keys()) {
     fleet.faultsOf(name).set({ delayMs: STORE_DELAY_MS });
   }
-  fleet.faultsOf(previous).set({ down: true });
-  fleet.links.passes = (from, to) => from !== previous && to !== previous;
+  fleet.faultsOf(coordinator).set({ down: true });
+  fleet.links.passes = (from, to) => from !== coordinator && to !== coordinator;
 }
 
-/** An endpoint is cut off from the moment at which the next coordinator calls one. */
+/** Cuts an endpoint off as soon as the next coordinator polls any endpoint. */
 function isolateWhenPolled(fleet: TestUtils.TestFleet, endpoint: string): void {
   const { workers } = fleet;
   const token = fleet.token();
@@ -49,8 +48,8 @@
       : StandIns.OrderFate.Carried;
 }
 
-vitest.describe("a lease that a former coordinator renews", () => {
-  vitest.it("counts until the next one calls the endpoints", async () => {
+vitest.describe("a lease that a previous coordinator renews", () => {
+  vitest.it("counts until the next one polls the endpoints", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1, 1, 1] });
     const { workers } = fleet;
     workers.behave = () => ({ runMs: RUN_MS, fails: false });
@@ -68,7 +67,7 @@
     await fleet.stop();
   });
 
-  vitest.it("counts so long where the endpoint is not listed", async () => {
+  vitest.it("counts as long if the endpoint is not listed", async () => {
     const messages: string[] = [];
     const fleet = new TestUtils.TestFleet({
       workers: [1, 1, 1],
@@ -81,8 +80,8 @@
     await fleet.until(() => workers.runs.length === 1);
     await fleet.clock.advance(1000);
     const [first] = workers.runs;
-    const previous = fleet.coordinator() ?? "";
-    // The others are long at reading what waits, after the row of the first run.
+    const coordinator = fleet.coordinator() ?? "";
+    // The others take long to read these, which follow the row of the first run.
     for (let i = 0; i < FILLERS; i++) {
       const id = `b${String(i).padStart(15, "0")}`;
       await fleet.submit("node-1", id, { steps: OVERSIZED_STEPS });
@@ -92,11 +91,11 @@
       fleet.faultsOf(name).set({ kilobyteMs: KILOBYTE_MS });
     }
     fleet.unlist(first.worker);
-    // Nobody calls it any more once the next coordinator has begun.
+    // No box polls the endpoint after the next coordinator has taken over.
     const hasTakenOver = () =>
       messages.filter((message) => message.startsWith("Took over ")).length > 1;
     vitest.expect(await fleet.until(hasTakenOver)).toBe(true);
-    await fleet.kill(previous);
+    await fleet.kill(coordinator);
     const hasRestarted = () => workers.runsOf(first.task).length === 2;
     vitest.expect(await fleet.until(hasRestarted, TIMEOUT_MS)).toBe(true);
 
--- a/packages/workflow-node/src/gang_failures_test.ts
+++ b/packages/workflow-node/src/gang_failures_test.ts
@@ -1,14 +1,9 @@
 /**
- * A gang was given up one failed run too early: a workflow was shown as failed for
- * three failures, two of which were of one run. A run counts as one failure, whichever
- * of its members fail.
- *
- * Order of events: a member fails, and that is recorded; another member, on an endpoint
- * that is not heard, fails as well; another box takes over and is told of it.
- *
- * Cause: which runs of a gang have counted was kept in memory only, so the box that
- * took over counted the same run again; the record tells it now. The evidence: seed 47 of
- * random_slow_ends_test, whose log names two failures of run 5; and this test.
+ * Guards against giving up a gang one failed run too early. A run counts as one
+ * failure, however many of its members fail. A member fails, and the failure is
+ * recorded; another member fails on an unreachable endpoint; another box takes over
+ * and receives the second report. Unless the record lists the runs that have counted,
+ * that box counts the run again (seed 47 of random_slow_ends_test, run 5).
  */
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
@@ -19,12 +14,12 @@
 const RUN_MS = 20_000;
 /** Failed runs after which the gang is given up. */
 const ATTEMPTS = 2;
-/** Time for a record, or until a failure is told, in ms. */
+/** Time to write a record or to report a failure, in ms. */
 const DELIVERY_MS = 500;
-/** Time in which another box takes over and the gang runs again, in ms. */
+/** Time for a takeover and a restart of the gang, in ms. */
 const TIMEOUT_MS = 20_000;
 
-/** A gang of two on two endpoints, with room for another one beside it. */
+/** Starts a gang of two on two endpoints; two further endpoints are free. */
 async function startGang(): Promise<TestUtils.TestFleet> {
   const access = TestUtils.buildAccess();
   const queues = access.queues.map((queue) => ({
@@ -47,7 +42,7 @@
   return fleet;
 }
 
-/** Both members fail in one run; the second is heard of after this. */
+/** Fails both members in one run; the second is reported after `meanwhile`. */
 async function failTwice(
   fleet: TestUtils.TestFleet,
   meanwhile: () => Promise<void>,
@@ -64,13 +59,13 @@
   fleet.workers.carry = () => StandIns.OrderFate.Carried;
 }
 
-/** Whether both members run again. */
+/** Returns whether both members run again in time. */
 function restarts(fleet: TestUtils.TestFleet): Promise<boolean> {
   const hasRestarted = () => fleet.workers.runs.length === 4;
   return fleet.until(hasRestarted, TIMEOUT_MS);
 }
 
-vitest.describe("a gang's run in which two members fail", () => {
+vitest.describe("a gang run in which two members fail", () => {
   vitest.it("counts as one failure", async () => {
     const fleet = await startGang();
     await failTwice(fleet, () => fleet.clock.advance(DELIVERY_MS));
@@ -78,7 +73,7 @@
     await fleet.stop();
   });
 
-  vitest.it("counts as one failure also where a box takes over", async () => {
+  vitest.it("counts as one failure also after a takeover", async () => {
     const fleet = await startGang();
     await failTwice(fleet, () => fleet.kill(fleet.coordinator() ?? ""));
     vitest.expect(await restarts(fleet)).toBe(true);
--- a/packages/workflow-node/src/gang_takeover_test.ts
+++ b/packages/workflow-node/src/gang_takeover_test.ts
@@ -1,10 +1,10 @@
 /**
- * A task of a gang ran twice at once where an earlier coordinator had told a member to
- * stop. Order of events: the stop is sent, its coordinator dies, and the endpoint
- * carries the stop out late; the other members break as it begins. The next
- * coordinator sees the member there, then the breaks, then nothing of the member's
- * endpoint, and knows of no stop: so it took the member for the one that had ended
- * first, and placed the gang anew while the member was still stopping.
+ * Guards against two concurrent runs of a gang's task after an earlier coordinator
+ * stopped a member. The stop is sent, its coordinator ends, and the endpoint carries it
+ * out late; the other members break as it begins. The next coordinator receives a
+ * report of the running member, then of the breaks, and then its endpoint becomes
+ * unreachable. Having no record of the stop, it must not assume that this member ended
+ * first and place the gang anew while the member is still stopping.
  */
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
@@ -19,11 +19,11 @@
 
 interface Gang {
   readonly fleet: TestUtils.TestFleet;
-  /** First runs of its members. */
+  /** First runs of the members. */
   readonly runs: readonly StandIns.TaskRunNote[];
 }
 
-/** Room for a gang and for another one beside it. */
+/** Creates a fleet with capacity for two gangs. */
 function createFleet() {
   const fleet = new TestUtils.TestFleet({ workers: [1, 1, 1, 1, 1, 1, 1] });
   const { workers } = fleet;
@@ -38,7 +38,7 @@
   await fleet.submit("node-1", ID, { steps });
 }
 
-/** A gang that has run for a second. */
+/** Starts a gang and lets it run for a second. */
 async function startGang(): Promise<Gang> {
   const { fleet } = createFleet();
   await fleet.start();
@@ -48,7 +48,7 @@
   return { fleet, runs: [...fleet.workers.runs] };
 }
 
-/** The next coordinator takes over; returns the token of the former one. */
+/** Replaces the coordinator; returns the fencing token of the previous one. */
 async function replaceCoordinator(
   fleet: TestUtils.TestFleet,
 ): Promise<number> {
@@ -58,7 +58,7 @@
   return token;
 }
 
-/** A stop that was sent under an earlier token arrives now, and takes its time. */
+/** Delivers a stop that was sent under an earlier token; the run takes long to end. */
 function deliverStop(
   fleet: TestUtils.TestFleet,
   { task, run, worker }: StandIns.TaskRunNote,
@@ -70,11 +70,11 @@
   Effect.runSync(workers.stop(ref, { task, run, fencingToken }));
 }
 
-vitest.describe("a member that an earlier coordinator told to stop", () => {
+vitest.describe("a member that an earlier coordinator stopped", () => {
   vitest.it("does not count as the first that ended", async () => {
     const { fleet, runs: [first, second, third] } = await startGang();
     const { workers } = fleet;
-    // Its endpoint is not heard by the next coordinator, but for one look.
+    // The next coordinator gets an answer to one poll of its endpoint only.
     let pollsLeft = 0;
     const dropOrders: typeof workers.carry = (id, order) =>
       id !== third.worker || (order === "renew" && pollsLeft-- > 0)
@@ -102,7 +102,7 @@
   vitest.it("does not count as the first that ended", async () => {
     const { fleet, workers } = createFleet();
     await fleet.start();
-    // The start of one member arrives 2.5 s late, and its endpoint is not heard then.
+    // One member's start arrives 2.5 s late, and its endpoint is unreachable then.
     let lateEndpoint = "";
     workers.carry = (id, order) => {
       if (order === "start" && lateEndpoint === "") lateEndpoint = id;
--- a/packages/workflow-node/src/given_up_test.ts
+++ b/packages/workflow-node/src/given_up_test.ts
@@ -1,4 +1,4 @@
-/** Operators are shown for which runs a workflow was given up. */
+/** Reports to operators list the runs for which a workflow was given up. */
 import type * as Coordinator from "@cairngate/coordinator";
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
@@ -8,9 +8,9 @@
 const CRASHING_ID = "c000000000000001";
 const TASK = `${CRASHING_ID}.0.0.0`;
 const TIMEOUT_MS = 60_000;
-/** An entry lapses after so much silence, in ms: three heartbeats of 0.5 s. */
+/** Time without heartbeats after which an entry expires, in ms: three of 0.5 s. */
 const ENTRY_EXPIRY_MS = 1500;
-/** Time from a start to the end of its endpoint, in ms: the start is answered. */
+/** Time from start to crash, in ms; the start is answered before. */
 const CRASH_DELAY_MS = 400;
 
 function crashTasks(fleet: TestUtils.TestFleet): void {
@@ -25,7 +25,7 @@
   return () => fleet.state(CRASHING_ID) === Workflow.WorkflowState.Failed;
 }
 
-/** What any node tells operators of the workflow. */
+/** Returns the report on the workflow that any box gives to operators. */
 async function readReport(
   fleet: TestUtils.TestFleet,
 ): Promise<Coordinator.WorkflowStory | null> {
@@ -40,7 +40,7 @@
 }
 
 vitest.describe("a workflow that was given up", () => {
-  vitest.it("shows its runs, also after a restart of all boxes", async () => {
+  vitest.it("lists its runs, also after a restart of all boxes", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1, 1, 1, 1] });
     crashTasks(fleet);
     await fleet.start();
@@ -72,19 +72,19 @@
     await fleet.stop();
   });
 
-  vitest.it("shows runs that earlier coordinators saw", async () => {
+  vitest.it("lists runs of earlier coordinators", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1, 1, 1, 1] });
     crashTasks(fleet);
     await fleet.start();
     await fleet.submit("node-1", CRASHING_ID);
-    // Its crash is known once the second run has begun elsewhere.
+    // The crash has been detected once the second run starts elsewhere.
     await fleet.until(
       () => fleet.workers.runsOf(TASK).length === 2,
       TIMEOUT_MS,
     );
-    const previous = fleet.coordinator() ?? "";
-    await fleet.kill(previous);
-    fleet.startNode(`${previous}+`);
+    const coordinator = fleet.coordinator() ?? "";
+    await fleet.kill(coordinator);
+    fleet.startNode(`${coordinator}+`);
     await fleet.until(isFailed(fleet), TIMEOUT_MS);
     const giveUp = (await readReport(fleet))?.giveUp;
     vitest.expect(giveUp?.isPartial).toBe(false);
@@ -93,7 +93,7 @@
     await fleet.stop();
   });
 
-  vitest.it("shows failed runs by the endpoints' own word", async () => {
+  vitest.it("lists failures that the endpoints reported", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1, 1] });
     fleet.workers.behave = () => ({ runMs: 100, fails: true });
     await fleet.start();
@@ -107,7 +107,7 @@
     await fleet.stop();
   });
 
-  vitest.it("has a line in the log for each of its runs", async () => {
+  vitest.it("is logged with one line for each of its runs", async () => {
     const messages: string[] = [];
     const fleet = new TestUtils.TestFleet({
       workers: [1, 1, 1, 1],
@@ -130,7 +130,7 @@
     await fleet.stop();
   });
 
-  vitest.it("of an earlier version is told without its runs", async () => {
+  vitest.it("by an earlier version is reported without runs", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1, 1, 1, 1] });
     crashTasks(fleet);
     await fleet.start();
@@ -152,8 +152,8 @@
   });
 });
 
-vitest.describe("a run whose endpoint is neither heard nor listed", () => {
-  vitest.it("is one entry, also for the next coordinator", async () => {
+vitest.describe("a run on an unreachable, unlisted endpoint", () => {
+  vitest.it("has one history entry, also after a takeover", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1, 1] });
     fleet.workers.behave = () => ({ runMs: 2 * TIMEOUT_MS, fails: false });
     await fleet.start();
@@ -163,13 +163,13 @@
     const [{ worker: lost }] = fleet.workers.runs;
     fleet.workers.carry = (endpoint) =>
       endpoint === lost ? StandIns.OrderFate.Lost : StandIns.OrderFate.Carried;
-    // Entries lapse only after some silence; one that goes at once has left.
+    // An endpoint that is unlisted without prior silence counts as having left.
     await fleet.clock.advance(ENTRY_EXPIRY_MS);
     fleet.unlist(lost);
     await fleet.clock.advance(TIMEOUT_MS / 2);
-    const previous = fleet.coordinator() ?? "";
-    await fleet.kill(previous);
-    fleet.startNode(`${previous}+`);
+    const coordinator = fleet.coordinator() ?? "";
+    await fleet.kill(coordinator);
+    fleet.startNode(`${coordinator}+`);
     await fleet.clock.advance(TIMEOUT_MS / 2);
     const [row] = fleet.table.rowsUnder("progress:")
       .filter(({ key }) => key.endsWith(`/${CRASHING_ID}`));
@@ -189,7 +189,7 @@
 });
 
 vitest.describe("a workflow that was not given up", () => {
-  vitest.it("is told of by its state", async () => {
+  vitest.it("is reported with its state only", async () => {
     const fleet = new TestUtils.TestFleet();
     await fleet.start();
     vitest.expect(await readReport(fleet)).toBeNull();
--- a/packages/workflow-node/src/grey_endpoints_test.ts
+++ b/packages/workflow-node/src/grey_endpoints_test.ts
@@ -1,23 +1,23 @@
 /**
- * Endpoints that fail whatever they start, at once, for some seconds: what callers
- * get of wide gangs and of batches with few attempts. Answers the load of a day on
- * which a sixth of the endpoints does so for 5 s.
+ * Guards against failed workflows when some endpoints fail every run at once for some
+ * seconds: wide gangs and batches with few attempts must still complete. Models a day's
+ * load on which a sixth of the endpoints does so for 5 s.
  */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
 
-/** Endpoints of the fleet, four to a rack. */
+/** Number of endpoints, four to a rack. */
 const ENDPOINTS = 48;
-/** Each sixth endpoint fails what it starts. */
+/** Every sixth endpoint fails its runs. */
 const FAILING_STRIDE = 6;
-/** Time for which they do so, in ms. */
+/** Time during which these endpoints fail their runs, in ms. */
 const FAILURE_PERIOD_MS = 5000;
-/** Time from a start there to its failure, in ms. */
+/** Time from the start of a run there to its failure, in ms. */
 const FAILURE_DELAY_MS = 50;
-/** Time of a run on an endpoint that is well, in ms. */
+/** Duration of a run on a healthy endpoint, in ms. */
 const RUN_MS = 3000;
-/** Workflows of each kind that are handed in while endpoints fail. */
+/** Workflows of each kind, submitted while endpoints fail. */
 const WORKFLOWS_PER_KIND = 6;
 /** Accelerators of an endpoint. */
 const ACCELERATORS = 8;
@@ -75,9 +75,9 @@
   };
 }
 
-vitest.describe("endpoints that fail what they start", () => {
+vitest.describe("endpoints that fail every run", () => {
   for (const seed of [1, 2, 3]) {
-    vitest.it(`cost no caller its work, seed ${seed}`, async () => {
+    vitest.it(`fail no workflow, seed ${seed}`, async () => {
       const { completed, failed } = await runScenario(seed);
       vitest.expect({ completed, failed })
         .toEqual({ completed: 2 * WORKFLOWS_PER_KIND, failed: 0 });
--- a/packages/workflow-node/src/hanging_look_test.ts
+++ b/packages/workflow-node/src/hanging_look_test.ts
@@ -1,14 +1,10 @@
 /**
- * A gang breaks, or urgent work takes the place of other work, while the look that
- * waits at one endpoint hangs.
- *
- * Symptom: gangs that had broken began again 1.3 to 2.0 s later, where stops take 0.2 s.
- * Order: an order to the endpoint of a member gets no answer, the look that waits for
- * ends there; another member ends, and all are told to stop; the endpoint answers the
- * stop, ends the run and can't tell it.
- * Cause: nobody asked again before the look was given up, although the endpoint had
- * answered the stop.
- * Evidence: the next look, over another connection, told the end in some 15 ms.
+ * Guards against waiting for a hanging poll when a gang breaks or urgent work replaces
+ * other work. A poll that waits for ends at a member's endpoint gets no answer; another
+ * member ends, and all are stopped; the endpoint answers the stop and ends the run, but
+ * has no poll to report it on. Unless the coordinator polls again after the answered
+ * stop, a broken gang restarts 1.3 to 2.0 s later, where stops take 0.2 s and a poll
+ * over another connection reports the end in some 15 ms.
  */
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
@@ -17,10 +13,10 @@
 const ID = "a000000000000001";
 const URGENT_ID = "a000000000000002";
 const SIZE = 3;
-/** A stop (0.5 s here), what an answer and a plan take, and no hanging look, in ms. */
+/** Time for a stop (0.5 s here), its answer and a plan, but no hanging poll, in ms. */
 const TIMEOUT_MS = 1000;
 
-/** Work that runs, with the looks at the endpoint of its first task hanging once. */
+/** Starts work; one poll of the endpoint of its first task hangs. */
 async function startWithHangingPoll(
   workers: readonly number[],
   gang: boolean,
@@ -47,8 +43,8 @@
   return fleet;
 }
 
-vitest.describe("a look that hangs", () => {
-  vitest.it("does not hold up a gang that has broken", async () => {
+vitest.describe("a hanging poll", () => {
+  vitest.it("does not delay a gang that has broken", async () => {
     const fleet = await startWithHangingPoll([1, 1, 1, 1, 1, 1], true);
     const [, { task }] = fleet.workers.runs;
     fleet.workers.endNow(task, "failed");
@@ -59,7 +55,7 @@
     await fleet.stop();
   });
 
-  vitest.it("does not hold up urgent work that takes the place", async () => {
+  vitest.it("does not delay urgent work that replaces other work", async () => {
     const fleet = await startWithHangingPoll([1, 1, 1], false);
     const steps = [TestUtils.buildStep({ count: SIZE, gang: true })];
     await fleet.submit("node-1", URGENT_ID, { steps, priority: 0 });
--- a/packages/workflow-node/src/impatient_caller_test.ts
+++ b/packages/workflow-node/src/impatient_caller_test.ts
@@ -1,14 +1,14 @@
-/** A caller that says how long it waits gets its answer while it waits. */
+/** A caller that gives a time limit gets its answer within the limit. */
 import type * as Errors from "@cairngate/errors";
 import * as TableClient from "@cairngate/table-client";
 import * as TestUtils from "@cairngate/test-utils";
 import * as Effect from "effect/Effect";
 import * as vitest from "vitest";
 
-/** A store 75 times slower than usual takes about this long, in ms. */
+/** Duration of a call to a store 75 times slower than usual, in ms. */
 const STORE_DELAY_MS = 700;
 
-/** Hands in with so much time left; the answer, and after how long it came. */
+/** Submits with this time limit; returns the error and the time taken, in ms. */
 async function submit(
   fleet: TestUtils.TestFleet,
   timeoutMs: number,
@@ -33,8 +33,8 @@
   return { err: err as Errors.StoreUnavailableError | null, tookMs };
 }
 
-vitest.describe("a caller that waits for a limited time", () => {
-  vitest.it("is told before it leaves that it may be done", async () => {
+vitest.describe("a caller with a time limit", () => {
+  vitest.it("gets an uncertain answer if the store is silent", async () => {
     const fleet = new TestUtils.TestFleet();
     await fleet.start();
     fleet.faultsOf("node-1").set({ silent: true });
@@ -44,13 +44,13 @@
     await fleet.stop();
   });
 
-  vitest.it("is refused at once where the store takes longer", async () => {
+  vitest.it("is refused at once if the store takes longer", async () => {
     const fleet = new TestUtils.TestFleet();
     await fleet.start();
     for (const name of fleet.nodes.keys()) {
       fleet.faultsOf(name).set({ delayMs: STORE_DELAY_MS });
     }
-    // The box learns from its own writes how slow the store is.
+    // The box estimates the delay of the store from its own writes.
     for (let i = 0; i < 6; i++) await fleet.submit("node-1", `b${i}`);
     const { err, tookMs } = await submit(fleet, STORE_DELAY_MS / 2);
     vitest.expect(err?._tag).toBe("StoreUnavailableError");
@@ -59,7 +59,7 @@
     await fleet.stop();
   });
 
-  vitest.it("is served where there is time", async () => {
+  vitest.it("is served if there is enough time", async () => {
     const fleet = new TestUtils.TestFleet();
     await fleet.start();
     const { err } = await submit(fleet, 300);
@@ -68,11 +68,11 @@
   });
 });
 
-vitest.describe("a store that refuses for want of time", () => {
-  vitest.it("gets a few writes for one submission", async () => {
+vitest.describe("an overloaded store that refuses writes", () => {
+  vitest.it("gets few writes for one submission", async () => {
     const fleet = new TestUtils.TestFleet();
     await fleet.start();
-    // Every call takes 300 ms, and writes are refused by a store with a queue.
+    // Every call takes 300 ms, as in a store with a queue, and writes are refused.
     const downPartitions = TableClient.Keys.PARTITIONS;
     for (const name of fleet.nodes.keys()) {
       fleet.faultsOf(name).set({ delayMs: 300, downPartitions });
--- a/packages/workflow-node/src/late_copy_test.ts
+++ b/packages/workflow-node/src/late_copy_test.ts
@@ -1,6 +1,7 @@
 /**
- * A workflow is filed, cancelled and filed once more elsewhere while a new
- * coordinator still reads on a slow link.
+ * Guards against starts of a cancelled workflow: it is submitted, cancelled and
+ * submitted again to another partition while a new coordinator is still reading over a
+ * slow link.
  */
 import * as TableClient from "@cairngate/table-client";
 import * as TestUtils from "@cairngate/test-utils";
@@ -8,17 +9,17 @@
 
 const ID = "a000000000000001";
 const HOME_PARTITION = TableClient.Keys.homePartition(ID);
-/** A start later than this after the acknowledgement breaks a promise, in ms. */
+/** Latest permitted start after an acknowledged cancel, in ms. */
 const MAX_START_DELAY_MS = 4000;
-/** Time that a kilobyte takes at 2 Mbit/s, in ms. */
+/** Transfer time of a kilobyte at 2 Mbit/s, in ms. */
 const KILOBYTE_MS = 4;
-/** Rows of each partition: some seconds on that link. */
+/** Rows of each partition, which take some seconds to read over that link. */
 const FILLER_ROWS = 60;
 const ROW_TEXT = "x".repeat(5000);
-/** From the election on until the pages of the home have passed the id, in ms. */
+/** Time from the election until the scan of the home has passed the id, in ms. */
 const READ_PAST_ID_MS = 6500;
 
-/** In the home the rows come after the id, elsewhere before it. */
+/** Writes rows that sort after the id in its home and before it elsewhere. */
 function fillPartitions(fleet: TestUtils.TestFleet): void {
   for (const partition of TableClient.Keys.PARTITIONS) {
     const prefix = partition === HOME_PARTITION ? "c" : "0";
@@ -42,7 +43,7 @@
     const kilobyteMs = name === "door" ? 0 : KILOBYTE_MS;
     fleet.faultsOf(name).set({ kilobyteMs });
   }
-  // The door does not stand for election.
+  // Without the store, this box cannot be elected.
   fleet.faultsOf("door").set({ down: true });
   await fleet.kill(coordinator);
   await fleet.until(() => fleet.token() > token);
@@ -70,7 +71,7 @@
     vitest.expect(await runScenario(false)).toEqual([]);
   });
 
-  vitest.it("does not start from a copy that is filed later", async () => {
+  vitest.it("does not start from a copy that is written later", async () => {
     vitest.expect(await runScenario(true)).toEqual([]);
   });
 });
--- a/packages/workflow-node/src/late_done_test.ts
+++ b/packages/workflow-node/src/late_done_test.ts
@@ -38,7 +38,7 @@
       steps: [TestUtils.buildStep({ estimateMs: RUN_MS })],
     });
     await fleet.until(() => starts > FIRST_RUN_TRIES);
-    // The restarted endpoint gets the late start and is unreachable until the run is done.
+    // The restarted endpoint gets the late start and is unreachable until its run ends.
     workers.crash("worker-0");
     workers.carry = () => Lost;
     fleet.beginAgain({ id: "worker-0", accelerators: 1 });
--- a/packages/workflow-node/src/late_failures_test.ts
+++ b/packages/workflow-node/src/late_failures_test.ts
@@ -1,4 +1,4 @@
-/** Failures that endpoints tell late are counted all the same. */
+/** Guards against uncounted failures that endpoints report late. */
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
@@ -7,27 +7,27 @@
 const ID = "f000000000000001";
 const MEMBERS: readonly string[] = [0, 1, 2].map((i) => `${ID}.0.0.${i}`);
 const [FAILING, ...OTHERS] = MEMBERS;
-/** Failed runs after which nothing starts, as the queues of test-utils say. */
+/** Failed runs after which a gang is given up; as in the queues of test-utils. */
 const MAX_ATTEMPTS = 3;
 /** Time from the start of a run to its failure, in ms. */
 const FAILURE_DELAY_MS = 40;
-/** Time for which the endpoint of a failed run is not heard, in ms. */
+/** Time for which the endpoint of a failed run is unreachable, in ms. */
 const SILENT_MS = 1500;
-/** Length of a play, in ms: some ten leases of 6 s. */
+/** Duration of a scenario, in ms: ten leases of 6 s. */
 const TIMEOUT_MS = 60_000;
-/** Time between two looks at what has failed, in ms: half of a run. */
+/** Interval at which failures are sampled, in ms: half of a run. */
 const SAMPLE_MS = 20;
 
-/** What a test changes in the play of a gang. */
+/** Parameters of a gang that fails. */
 interface Scenario {
-  /** Time for which the endpoint of a failed run is not heard, in ms. */
+  /** Time for which the endpoint of a failed run is unreachable, in ms. */
   readonly silentMs: number;
   /** Members that fail in each run. */
   readonly failing: readonly string[];
   readonly lasting: boolean;
-  /** How long the play lasts, in ms. */
+  /** Duration of the scenario, in ms. */
   readonly durationMs: number;
-  /** Ends the coordinator's box so long after each failure, in ms; null: never. */
+  /** Time from each failure to the end of the coordinator, in ms; null: none. */
   readonly takeoverDelayMs: number | null;
 }
 
@@ -39,7 +39,7 @@
   takeoverDelayMs: null,
 };
 
-/** A gang of three of which some members fail soon after each start. */
+/** Starts a gang of three of which some members fail soon after each start. */
 async function startFailingGang(
   { failing, lasting }: Scenario,
 ): Promise<TestUtils.TestFleet> {
@@ -54,7 +54,7 @@
   return fleet;
 }
 
-/** Whether the endpoint is not heard, because a run has failed there lately. */
+/** Returns whether a recent failure makes the endpoint unreachable. */
 function isSilent(
   fleet: TestUtils.TestFleet,
   endpoint: string,
@@ -69,7 +69,7 @@
   );
 }
 
-/** The other members end with a failed one, and its endpoint falls silent. */
+/** Breaks the other members after each failure, with its endpoint unreachable. */
 async function runGang(
   fleet: TestUtils.TestFleet,
   scenario: Scenario,
@@ -104,7 +104,7 @@
   return fleet.state(ID) === Workflow.WorkflowState.Failed;
 }
 
-/** Plays a gang; returns how often each failing member ran. */
+/** Runs a gang; returns how often each failing member ran and if the gang failed. */
 async function countRuns(changes: Partial<Scenario>): Promise<{
   readonly runs: readonly number[];
   readonly failed: boolean;
@@ -120,50 +120,43 @@
   return { runs, failed };
 }
 
-vitest.describe("a gang whose failures are told late", () => {
+vitest.describe("a gang whose failures are reported late", () => {
   vitest.it("is given up after its attempts", async () => {
     const { runs, failed } = await countRuns({});
     vitest.expect(runs).toEqual([MAX_ATTEMPTS]);
     vitest.expect(failed).toBe(true);
   });
 
-  vitest.it("is given up though they come after the next failure", async () => {
+  vitest.it("is given up if they follow the next failure", async () => {
     const { runs, failed } = await countRuns({ silentMs: 4000 });
     vitest.expect(runs).toEqual([MAX_ATTEMPTS]);
     vitest.expect(failed).toBe(true);
   });
 
-  vitest.it("is given up with two members that are silent", async () => {
+  vitest.it("is given up with two unreachable members", async () => {
     const failing = [FAILING, OTHERS[0]];
     const { runs, failed } = await countRuns({ failing });
     vitest.expect(Math.max(...runs)).toBe(MAX_ATTEMPTS);
     vitest.expect(failed).toBe(true);
   });
 
-  /** Before the gang is given up, after that, and after it has begun again. */
+  /** Takeovers before the gang's run is abandoned, after that and after its restart. */
   for (const takeoverDelayMs of [0, 400, 700]) {
     for (const silentMs of [SILENT_MS, 4000]) {
-      const when =
-        `though a term ends ${takeoverDelayMs} ms after each failure, ` +
+      const when = `if a term ends ${takeoverDelayMs} ms after each failure, ` +
         `${silentMs} ms of silence`;
       vitest.it(`is given up ${when}`, async () => {
-        const { runs, failed } = await countRuns({
-          takeoverDelayMs,
-          silentMs,
-        });
+        const { runs, failed } = await countRuns({ takeoverDelayMs, silentMs });
         vitest.expect(runs).toEqual([MAX_ATTEMPTS]);
         vitest.expect(failed).toBe(true);
       });
     }
   }
 
-  vitest.it("goes on where it lasts", async () => {
-    // It runs hundreds of times in the time of the others.
+  vitest.it("is not given up if it is lasting", async () => {
+    // It would run hundreds of times in the full duration.
     const durationMs = TIMEOUT_MS / 4;
-    const { runs, failed } = await countRuns({
-      lasting: true,
-      durationMs,
-    });
+    const { runs, failed } = await countRuns({ lasting: true, durationMs });
     vitest.expect(runs[0]).toBeGreaterThan(MAX_ATTEMPTS);
     vitest.expect(failed).toBe(false);
   });
@@ -186,7 +179,7 @@
       const hasStarted = () =>
         fleet.workers.runsOf(`${ID}.0.0.0`).length >= run;
       vitest.expect(await fleet.until(hasStarted)).toBe(true);
-      // Its stop is on its way when it fails.
+      // The stop is lost, so that the run fails before it arrives.
       fleet.workers.carry = (_, order) =>
         order === "stop" ? StandIns.OrderFate.Lost : StandIns.OrderFate.Carried;
       await submitUrgent(run);
--- a/packages/workflow-node/src/late_records_test.ts
+++ b/packages/workflow-node/src/late_records_test.ts
@@ -1,6 +1,7 @@
 /**
- * Runs whose records are read late in a takeover, when the session with their
- * endpoint knows already that it has ended, or is neither heard nor listed.
+ * Guards against lost runs whose records are read late in a takeover, after the new
+ * coordinator has detected the end of their endpoint, or after the endpoint is both
+ * unreachable and unlisted.
  */
 import * as TableClient from "@cairngate/table-client";
 import * as TestUtils from "@cairngate/test-utils";
@@ -22,7 +23,7 @@
   }
 }
 
-/** A run is known to the next coordinator only once its partition is back. */
+/** Replaces the coordinator while the home is unavailable; returns the endpoint. */
 async function takeOverWithoutHome(
   fleet: TestUtils.TestFleet,
   ids: readonly string[],
@@ -41,7 +42,7 @@
 
 vitest.describe("a run whose record is read late", () => {
   vitest.it(
-    "starts again though its endpoint's end was seen before",
+    "starts again if its endpoint's end was detected before",
     async () => {
       const fleet = new TestUtils.TestFleet({ workers: [1, 1, 1] });
       fleet.crashBackMs = 1000;
@@ -60,9 +61,9 @@
     },
   );
 
-  vitest.it("starts again though its endpoint was gone before", async () => {
+  vitest.it("starts again if its endpoint was gone before", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [2, 2] });
-    // Both on one endpoint: the other one is listed later.
+    // Both tasks run on one endpoint, because the other one is listed later.
     fleet.unlist("worker-1");
     const worker = await takeOverWithoutHome(fleet, [FIRST_ID, SECOND_ID]);
     fleet.workers.onCrash = () => {};
--- a/packages/workflow-node/src/late_starts_test.ts
+++ b/packages/workflow-node/src/late_starts_test.ts
@@ -1,7 +1,7 @@
 /**
  * Guards against two concurrent runs of a task, and against repeating completed work:
- * an unanswered start is delivered seconds later, after its endpoint has restarted under
- * the same id and before the restarted endpoint has answered.
+ * an unanswered start is delivered seconds later, after its endpoint has restarted
+ * under the same id and before the restarted endpoint has answered.
  */
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
@@ -20,7 +20,7 @@
 
 const { AnswerLost, Carried, Late, Silent } = StandIns.OrderFate;
 
-/** Submits one task; returns the fleet and the time at which its first start was sent. */
+/** Submits one task; returns the fleet and the time of its first start order. */
 async function submitTask(
   runMs: number,
   isLate: (endpoint: string) => boolean,
@@ -42,7 +42,7 @@
   return { fleet, firstSentAtMs: firstSentAtMs ?? 0 };
 }
 
-/** Crashes an endpoint and restarts it under its id shortly before a late start arrives. */
+/** Crashes an endpoint; restarts it under its id shortly before a late start arrives. */
 async function crashAndBeginAgain(
   fleet: TestUtils.TestFleet,
   id: string,
@@ -126,7 +126,7 @@
     );
     const { workers } = fleet;
     const previousToken = fleet.token();
-    // The new coordinator's first look at the endpoint gets no answer.
+    // The new coordinator's first poll of the endpoint gets no answer.
     let hasHung = false;
     workers.carry = (id, order) => {
       const isHanging = !hasHung && fleet.token() > previousToken &&
--- a/packages/workflow-node/src/leader_fitness.ts
+++ b/packages/workflow-node/src/leader_fitness.ts
@@ -1,38 +1,38 @@
-/** Compares this box with the others as a place for the coordinator. */
+/** Ranks this box among the others as a candidate for coordinator. */
 import * as Coordinator from "@cairngate/coordinator";
 import * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
 import type * as members from "./member_book.ts";
 
-/** What the comparison needs. */
+/** Data and ports for {@link LeaderFitness}. */
 export interface LeaderFitnessOptions {
   /** Name of this box. */
   readonly node: string;
-  /** Processor of this box, in cores. */
+  /** Processor capacity of this box, in cores. */
   readonly cores: number;
-  /** Wall-clock time at which this process began, as its row tells it. */
+  /** Wall-clock time at which this process started, as stored in its row. */
   readonly startedAtMs: number;
   readonly others: () => readonly members.Member[];
   readonly peers: Ports.StorePeers;
-  /** Whether this box reaches the store without a peer's help. */
+  /** Whether this box reaches the store directly, without a peer as relay. */
   readonly reachesStore: () => boolean;
 }
 
-/** A box is fitter only with this many times the processor: a move costs time. */
+/** Ratio of cores from which another box is fitter; a handover takes time. */
 const MIN_CORES_RATIO = 1.5;
-/** Boxes that are asked whether they answer, the fittest first. */
+/** Maximum number of boxes to probe, the fittest first. */
 const MAX_PROBES = 4;
-/** A box that takes longer to answer, in ms, is not the place to move to. */
+/** Time limit of a probe, in ms; slower boxes are not considered. */
 const PROBE_TIMEOUT_MS = 400;
 
 /**
- * Boxes that follow each renewal; the others look seldom. With 45 boxes, renewals
- * each 350 ms woke all of them: 129 calls a second, with six 17. Six are two in each
- * data centre of the users' grown fleets.
+ * Number of boxes that follow each renewal of the term; the others poll rarely. With
+ * renewals every 350 ms, 45 followers make 129 calls a second, and six make 17. Six
+ * allows two in each data centre of a large fleet.
  */
 const CLOSE_WATCHERS = 6;
 
-/** Fitness by processor and by the way to the store. */
+/** Fitness by processor capacity and by access to the store. */
 export class LeaderFitness extends Coordinator.Fitness {
   readonly #options: LeaderFitnessOptions;
 
@@ -49,7 +49,7 @@
     return this.#fitterBoxes().length > 0;
   }
 
-  /** In the order in which a box is chosen to follow another. */
+  /** Ranks boxes in the order in which successors are chosen. */
   override isCloseWatcher(): boolean {
     const preferred = this.#options.others().filter((member) =>
       compareBoxes(member, this.#options) < 0
@@ -65,15 +65,12 @@
     return this.#findFirstReachable(this.#options.others());
   }
 
-  /** The first box that answers. */
+  /** Returns the fittest box that is reachable, or null. */
   #findFirstReachable(
     candidates: readonly members.Member[],
   ): Effect.Effect<string | null> {
     return Effect.gen({ self: this }, function* () {
-      const ranked = [...candidates].sort(compareBoxes).slice(
-        0,
-        MAX_PROBES,
-      );
+      const ranked = [...candidates].sort(compareBoxes).slice(0, MAX_PROBES);
       const answers = yield* Effect.forEach(
         ranked,
         (member) => this.#isReachable(member),
@@ -88,7 +85,7 @@
     return others().filter((member) => member.cores >= cores * MIN_CORES_RATIO);
   }
 
-  /** Whether a box answers now and reaches the store itself. */
+  /** Returns whether a box answers in time and reaches the store directly. */
   #isReachable(member: members.Member): Effect.Effect<boolean> {
     const probe = { kind: Ports.StoreCallKind.Probe } as const;
     return this.#options.peers.call(member, probe, PROBE_TIMEOUT_MS).pipe(
@@ -99,8 +96,8 @@
 }
 
 /**
- * The box with most processor comes first; of equal ones the one that started last,
- * because a rolling restart has passed it already.
+ * Orders boxes by cores, most first; among equals the one that started last comes
+ * first, because a rolling restart has already passed it.
  */
 function compareBoxes(a: BoxRank, b: BoxRank): number {
   return b.cores - a.cores || b.startedAtMs - a.startedAtMs ||
--- a/packages/workflow-node/src/leader_fitness_test.ts
+++ b/packages/workflow-node/src/leader_fitness_test.ts
@@ -1,13 +1,13 @@
-/** The box that coordinates is one that has the room for it. */
+/** Boxes with more processor capacity are preferred as coordinator. */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
 
 const ID = "a000000000000001";
-/** Boxes with more processor than the others. */
+/** Boxes with more processor capacity than the others. */
 const LARGE_BOXES = ["node-3", "node-5"];
 const BOXES = 7;
-/** Work that runs for as long as its estimate. */
+/** Steps that run for as long as their estimate. */
 const STEPS = [TestUtils.buildStep({ estimateMs: 5000 })];
 
 function coresOf(name: string): number {
@@ -27,7 +27,7 @@
 }
 
 vitest.describe("the coordinator", () => {
-  vitest.it("is a box with more processor, at the first start", async () => {
+  vitest.it("is a larger box after the first start", async () => {
     for (const seed of [1, 2, 3, 4]) {
       const fleet = await startFleet(seed);
       vitest.expect(isOnLargeBox(fleet)).toBe(true);
@@ -35,7 +35,7 @@
     }
   });
 
-  vitest.it("is such a box again after it was lost", async () => {
+  vitest.it("is another larger box after it was lost", async () => {
     for (const seed of [1, 2, 3, 4]) {
       const fleet = await startFleet(seed);
       const token = fleet.token();
@@ -49,7 +49,7 @@
     }
   });
 
-  vitest.it("is a small box while no other is there", async () => {
+  vitest.it("is a small box while there is no larger one", async () => {
     const fleet = await startFleet();
     for (const name of LARGE_BOXES) await fleet.kill(name);
     await fleet.submit("node-1", ID, { steps: STEPS });
@@ -62,7 +62,7 @@
     const fleet = await startFleet();
     for (const name of LARGE_BOXES) await fleet.kill(name);
     await fleet.clock.advance(4000);
-    // A listing that tells an old time would make leases end too early.
+    // A listing with an old timestamp would make leases end too early.
     for (const i of [0, 1]) {
       fleet.list({ id: `worker-${i}`, accelerators: 2 }, i);
     }
@@ -80,7 +80,7 @@
   });
 
   vitest.it(
-    "goes on on a large box where the store turns it away",
+    "stays on a large box if the store refuses it",
     async () => {
       const fleet = await startFleet();
       await fleet.submit("node-1", ID, { steps: STEPS });
@@ -95,7 +95,7 @@
     },
   );
 
-  vitest.it("goes to a box that a rolling restart has passed", async () => {
+  vitest.it("moves to a box that a rolling restart has passed", async () => {
     const fleet = new TestUtils.TestFleet({ nodes: 5 });
     await fleet.start();
     const first = fleet.coordinator() ?? "";
--- a/packages/workflow-node/src/leaving_endpoints_test.ts
+++ b/packages/workflow-node/src/leaving_endpoints_test.ts
@@ -1,19 +1,19 @@
 /**
- * Endpoints that leave without a word: their entry goes, they serve on for a while,
- * and another one is at the address afterwards. One that answers after its entry
- * has gone has left and not crashed: its end is laid to no task.
+ * Endpoints leave without an announcement: their entry is removed, they continue to
+ * serve for some time, and another one is at the address afterwards. An endpoint that
+ * answers after the removal has left and not crashed: its end counts against no task.
  */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
 
 const ID = "a000000000000001";
-/** Time of a run, in ms: longer than an endpoint serves on. */
+/** Duration of a run, in ms; longer than an endpoint continues to serve. */
 const RUN_MS = 6000;
 const STEPS = [TestUtils.buildStep({ estimateMs: RUN_MS })];
-/** Time from the start of a run until the entry of its endpoint goes, in ms. */
+/** Time from the start of a run until its endpoint is unlisted, in ms. */
 const UNLIST_DELAY_MS = 500;
-/** Time for which an endpoint serves on, in ms: several looks answer in it. */
+/** Time for which an endpoint continues to serve, in ms: several polls. */
 const SHUTDOWN_MS = 3000;
 /** Time after which another endpoint is at the address, in ms. */
 const REPLACEMENT_DELAY_MS = 200;
@@ -28,7 +28,7 @@
   return fleet;
 }
 
-/** Endpoints leave under the task one after another; returns how its runs ended. */
+/** Removes the task's endpoints one after another; returns how its runs ended. */
 async function leaveRepeatedly(
   fleet: TestUtils.TestFleet,
   times: number,
@@ -50,9 +50,9 @@
   return () => fleet.state(ID) === Workflow.WorkflowState.Completed;
 }
 
-vitest.describe("an endpoint that leaves without a word", () => {
+vitest.describe("an endpoint that leaves unannounced", () => {
   for (const times of [1, 2, 5]) {
-    vitest.it(`is laid to no task, ${times} in a row`, async () => {
+    vitest.it(`counts against no task, ${times} in a row`, async () => {
       const fleet = await startTask();
       const ends = await leaveRepeatedly(fleet, times);
       const crashed = Array.from({ length: times }, () => "crashed");
@@ -63,7 +63,7 @@
     });
   }
 
-  vitest.it("ends its run before another takes its address", async () => {
+  vitest.it("completes its run before another takes its address", async () => {
     const fleet = await startTask();
     await fleet.until(() => fleet.workers.runs.length === 1);
     const [{ worker }] = fleet.workers.runs;
--- a/packages/workflow-node/src/lives_test.ts
+++ b/packages/workflow-node/src/lives_test.ts
@@ -1,4 +1,4 @@
-/** What a life of an endpoint leaves to the next one under its id, and what not. */
+/** Effects of an incarnation of an endpoint on the next one under the same id. */
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
@@ -8,10 +8,10 @@
 const OTHER_ID = "a000000000000002";
 const CRASHING_ID = "c000000000000001";
 const TASK = `${ID}.0.0.0`;
-/** Time of a run, in ms: less than a lease, more than a look. */
+/** Duration of a run, in ms: less than a lease, more than a poll. */
 const RUN_MS = 1000;
 const TIMEOUT_MS = 90_000;
-/** Users allow two starts after a third crash under a task. */
+/** Starts of a task that users permit: two after its third crash. */
 const MAX_STARTS = 5;
 
 async function startFleet(
@@ -29,10 +29,10 @@
   return () => fleet.state(id) === Workflow.WorkflowState.Completed;
 }
 
-vitest.describe("a new life under the same id", () => {
-  vitest.it("begins no start that was sent to the one before", async () => {
+vitest.describe("a new incarnation under the same id", () => {
+  vitest.it("carries out no start for the previous one", async () => {
     const fleet = await startFleet([1]);
-    // The first try has no answer and is carried out 2.5 s later; the second works.
+    // The first start gets no answer and is carried out 2.5 s later; the second works.
     let starts = 0;
     fleet.workers.carry = (_, order) =>
       order === "start" && starts++ === 0
@@ -48,15 +48,15 @@
   });
 
   vitest.it(
-    "is used though the former entry is written after its own",
+    "is used even if the previous entry is written after its own",
     async () => {
       const fleet = await startFleet([2]);
       await fleet.submit("node-1", ID);
       await fleet.until(isCompleted(fleet, ID));
-      const previous = fleet.entryOf("worker-0");
+      const entry = fleet.entryOf("worker-0");
       fleet.workers.crash("worker-0");
       await fleet.clock.advance(1000);
-      if (previous !== null) fleet.writeEntry({ ...previous, draining: true });
+      if (entry !== null) fleet.writeEntry({ ...entry, draining: true });
       await fleet.clock.advance(200);
       await fleet.submit("node-1", OTHER_ID);
       vitest.expect(await fleet.until(isCompleted(fleet, OTHER_ID), 4000)).toBe(
@@ -67,7 +67,7 @@
     },
   );
 
-  vitest.it("is found at another address", async () => {
+  vitest.it("is used at another address", async () => {
     const fleet = await startFleet([1]);
     fleet.crashBackMs = TIMEOUT_MS;
     fleet.workers.behave = () => ({ runMs: 5000, fails: false });
@@ -86,7 +86,7 @@
   });
 
   vitest.it(
-    "tells a crash to a coordinator that never saw the run",
+    "reveals a crash to a coordinator that never polled the run",
     async () => {
       const fleet = await startFleet([1, 1]);
       fleet.crashBackMs = 3000;
@@ -101,14 +101,14 @@
       const { runs } = fleet.workers;
       const isOver = () =>
         fleet.state(CRASHING_ID) === Workflow.WorkflowState.Failed;
-      // Each crash falls into a takeover.
+      // Each crash coincides with a takeover.
       for (let crash = 1; crash <= 3; crash++) {
         await fleet.until(() =>
           runs.length === crash && runs[crash - 1].how !== null
         );
-        const previous = fleet.coordinator() ?? "";
-        await fleet.kill(previous);
-        fleet.startNode(`${previous}+`);
+        const coordinator = fleet.coordinator() ?? "";
+        await fleet.kill(coordinator);
+        fleet.startNode(`${coordinator}+`);
       }
       vitest.expect(await fleet.until(isOver, TIMEOUT_MS)).toBe(true);
       vitest.expect(runs.length).toBeLessThanOrEqual(MAX_STARTS);
@@ -118,7 +118,7 @@
   );
 
   vitest.it(
-    "counts no crash where the one before had said it leaves",
+    "counts no crash if the previous one had announced its end",
     async () => {
       const fleet = await startFleet([1]);
       fleet.workers.behave = () => ({ runMs: 20_000, fails: false });
@@ -140,8 +140,8 @@
   );
 });
 
-vitest.describe("endpoints that tell no birth", () => {
-  vitest.it("are one life for each id", async () => {
+vitest.describe("endpoints that report no birth time", () => {
+  vitest.it("have one incarnation for each id", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [] });
     fleet.workers.birthOf = () => null;
     for (const [i, id] of ["i-0", "i-1"].entries()) {
--- a/packages/workflow-node/src/loose_starts_test.ts
+++ b/packages/workflow-node/src/loose_starts_test.ts
@@ -1,27 +1,28 @@
 /**
- * Starts that had no answer, for a life of an endpoint that has ended. The next life
- * under the id may carry one out seconds later: it is told to stop such runs first.
- * The coordinator forgot them with its session where the next life stood at another
- * address. Then a run began there beside the next run of its task.
+ * Guards against concurrent runs through unanswered starts for an incarnation that has
+ * ended. The next incarnation under the id may carry one out seconds later, so the
+ * coordinator first sends it stops for these runs. If the unanswered starts are dropped
+ * with the session because the next incarnation is at another address, such a run
+ * starts beside the next run of its task.
  */
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
 import * as vitest from "vitest";
 
 const ID = "a000000000000001";
-/** No endpoint is back within a test but by its own hand. */
+/** Longer than a test, in ms: no crashed endpoint returns by itself. */
 const NEVER_MS = 600_000;
-/** Longer than a late order takes to arrive, in ms. */
+/** Longer than a late order takes to be delivered, in ms. */
 const DELIVERY_MS = 5000;
 
-/** Returns what ran as it must not, of a task whose run takes this time. */
+/** Moves an endpoint under a task with this run time; returns the violations. */
 async function runScenario(runMs: number): Promise<string[]> {
   const fleet = new TestUtils.TestFleet({ workers: [1, 1] });
   fleet.keepsIds = true;
   fleet.crashBackMs = NEVER_MS;
   fleet.workers.behave = () => ({ runMs, fails: false });
   await fleet.start();
-  // The first try has no answer and is carried out 2.5 s later; the second works.
+  // The first start gets no answer and is carried out 2.5 s later; the second works.
   let starts = 0;
   fleet.workers.carry = (_, order) =>
     order === "start" && starts++ === 0
@@ -44,13 +45,13 @@
   return violations;
 }
 
-vitest.describe("a start without an answer", () => {
-  vitest.describe("where the next life stands at another address", () => {
-    vitest.it("begins nothing beside the next run", async () => {
+vitest.describe("an unanswered start", () => {
+  vitest.describe("if the next incarnation has another address", () => {
+    vitest.it("starts nothing beside the next run", async () => {
       vitest.expect(await runScenario(NEVER_MS)).toEqual([]);
     });
 
-    vitest.it("begins nothing that is done", async () => {
+    vitest.it("starts nothing that is done", async () => {
       vitest.expect(await runScenario(100)).toEqual([]);
     });
   });
--- a/packages/workflow-node/src/lost_data_centre_test.ts
+++ b/packages/workflow-node/src/lost_data_centre_test.ts
@@ -1,14 +1,14 @@
-/** One data centre loses power: its boxes, the coordinator among them, and its endpoints. */
+/** A data centre loses power, with the coordinator, another box and its endpoints. */
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
 
-/** Endpoints 0 to 3 stand in the data centre that goes, 4 to 11 in others. */
+/** Endpoints 0 to 3 are in the data centre that is lost, 4 to 11 in others. */
 const SIZES: readonly number[] = Array.from({ length: 12 }, () => 2);
 const LOST_DATA_CENTRE = "brno-a";
 const dataCentreOf = (index: number) =>
   index < 4 ? LOST_DATA_CENTRE : `other-${index % 2}`;
-/** A gang or a guarantee begins elsewhere by then: a takeover and a lease, in ms. */
+/** Time for a takeover and a lease, after which work starts elsewhere, in ms. */
 const RECOVERY_TIMEOUT_MS = 3000 + TestUtils.FLEET_BOUNDS.longestLeaseMs;
 
 async function startFleet() {
@@ -23,14 +23,14 @@
   return fleet;
 }
 
-/** The coordinator, another box and all endpoints there go at once. */
+/** Ends the coordinator, another box and all endpoints there at once. */
 async function losePower(fleet: TestUtils.TestFleet): Promise<void> {
   const lost = fleet.workers.listLives().filter((id) =>
     dataCentreOf(fleet.placeOf(id)) === LOST_DATA_CENTRE
   );
   const coordinator = fleet.coordinator() ?? "";
   const [other] = [...fleet.nodes.keys()].filter((n) => n !== coordinator);
-  // None of the endpoints comes back: the power stays away.
+  // The power does not return, so no endpoint restarts.
   fleet.workers.onCrash = () => {};
   for (const id of lost) fleet.workers.crash(id);
   await fleet.kill(coordinator);
@@ -52,11 +52,7 @@
       gang: true,
       estimateMs: 2500,
     });
-    const ids = [
-      "a000000000000001",
-      "a000000000000002",
-      "a000000000000003",
-    ];
+    const ids = ["a000000000000001", "a000000000000002", "a000000000000003"];
     for (const id of ids) await fleet.submit("node-1", id, { steps: [gang] });
     await fleet.until(() => fleet.workers.runs.length >= 12);
     await losePower(fleet);
@@ -67,7 +63,7 @@
     await fleet.stop();
   });
 
-  vitest.it("takes no guarantee away: others yield elsewhere", async () => {
+  vitest.it("violates no guarantee: other work yields elsewhere", async () => {
     const fleet = await startFleet();
     const wideStep = TestUtils.buildStep({ count: 24, estimateMs: 2500 });
     const [first] = fleet.nodes.keys();
--- a/packages/workflow-node/src/lost_workers_test.ts
+++ b/packages/workflow-node/src/lost_workers_test.ts
@@ -1,11 +1,11 @@
-/** Tasks of workers that are not heard any more run elsewhere, never twice. */
+/** Tasks of unreachable endpoints run elsewhere, without concurrent runs. */
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
 
-vitest.describe("a worker that is not heard", () => {
-  vitest.it("loses its task once its lease has run out", async () => {
+vitest.describe("an unreachable endpoint", () => {
+  vitest.it("loses its task after its lease has expired", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1, 1] });
     fleet.workers.behave = () => ({ runMs: 8000, fails: false });
     await fleet.start();
@@ -33,7 +33,7 @@
     await fleet.stop();
   });
 
-  vitest.it("is not asked any more once it has left", async () => {
+  vitest.it("gets no more orders after it has left", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1, 1] });
     fleet.workers.behave = () => ({ runMs: 8000, fails: false });
     await fleet.start();
