--- a/packages/workflow-node/src/member_book.ts
+++ b/packages/workflow-node/src/member_book.ts
@@ -20,7 +20,7 @@
 }
 
 /** What the book needs. */
-export interface MemberBookOptions {
+export interface MemberRegistryOptions {
   readonly node: string;
   readonly address: string;
   /** Processor that this node may use, in cores. */
@@ -42,29 +42,29 @@
  * Pauses between the first looks at the rows, in ms: boxes that start together
  * find each other soon.
  */
-const FIRST_PAUSES_MS: readonly number[] = [200, 300, 500, 1000];
+const INITIAL_POLL_DELAYS_MS: readonly number[] = [200, 300, 500, 1000];
 /**
  * Pause between two looks, in ms. A watch would be woken by every renewal of
  * every box, so that its calls would grow with the square of the boxes.
  */
-const PAUSE_MS = 10_000;
-const RENEW_MS = 15_000;
-const RETRY_MS = 500;
-const GONE_MS = 50_000;
+const POLL_INTERVAL_MS = 10_000;
+const RENEWAL_INTERVAL_MS = 15_000;
+const RETRY_DELAY_MS = 500;
+const ROW_EXPIRY_MS = 50_000;
 
-interface Heard {
+interface ObservedRow {
   readonly row: MemberRow;
   readonly atMs: number;
 }
 
 /** Nodes by name. */
-export class MemberBook {
-  readonly #options: MemberBookOptions;
-  readonly #heard = new Map<string, Heard>();
+export class MemberRegistry {
+  readonly #options: MemberRegistryOptions;
+  readonly #rows = new Map<string, ObservedRow>();
   /** Wall-clock time at which this process began. */
   readonly startedAtMs: number;
 
-  constructor(options: MemberBookOptions) {
+  constructor(options: MemberRegistryOptions) {
     this.#options = options;
     this.startedAtMs = options.clock.wallMs();
   }
@@ -72,32 +72,32 @@
   /** The other nodes. */
   others(): readonly Member[] {
     const { node, clock } = this.#options;
-    const sinceMs = clock.monotonicMs() - GONE_MS;
-    return [...this.#heard.values()]
+    const sinceMs = clock.monotonicMs() - ROW_EXPIRY_MS;
+    return [...this.#rows.values()]
       .filter(({ row, atMs }) => row.node !== node && atMs >= sinceMs)
       .map(({ row: { renewedAtMs: _, ...member } }) => member);
   }
 
   /** Announces this node and looks at the others, for ever. */
   run(): Effect.Effect<never> {
-    return Effect.raceFirst(this.#keepLooking(), this.#keepRenewing());
+    return Effect.raceFirst(this.#pollForever(), this.#renewForever());
   }
 
-  #keepLooking(): Effect.Effect<never> {
+  #pollForever(): Effect.Effect<never> {
     const { clock } = this.#options;
     return Effect.gen({ self: this }, function* () {
-      let looks = 0;
+      let polls = 0;
       for (;;) {
-        const hasRead = yield* this.#look();
-        const pauseMs = FIRST_PAUSES_MS[looks] ?? PAUSE_MS;
-        if (hasRead) looks++;
-        yield* clock.sleep(hasRead ? pauseMs : RETRY_MS);
+        const hasRead = yield* this.#poll();
+        const pauseMs = INITIAL_POLL_DELAYS_MS[polls] ?? POLL_INTERVAL_MS;
+        if (hasRead) polls++;
+        yield* clock.sleep(hasRead ? pauseMs : RETRY_DELAY_MS);
       }
     });
   }
 
   /** Reads all rows; false where the store did not answer. */
-  #look(): Effect.Effect<boolean> {
+  #poll(): Effect.Effect<boolean> {
     const { clock, feed } = this.#options;
     return Effect.gen({ self: this }, function* () {
       const read = new TableClient.PagedRead({
@@ -109,9 +109,9 @@
         value === null ? [] : [value]
       );
       const names = new Set(rows.map((row) => row.node));
-      for (const row of rows) this.#note(row);
-      for (const node of this.#heard.keys()) {
-        if (!names.has(node)) this.#heard.delete(node);
+      for (const row of rows) this.#observe(row);
+      for (const node of this.#rows.keys()) {
+        if (!names.has(node)) this.#rows.delete(node);
       }
       return true;
     }).pipe(Effect.catch(() => Effect.succeed(false)));
@@ -123,32 +123,34 @@
   }
 
   /** A row is as old as its last change, as far as this node has seen it. */
-  #note(row: MemberRow): void {
-    const known = this.#heard.get(row.node);
-    if (known?.row.renewedAtMs === row.renewedAtMs) return;
-    this.#heard.set(row.node, { row, atMs: this.#options.clock.monotonicMs() });
+  #observe(row: MemberRow): void {
+    const previous = this.#rows.get(row.node);
+    if (previous?.row.renewedAtMs === row.renewedAtMs) return;
+    this.#rows.set(row.node, { row, atMs: this.#options.clock.monotonicMs() });
   }
 
-  #keepRenewing(): Effect.Effect<never> {
+  #renewForever(): Effect.Effect<never> {
     const { node, address, cores, clock } = this.#options;
     return Effect.forever(Effect.gen({ self: this }, function* () {
       const renewedAtMs = clock.wallMs();
       const startedAtMs = this.startedAtMs;
       const row = { node, address, cores, startedAtMs, renewedAtMs };
       const written = yield* Effect.result(this.#write(node, row));
-      yield* this.#removeGone();
-      yield* clock.sleep(written._tag === "Success" ? RENEW_MS : RETRY_MS);
+      yield* this.#removeExpired();
+      yield* clock.sleep(
+        written._tag === "Success" ? RENEWAL_INTERVAL_MS : RETRY_DELAY_MS,
+      );
     }));
   }
 
-  #removeGone(): Effect.Effect<void> {
+  #removeExpired(): Effect.Effect<void> {
     const { clock, mayRemove } = this.#options;
     return Effect.suspend(() => {
-      const beforeMs = clock.monotonicMs() - GONE_MS;
-      const gone = [...this.#heard].filter(([, { atMs }]) => atMs < beforeMs);
+      const beforeMs = clock.monotonicMs() - ROW_EXPIRY_MS;
+      const expired = [...this.#rows].filter(([, { atMs }]) => atMs < beforeMs);
       if (!mayRemove()) return Effect.void;
       return Effect.forEach(
-        gone,
+        expired,
         ([node]) => Effect.ignore(this.#write(node, null)),
         { discard: true },
       );
--- a/packages/workflow-node/src/orderly_stop.ts
+++ b/packages/workflow-node/src/orderly_stop.ts
@@ -38,15 +38,15 @@
 }
 
 /** Left for the signal on its way and the end of the process. */
-const SPARE_SHARE = 0.1;
+const RESERVE_SHARE = 0.1;
 /** A quarter: 1.5 s of 6 s, in which all but the longest calls end. */
 const ANSWERS_SHARE = 0.25;
 /** Fibers end in some ms; a box of a third of a core takes longer. */
 const END_SHARE = 0.05;
 
 /** Shares the grace time out among the steps. */
-export function shareGrace(graceMs: number): StopBudget {
-  const handOverShare = 1 - SPARE_SHARE - ANSWERS_SHARE - END_SHARE;
+export function splitGraceTime(graceMs: number): StopBudget {
+  const handOverShare = 1 - RESERVE_SHARE - ANSWERS_SHARE - END_SHARE;
   return {
     handOverMs: graceMs * handOverShare,
     answersMs: graceMs * ANSWERS_SHARE,
@@ -60,7 +60,7 @@
   options: StopOptions,
 ): Effect.Effect<void> {
   const { clock, graceMs, unreadyMs } = options;
-  const budget = shareGrace(graceMs);
+  const budget = splitGraceTime(graceMs);
   const untilUnready = clock.sleep(Math.min(unreadyMs, budget.handOverMs));
   return Effect.gen(function* () {
     yield* Effect.all([
@@ -73,17 +73,17 @@
 }
 
 function runStep(
-  what: string,
+  stepName: string,
   step: Effect.Effect<unknown>,
-  limitMs: number,
+  timeoutMs: number,
   { clock, log }: StopOptions,
 ): Effect.Effect<void> {
   return Effect.gen(function* () {
     const startedAtMs = clock.monotonicMs();
-    const marked = Effect.as(step, true);
-    const isDone = (yield* clock.within(limitMs, marked)) !== null;
-    const tookMs = Math.round(clock.monotonicMs() - startedAtMs);
-    if (isDone) log.info(`Stop: ${what} took ${tookMs} ms.`);
-    else log.warn(`Stop: ${what} was left after ${tookMs} ms.`);
+    const completion = Effect.as(step, true);
+    const isDone = (yield* clock.within(timeoutMs, completion)) !== null;
+    const elapsedMs = Math.round(clock.monotonicMs() - startedAtMs);
+    if (isDone) log.info(`Stop: ${stepName} took ${elapsedMs} ms.`);
+    else log.warn(`Stop: ${stepName} was left after ${elapsedMs} ms.`);
   });
 }
--- a/packages/workflow-node/src/orderly_stop_test.ts
+++ b/packages/workflow-node/src/orderly_stop_test.ts
@@ -11,7 +11,7 @@
 const UNREADY_MS = 2300;
 
 /** Stops with these steps; tells when each of them began, and the end. */
-async function play(changes: Partial<stops.StopSteps>) {
+async function runStop(changes: Partial<stops.StopSteps>) {
   const clock = new TestUtils.FakeClock();
   const startedAtMs = clock.monotonicMs();
   const began: Record<string, number> = {};
@@ -44,14 +44,14 @@
 
 vitest.describe("a planned stop", () => {
   vitest.it("serves on until no new callers come", async () => {
-    const { began, endedMs } = await play({});
+    const { began, endedMs } = await runStop({});
     vitest.expect(began["answer"]).toBeGreaterThanOrEqual(UNREADY_MS);
     vitest.expect(endedMs).toBeLessThan(UNREADY_MS + 100);
   });
 
   for (const name of ["handOver", "answer", "end"] as const) {
     vitest.it(`ends in time though ${name} never does`, async () => {
-      const { endedMs } = await play({ [name]: Effect.never });
+      const { endedMs } = await runStop({ [name]: Effect.never });
       vitest.expect(endedMs).not.toBeNull();
       vitest.expect(endedMs).toBeLessThan(GRACE_MS);
     });
@@ -61,8 +61,8 @@
     "keeps time for the last answers though all else hangs",
     async () => {
       const hangs = { handOver: Effect.never, answer: Effect.never };
-      const { began, endedMs } = await play({ ...hangs, end: Effect.never });
-      const { answersMs } = stops.shareGrace(GRACE_MS);
+      const { began, endedMs } = await runStop({ ...hangs, end: Effect.never });
+      const { answersMs } = stops.splitGraceTime(GRACE_MS);
       vitest.expect(began["end"] - began["answer"])
         .toBeGreaterThanOrEqual(answersMs);
       vitest.expect(endedMs).toBeLessThan(GRACE_MS);
--- a/packages/workflow-node/src/outage_test.ts
+++ b/packages/workflow-node/src/outage_test.ts
@@ -8,7 +8,7 @@
 const ALL = ["node-1", "node-2", "node-3"];
 
 /** Time in which every box takes work again once the store is back, in ms. */
-const ACCEPTS_MS = 400;
+const MAX_ACCEPT_MS = 400;
 
 function setDown(fleet: TestUtils.TestFleet, down: boolean): void {
   setFaults(fleet, { down });
@@ -26,14 +26,14 @@
   fleet: TestUtils.TestFleet,
   name: string,
 ): Promise<number> {
-  const beganAtMs = fleet.clock.monotonicMs();
+  const startedAtMs = fleet.clock.monotonicMs();
   const id = `b${name.replace(/\D/g, "").padStart(15, "0")}`;
   let accepted = false;
-  while (!accepted && fleet.clock.monotonicMs() < beganAtMs + 5000) {
+  while (!accepted && fleet.clock.monotonicMs() < startedAtMs + 5000) {
     accepted = await fleet.submit(name, id).then(() => true, () => false);
     if (!accepted) await fleet.clock.advance(10);
   }
-  return fleet.clock.monotonicMs() - beganAtMs;
+  return fleet.clock.monotonicMs() - startedAtMs;
 }
 
 vitest.describe("after an outage of the whole store", () => {
@@ -47,9 +47,9 @@
       await fleet.clock.advance(3000 + 100 * seed);
       vitest.expect(fleet.workers.runs.length).toBe(0);
       setDown(fleet, false);
-      const beganAtMs = fleet.clock.monotonicMs();
+      const startedAtMs = fleet.clock.monotonicMs();
       await fleet.until(() => fleet.workers.runs.length > 0, 3000);
-      waits.push(fleet.clock.monotonicMs() - beganAtMs);
+      waits.push(fleet.clock.monotonicMs() - startedAtMs);
       await fleet.stop();
     }
     vitest.expect(Math.max(...waits)).toBeLessThan(300);
@@ -59,8 +59,8 @@
     "refuses all": { down: true },
     "answers nothing": { silent: true },
   };
-  for (const [what, faults] of Object.entries(outages)) {
-    vitest.it(`every box takes work at once (it ${what})`, async () => {
+  for (const [failure, faults] of Object.entries(outages)) {
+    vitest.it(`every box takes work at once (it ${failure})`, async () => {
       const waits: number[] = [];
       for (const seed of [1, 2, 3, 4, 5, 6]) {
         const fleet = new TestUtils.TestFleet({ seed });
@@ -72,7 +72,7 @@
         waits.push(...await Promise.all(all));
         await fleet.stop();
       }
-      vitest.expect(Math.max(...waits)).toBeLessThan(ACCEPTS_MS);
+      vitest.expect(Math.max(...waits)).toBeLessThan(MAX_ACCEPT_MS);
     });
   }
 });
@@ -86,10 +86,10 @@
 /** How long each lasts, in ms: longer than three heartbeats, so that entries lapse. */
 const OUTAGE_MS = 5000;
 /** Time between two of them, in ms: shorter than a run, so that each meets some. */
-const PEACE_MS = 4000;
+const OUTAGE_GAP_MS = 4000;
 /** Time from the end of an outage until all entries are written again, in ms. */
-const LISTED_AFTER_MS = 2000;
-const LIMIT_MS = 60_000;
+const RELIST_DELAY_MS = 2000;
+const TIMEOUT_MS = 60_000;
 
 /** The store is away, and the entries of all endpoints with it for longer. */
 async function loseEntries(
@@ -102,7 +102,7 @@
   for (const id of ids) fleet.unlist(id);
   await fleet.clock.advance(OUTAGE_MS / 2);
   setFaults(fleet, { down: false, silent: false });
-  await fleet.clock.advance(LISTED_AFTER_MS);
+  await fleet.clock.advance(RELIST_DELAY_MS);
   for (const [i, id] of ids.entries()) fleet.list({ id, accelerators: 2 }, i);
 }
 
@@ -111,8 +111,8 @@
     "refuses all": { down: true },
     "answers nothing": { silent: true },
   };
-  for (const [what, faults] of Object.entries(outages)) {
-    vitest.it(`fails no workflow (it ${what})`, async () => {
+  for (const [failure, faults] of Object.entries(outages)) {
+    vitest.it(`fails no workflow (it ${failure})`, async () => {
       const workers = Array.from({ length: ENDPOINTS }, () => 2);
       const fleet = new TestUtils.TestFleet({ workers });
       fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
@@ -121,12 +121,12 @@
       const ids = [1, 2, 3, 4, 5, 6].map((i) => `a00000000000000${i}`);
       for (const id of ids) await fleet.submit("node-1", id, { steps });
       for (let i = 0; i < OUTAGES; i++) {
-        await fleet.clock.advance(PEACE_MS);
+        await fleet.clock.advance(OUTAGE_GAP_MS);
         await loseEntries(fleet, faults);
       }
       const { Completed } = Workflow.WorkflowState;
       const areDone = () => ids.every((id) => fleet.state(id) === Completed);
-      vitest.expect(await fleet.until(areDone, LIMIT_MS)).toBe(true);
+      vitest.expect(await fleet.until(areDone, TIMEOUT_MS)).toBe(true);
       vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
       await fleet.stop();
     });
--- a/packages/workflow-node/src/outage_watch.ts
+++ b/packages/workflow-node/src/outage_watch.ts
@@ -9,7 +9,7 @@
 import * as Effect from "effect/Effect";
 
 /** What the watch needs. */
-export interface OutageWatchOptions {
+export interface RecoveryDetectorOptions {
   readonly store: TableClient.StoreClient;
   readonly clock: Ports.Clock;
   /** Asks the store, over a new connection. */
@@ -21,26 +21,29 @@
  * a second or two, so 0.15 s lose few of them; at 97 boxes it is 650 reads a
  * second, a twentieth of what the store takes.
  */
-const ASK_MS = 150;
+const PROBE_INTERVAL_MS = 150;
 /** The store counts as away after failures of this length, in ms. */
-const AWAY_MS = 150;
+const OUTAGE_AFTER_MS = 150;
 
 /** Watches for the store's return. */
-export class OutageWatch {
-  readonly #options: OutageWatchOptions;
+export class RecoveryDetector {
+  readonly #options: RecoveryDetectorOptions;
 
-  constructor(options: OutageWatchOptions) {
+  constructor(options: RecoveryDetectorOptions) {
     this.#options = options;
   }
 
   /** Watches for ever. */
   run(): Effect.Effect<never> {
-    return this.#options.clock.every(ASK_MS, Effect.sync(() => this.#ask()));
+    return this.#options.clock.every(
+      PROBE_INTERVAL_MS,
+      Effect.sync(() => this.#probeInOutage()),
+    );
   }
 
-  #ask(): void {
+  #probeInOutage(): void {
     const { store, probe } = this.#options;
-    if (store.silentForMs() < AWAY_MS) return;
+    if (store.silentForMs() < OUTAGE_AFTER_MS) return;
     const answered = Effect.sync(() => store.noteAnswered());
     Effect.runFork(Effect.ignore(Effect.andThen(probe(), answered)));
   }
--- a/packages/workflow-node/src/outlasting_entries_test.ts
+++ b/packages/workflow-node/src/outlasting_entries_test.ts
@@ -22,44 +22,44 @@
 /** Endpoints, of four accelerators each. */
 const ENDPOINTS = 12;
 /** Waves in which endpoints end at one moment; it takes four false crashes to fail. */
-const WAVES = 6;
+const CRASH_WAVES = 6;
 /** Time between two waves, in ms: endpoints are back and their former entries gone. */
-const WAVE_MS = 5000;
+const WAVE_INTERVAL_MS = 5000;
 /** Endpoints that end in each wave. */
-const ENDING = 4;
+const CRASHES_PER_WAVE = 4;
 /** Time of a run, in ms. */
 const RUN_MS = 4000;
 /** Starts that users allow where each endpoint crashes: two after the third crash. */
-const MOST_STARTS = 5;
-const LIMIT_MS = 120_000;
+const MAX_STARTS = 5;
+const COMPLETION_TIMEOUT_MS = 120_000;
 /** Real time for one play, in ms: 11 s alone, three times that beside others. */
-const TIMEOUT_MS = 120_000;
+const TEST_TIMEOUT_MS = 120_000;
 
 /** Time between two heartbeats of an endpoint, in ms. */
-const BEAT_MS = 500;
+const HEARTBEAT_MS = 500;
 
 /** Lets time pass while all endpoints that live write their entries again. */
 async function advance(
   fleet: TestUtils.TestFleet,
   forMs: number,
 ): Promise<void> {
-  for (let ms = 0; ms < forMs; ms += BEAT_MS) {
-    await fleet.clock.advance(BEAT_MS);
+  for (let ms = 0; ms < forMs; ms += HEARTBEAT_MS) {
+    await fleet.clock.advance(HEARTBEAT_MS);
     fleet.beat();
   }
 }
 
 /** Hands work in while endpoints end in groups; returns the workflows. */
-async function playWaves(fleet: TestUtils.TestFleet): Promise<string[]> {
+async function runCrashWaves(fleet: TestUtils.TestFleet): Promise<string[]> {
   const ids: string[] = [];
-  for (let wave = 0; wave < WAVES; wave++) {
-    const lives = fleet.workers.listLives();
-    const first = wave * ENDING;
-    for (let i = 0; i < ENDING; i++) {
-      fleet.workers.crash(lives[(first + i) % lives.length]);
+  for (let wave = 0; wave < CRASH_WAVES; wave++) {
+    const endpoints = fleet.workers.listLives();
+    const first = wave * CRASHES_PER_WAVE;
+    for (let i = 0; i < CRASHES_PER_WAVE; i++) {
+      fleet.workers.crash(endpoints[(first + i) % endpoints.length]);
     }
     for (let i = 0; i < 5; i++) {
-      await advance(fleet, WAVE_MS / 5);
+      await advance(fleet, WAVE_INTERVAL_MS / 5);
       const id = `a${String(ids.length).padStart(15, "0")}`;
       const step = { count: 8, estimateMs: RUN_MS, gang: i % 2 === 0 };
       const steps = [TestUtils.buildStep(step)];
@@ -81,7 +81,7 @@
     if (!task.startsWith(`${id}.`) || how !== "crashed") continue;
     crashes.set(task, (crashes.get(task) ?? 0) + 1);
   }
-  return [...crashes.values()].some((count) => count >= MOST_STARTS);
+  return [...crashes.values()].some((count) => count >= MAX_STARTS);
 }
 
 vitest.describe("entries that outlast their endpoints", () => {
@@ -96,12 +96,16 @@
         fleet.workers.atDeadAddress = atDeadAddress;
         fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
         await fleet.start();
-        const ids = await playWaves(fleet);
+        const ids = await runCrashWaves(fleet);
         const isOver = (id: string) => {
           const state = fleet.state(id);
           return state !== null && Workflow.isFinal(state);
         };
-        for (let ms = 0; ms < LIMIT_MS && !ids.every(isOver); ms += 1000) {
+        for (
+          let ms = 0;
+          ms < COMPLETION_TIMEOUT_MS && !ids.every(isOver);
+          ms += 1000
+        ) {
           await advance(fleet, 1000);
         }
         vitest.expect(ids.flatMap((id) => TestUtils.checkFailed(fleet, id)))
@@ -113,7 +117,7 @@
         );
         await fleet.stop();
       },
-      TIMEOUT_MS,
+      TEST_TIMEOUT_MS,
     );
   }
 });
--- a/packages/workflow-node/src/parted_coordinator_test.ts
+++ b/packages/workflow-node/src/parted_coordinator_test.ts
@@ -16,15 +16,15 @@
 const RUN_MS = 40_000;
 const STEPS = [TestUtils.buildStep({ estimateMs: RUN_MS })];
 /** Longer than a takeover, a lease and a new plan, in ms. */
-const PARTED_MS = 15_000;
+const PARTITION_MS = 15_000;
 
 /** Orders under a token reach one endpoint only, and all others reach the rest. */
-function partEndpoint(
+function isolateEndpoint(
   { workers }: TestUtils.TestFleet,
   endpoint: string,
   token: number,
 ): void {
-  const pass = <A>(
+  const filterOrder = <A>(
     { id }: Ports.EndpointRef,
     fencingToken: number,
     order: Effect.Effect<A, Ports.OrderError>,
@@ -37,11 +37,11 @@
   const stop = workers.stop.bind(workers);
   const renew = workers.renew.bind(workers);
   workers.start = (ref, order) =>
-    pass(ref, order.fencingToken, start(ref, order));
+    filterOrder(ref, order.fencingToken, start(ref, order));
   workers.stop = (ref, order) =>
-    pass(ref, order.fencingToken, stop(ref, order));
+    filterOrder(ref, order.fencingToken, stop(ref, order));
   workers.renew = (ref, order) =>
-    pass(ref, order.fencingToken, renew(ref, order));
+    filterOrder(ref, order.fencingToken, renew(ref, order));
 }
 
 vitest.describe("a coordinator that is cut off with an endpoint", () => {
@@ -52,11 +52,11 @@
     await fleet.submit("node-1", ID, { steps: STEPS });
     await fleet.until(() => fleet.workers.runs.length === 1);
     await fleet.clock.advance(1000);
-    const former = fleet.coordinator() ?? "";
-    partEndpoint(fleet, fleet.workers.runs[0].worker, fleet.token());
-    fleet.faultsOf(former).set({ down: true });
-    fleet.links.passes = (from, to) => from !== former && to !== former;
-    await fleet.clock.advance(PARTED_MS);
+    const isolated = fleet.coordinator() ?? "";
+    isolateEndpoint(fleet, fleet.workers.runs[0].worker, fleet.token());
+    fleet.faultsOf(isolated).set({ down: true });
+    fleet.links.passes = (from, to) => from !== isolated && to !== isolated;
+    await fleet.clock.advance(PARTITION_MS);
     vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
     await fleet.stop();
   });
--- a/packages/workflow-node/src/partitions_test.ts
+++ b/packages/workflow-node/src/partitions_test.ts
@@ -4,11 +4,11 @@
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
 
-const FIRST = "a000000000000001";
-const HOME = TableClient.Keys.homePartition(FIRST);
+const FIRST_ID = "a000000000000001";
+const HOME_PARTITION = TableClient.Keys.homePartition(FIRST_ID);
 /** An id of another partition. */
-const SECOND = ["a000000000000002", "a000000000000003", "a000000000000004"]
-  .filter((id) => TableClient.Keys.homePartition(id) !== HOME)[0];
+const SECOND_ID = ["a000000000000002", "a000000000000003", "a000000000000004"]
+  .filter((id) => TableClient.Keys.homePartition(id) !== HOME_PARTITION)[0];
 
 function isCompleted(fleet: TestUtils.TestFleet, id: string): boolean {
   return fleet.state(id) === Workflow.WorkflowState.Completed;
@@ -35,15 +35,15 @@
 vitest.describe("while a partition is away", () => {
   vitest.it("workflows of the others run and end", async () => {
     const fleet = await startFleet(1000);
-    await fleet.submit("node-1", FIRST, { steps: TWO_STEPS });
-    await fleet.submit("node-2", SECOND, { steps: TWO_STEPS });
+    await fleet.submit("node-1", FIRST_ID, { steps: TWO_STEPS });
+    await fleet.submit("node-2", SECOND_ID, { steps: TWO_STEPS });
     await fleet.until(() => fleet.workers.runs.length === 2);
-    setDown(fleet, HOME);
+    setDown(fleet, HOME_PARTITION);
     await fleet.clock.advance(4000);
-    vitest.expect(isCompleted(fleet, SECOND)).toBe(true);
-    vitest.expect(isCompleted(fleet, FIRST)).toBe(false);
+    vitest.expect(isCompleted(fleet, SECOND_ID)).toBe(true);
+    vitest.expect(isCompleted(fleet, FIRST_ID)).toBe(false);
     setDown(fleet);
-    vitest.expect(await fleet.until(() => isCompleted(fleet, FIRST)))
+    vitest.expect(await fleet.until(() => isCompleted(fleet, FIRST_ID)))
       .toBe(true);
     vitest.expect(fleet.workers.runs.length).toBe(4);
     await fleet.stop();
@@ -51,15 +51,15 @@
 
   vitest.it("new workflows are filed, run and found elsewhere", async () => {
     const fleet = await startFleet(1000);
-    setDown(fleet, HOME);
-    await fleet.submit("node-1", FIRST);
-    await fleet.until(() => isCompleted(fleet, FIRST));
-    const ask = () => fleet.ask("node-2", FIRST);
+    setDown(fleet, HOME_PARTITION);
+    await fleet.submit("node-1", FIRST_ID);
+    await fleet.until(() => isCompleted(fleet, FIRST_ID));
+    const ask = () => fleet.ask("node-2", FIRST_ID);
     vitest.expect(await ask()).toBe(Workflow.WorkflowState.Completed);
     setDown(fleet);
     await fleet.clock.advance(1000);
     vitest.expect(await ask()).toBe(Workflow.WorkflowState.Completed);
-    await fleet.submit("node-3", FIRST);
+    await fleet.submit("node-3", FIRST_ID);
     await fleet.clock.advance(3000);
     vitest.expect(await ask()).toBe(Workflow.WorkflowState.Completed);
     vitest.expect(fleet.workers.runs.length).toBe(1);
@@ -68,22 +68,22 @@
 
   vitest.it("nobody is told that there is no such workflow", async () => {
     const fleet = await startFleet(1000);
-    setDown(fleet, TableClient.Keys.homePartition(SECOND));
-    await vitest.expect(fleet.ask("node-1", FIRST)).rejects
+    setDown(fleet, TableClient.Keys.homePartition(SECOND_ID));
+    await vitest.expect(fleet.ask("node-1", FIRST_ID)).rejects
       .toMatchObject({ _tag: "StoreUnavailableError" });
     setDown(fleet);
     await fleet.clock.advance(1000);
-    await vitest.expect(fleet.ask("node-1", FIRST)).rejects
+    await vitest.expect(fleet.ask("node-1", FIRST_ID)).rejects
       .toMatchObject({ _tag: "UnknownJobError" });
     await fleet.stop();
   });
 
   vitest.it("a takeover stops nothing that it can not know", async () => {
     const fleet = await startFleet(3000);
-    await fleet.submit("node-1", FIRST);
+    await fleet.submit("node-1", FIRST_ID);
     await fleet.until(() => fleet.workers.runs.length === 1);
     const first = fleet.coordinator() ?? "";
-    setDown(fleet, HOME);
+    setDown(fleet, HOME_PARTITION);
     await fleet.kill(first);
     await fleet.clock.advance(6000);
     vitest.expect(fleet.coordinator()).not.toBe(first);
@@ -91,7 +91,7 @@
     vitest.expect(run.how).toBe("done");
     vitest.expect(run.acknowledgedAtMs).toBeNull();
     setDown(fleet);
-    vitest.expect(await fleet.until(() => isCompleted(fleet, FIRST)))
+    vitest.expect(await fleet.until(() => isCompleted(fleet, FIRST_ID)))
       .toBe(true);
     vitest.expect(await fleet.until(() => run.acknowledgedAtMs !== null))
       .toBe(true);
@@ -101,15 +101,15 @@
 
   vitest.it("an end waits for its own partition only", async () => {
     const fleet = await startFleet(3000);
-    await fleet.submit("node-1", FIRST);
+    await fleet.submit("node-1", FIRST_ID);
     await fleet.until(() => fleet.workers.runs.length === 1);
-    const other = TableClient.Keys.homePartition(SECOND);
-    setDown(fleet, HOME, other);
+    const other = TableClient.Keys.homePartition(SECOND_ID);
+    setDown(fleet, HOME_PARTITION, other);
     await fleet.kill(fleet.coordinator() ?? "");
     await fleet.clock.advance(6000);
     setDown(fleet, other);
     await fleet.clock.advance(2000);
-    vitest.expect(isCompleted(fleet, FIRST)).toBe(true);
+    vitest.expect(isCompleted(fleet, FIRST_ID)).toBe(true);
     vitest.expect(fleet.workers.runs.length).toBe(1);
     await fleet.stop();
   });
@@ -117,12 +117,14 @@
   vitest.it("a takeover starts no copy of what it can not know", async () => {
     const fleet = await startFleet(20_000);
     const steps = [TestUtils.buildStep({ estimateMs: 20_000 })];
-    await fleet.submit("node-1", FIRST, { steps });
+    await fleet.submit("node-1", FIRST_ID, { steps });
     await fleet.until(() => fleet.workers.runs.length === 1);
-    const other = TableClient.Keys.homePartition(SECOND);
-    const [accepted] = fleet.table.rowsUnder(`intake:${HOME}/${FIRST}/`);
-    const copy = TableClient.Keys.workflowKey(other, FIRST);
-    setDown(fleet, HOME);
+    const other = TableClient.Keys.homePartition(SECOND_ID);
+    const [accepted] = fleet.table.rowsUnder(
+      `intake:${HOME_PARTITION}/${FIRST_ID}/`,
+    );
+    const copy = TableClient.Keys.workflowKey(other, FIRST_ID);
+    setDown(fleet, HOME_PARTITION);
     await fleet.kill(fleet.coordinator() ?? "");
     fleet.write(copy, accepted.value);
     await fleet.clock.advance(6000);
@@ -138,13 +140,15 @@
 vitest.describe("a workflow that was accepted in two partitions", () => {
   vitest.it("runs once, and its copy is removed", async () => {
     const fleet = await startFleet(1000);
-    await fleet.submit("node-1", FIRST);
-    const [accepted] = fleet.table.rowsUnder(`intake:${HOME}/${FIRST}/`);
-    const other = TableClient.Keys.homePartition(SECOND);
-    const copy = TableClient.Keys.workflowKey(other, FIRST);
+    await fleet.submit("node-1", FIRST_ID);
+    const [accepted] = fleet.table.rowsUnder(
+      `intake:${HOME_PARTITION}/${FIRST_ID}/`,
+    );
+    const other = TableClient.Keys.homePartition(SECOND_ID);
+    const copy = TableClient.Keys.workflowKey(other, FIRST_ID);
     fleet.write(copy, accepted.value);
     await fleet.clock.advance(3000);
-    vitest.expect(isCompleted(fleet, FIRST)).toBe(true);
+    vitest.expect(isCompleted(fleet, FIRST_ID)).toBe(true);
     vitest.expect(fleet.workers.runs.length).toBe(1);
     vitest.expect(fleet.table.rowsUnder(copy)).toEqual([]);
     await fleet.stop();
--- a/packages/workflow-node/src/random_evacuations_test.ts
+++ b/packages/workflow-node/src/random_evacuations_test.ts
@@ -3,7 +3,7 @@
 import * as vitest from "vitest";
 
 /** Seeds of the kinds that are played beside others. */
-const FEW = 6;
+const SEED_COUNT = 6;
 
 vitest.describe("random faults and evacuations of data centres", () => {
   for (const seed of TestUtils.faultSeeds()) {
@@ -15,7 +15,7 @@
 });
 
 vitest.describe("evacuations and boxes that stand still", () => {
-  for (const seed of TestUtils.faultSeeds(FEW)) {
+  for (const seed of TestUtils.faultSeeds(SEED_COUNT)) {
     vitest.it(`start nothing there, seed ${seed}`, async () => {
       const kinds = { evacuates: true, suspends: true };
       vitest.expect(await TestUtils.playRandomFaults(seed, kinds)).toEqual([]);
@@ -24,7 +24,7 @@
 });
 
 vitest.describe("evacuations and data centres that lose power", () => {
-  for (const seed of TestUtils.faultSeeds(FEW)) {
+  for (const seed of TestUtils.faultSeeds(SEED_COUNT)) {
     vitest.it(
       `lose nothing and start nothing there, seed ${seed}`,
       async () => {
--- a/packages/workflow-node/src/random_faults_slow_ends_test.ts
+++ b/packages/workflow-node/src/random_faults_slow_ends_test.ts
@@ -3,11 +3,11 @@
 import * as vitest from "vitest";
 
 /** Seeds that CI plays, of each kind: half a minute of one core. */
-const RUNS = 6;
+const SEED_COUNT = 6;
 const { slowEnds, slowEndsAndCuts } = TestUtils.PLAY_KINDS;
 
 vitest.describe("random faults and ends that take their time", () => {
-  for (const seed of TestUtils.faultSeeds(RUNS)) {
+  for (const seed of TestUtils.faultSeeds(SEED_COUNT)) {
     vitest.it(`lose nothing and run nothing twice, seed ${seed}`, async () => {
       vitest.expect(await TestUtils.playRandomFaults(seed, slowEnds)).toEqual(
         [],
--- a/packages/workflow-node/src/random_faults_test.ts
+++ b/packages/workflow-node/src/random_faults_test.ts
@@ -12,14 +12,14 @@
  * which it was not there; 1554 and below work started too often, because nobody
  * knew after a takeover that it had been there.
  */
-const FAULTY_SEEDS: readonly number[] = [
+const REGRESSION_SEEDS: readonly number[] = [
   ...[1110, 1129, 1131, 1207, 1230, 1231, 1301, 1336],
   ...[1554, 2135, 2154, 2222, 2255, 2331, 3037, 3257, 3347],
   ...[1128, 1138],
 ];
 
 vitest.describe("random faults that were found", () => {
-  for (const seed of FAULTY_SEEDS) {
+  for (const seed of REGRESSION_SEEDS) {
     vitest.it(`break nothing any more, seed ${seed}`, async () => {
       vitest.expect(await TestUtils.playRandomFaults(seed)).toEqual([]);
     });
@@ -36,10 +36,10 @@
 });
 
 /** The same with rooms that change. */
-const FAULTY_ROOM_SEEDS: readonly number[] = [1093];
+const CAPACITY_REGRESSION_SEEDS: readonly number[] = [1093];
 
 vitest.describe("random faults and rooms that change", () => {
-  for (const seed of FAULTY_ROOM_SEEDS) {
+  for (const seed of CAPACITY_REGRESSION_SEEDS) {
     vitest.it(`break nothing any more, seed ${seed}`, async () => {
       vitest.expect(
         await TestUtils.playRandomFaults(seed, TestUtils.PLAY_KINDS.rooms),
--- a/packages/workflow-node/src/random_hard_load_test.ts
+++ b/packages/workflow-node/src/random_hard_load_test.ts
@@ -6,7 +6,7 @@
 import * as vitest from "vitest";
 
 /** Seeds of the kinds that are played beside others. */
-const FEW = 6;
+const SEED_COUNT = 6;
 
 const { hardLoad, hardLoadAndCuts } = TestUtils.PLAY_KINDS;
 
@@ -20,7 +20,7 @@
 });
 
 vitest.describe("random faults, cuts and suspensions under hard load", () => {
-  for (const seed of TestUtils.faultSeeds(FEW)) {
+  for (const seed of TestUtils.faultSeeds(SEED_COUNT)) {
     vitest.it(`lose nothing and run nothing twice, seed ${seed}`, async () => {
       const broken = TestUtils.playRandomFaults(seed, hardLoadAndCuts);
       vitest.expect(await broken).toEqual([]);
--- a/packages/workflow-node/src/random_lapses_test.ts
+++ b/packages/workflow-node/src/random_lapses_test.ts
@@ -14,13 +14,13 @@
  * one sure crash and two likely ones; the others work that crashes its endpoints and was
  * started once too often, or good work given up.
  */
-const FAULTY_SEEDS: readonly number[] = [
+const REGRESSION_SEEDS: readonly number[] = [
   ...[1003, 1010, 1019, 1022, 1024, 1055, 1057, 1071, 1076],
   ...[1097, 1113, 1125, 1139, 10],
 ];
 
 vitest.describe("random faults and entries that were found", () => {
-  for (const seed of FAULTY_SEEDS) {
+  for (const seed of REGRESSION_SEEDS) {
     vitest.it(`break nothing any more, seed ${seed}`, async () => {
       vitest.expect(await TestUtils.playRandomFaults(seed, KINDS)).toEqual([]);
     });
--- a/packages/workflow-node/src/random_rebirths_test.ts
+++ b/packages/workflow-node/src/random_rebirths_test.ts
@@ -15,7 +15,7 @@
  * restart; the others work that crashes its
  * endpoints and was started once too often.
  */
-const FAULTY_SEEDS: readonly number[] = [
+const REGRESSION_SEEDS: readonly number[] = [
   ...[7, 22, 34, 40, 85, 198],
   ...[49, 60, 122, 123, 150, 174, 187, 191, 6018, 6094],
 ];
@@ -24,16 +24,16 @@
  * ignored, so that completed work started again; 5024 a late start of completed work,
  * accepted after a restart.
  */
-const FAULTY_SEEDS_BESIDE_CUTS: readonly number[] = [100, 158, 5024, 6093];
+const REGRESSION_SEEDS_WITH_CUTS: readonly number[] = [100, 158, 5024, 6093];
 
 vitest.describe("random faults and rebirths that were found", () => {
-  for (const seed of FAULTY_SEEDS) {
+  for (const seed of REGRESSION_SEEDS) {
     vitest.it(`break nothing any more, seed ${seed}`, async () => {
       vitest.expect(await TestUtils.playRandomFaults(seed, rebirths))
         .toEqual([]);
     });
   }
-  for (const seed of FAULTY_SEEDS_BESIDE_CUTS) {
+  for (const seed of REGRESSION_SEEDS_WITH_CUTS) {
     vitest.it(`break nothing any more beside cuts, seed ${seed}`, async () => {
       vitest.expect(await TestUtils.playRandomFaults(seed, rebirthsAndCuts))
         .toEqual([]);
--- a/packages/workflow-node/src/reborn_endpoints_test.ts
+++ b/packages/workflow-node/src/reborn_endpoints_test.ts
@@ -23,14 +23,14 @@
 /** Time of a run, in ms. */
 const RUN_MS = 600;
 /** Time between two workflows, in ms. */
-const PACE_MS = 500;
+const SUBMIT_INTERVAL_MS = 500;
 /** Users allow work to stand for this time, in ms, while there is room. */
-const MOST_STANDING_MS = 3000;
-const LIMIT_MS = 60_000;
+const MAX_STALL_MS = 3000;
+const COMPLETION_TIMEOUT_MS = 60_000;
 /** Times after which an endpoint is back, in ms. */
-const BACK_MS: readonly number[] = [50, 500, 3000, 8000];
+const RESTART_DELAYS_MS: readonly number[] = [50, 500, 3000, 8000];
 /** Real time for one test, in ms: some seconds alone. */
-const TIMEOUT_MS = 60_000;
+const TEST_TIMEOUT_MS = 60_000;
 
 function idOf(index: number): string {
   return `a${String(index).padStart(15, "0")}`;
@@ -55,16 +55,19 @@
 }
 
 /** Two endpoints crash five times while work comes; returns what is wrong. */
-async function playCrashes(backMs: number): Promise<string[]> {
+async function runCrashes(backMs: number): Promise<string[]> {
   const fleet = await startFleet([4, 4], backMs);
   const ids: string[] = [];
   for (let i = 0; i < 24; i++) {
     await fleet.submit("node-1", idOf(i));
     ids.push(idOf(i));
-    await fleet.clock.advance(PACE_MS);
+    await fleet.clock.advance(SUBMIT_INTERVAL_MS);
     if (i % 5 === 4) fleet.workers.crash(`worker-${i % 2}`);
   }
-  await fleet.until(() => ids.every((id) => isOver(fleet, id)), LIMIT_MS);
+  await fleet.until(
+    () => ids.every((id) => isOver(fleet, id)),
+    COMPLETION_TIMEOUT_MS,
+  );
   const broken = TestUtils.findBrokenRuns(fleet);
   const isIncomplete = (id: string) =>
     fleet.state(id) !== Workflow.WorkflowState.Completed;
@@ -76,12 +79,12 @@
 vitest.describe("endpoints that begin again under their id", () => {
   vitest.it("run nothing twice, back soon or late", async () => {
     const broken: string[] = [];
-    for (const backMs of BACK_MS) {
-      const found = await playCrashes(backMs);
+    for (const backMs of RESTART_DELAYS_MS) {
+      const found = await runCrashes(backMs);
       broken.push(...found.map((text) => `back after ${backMs} ms: ${text}`));
     }
     vitest.expect(broken).toEqual([]);
-  }, TIMEOUT_MS);
+  }, TEST_TIMEOUT_MS);
 
   vitest.it("hold up no step whose predecessor is done", async () => {
     const sizes = Array.from({ length: 20 }, () => 8);
@@ -90,7 +93,7 @@
     for (let i = 10; i < 15; i++) {
       const steps = [TestUtils.buildStep({ count: 160 })];
       await fleet.submit("node-1", idOf(i), { steps });
-      await fleet.until(() => isOver(fleet, idOf(i)), LIMIT_MS);
+      await fleet.until(() => isOver(fleet, idOf(i)), COMPLETION_TIMEOUT_MS);
     }
     for (const id of fleet.workers.listLives()) fleet.workers.crash(id);
     await fleet.clock.advance(2000);
@@ -104,26 +107,26 @@
       fleet.workers.settle();
       return first.every(isDone);
     });
-    await fleet.clock.advance(MOST_STANDING_MS);
-    const begun = Array.from({ length: 120 }, (_, i) => `${idOf(1)}.0.1.${i}`)
+    await fleet.clock.advance(MAX_STALL_MS);
+    const started = Array.from({ length: 120 }, (_, i) => `${idOf(1)}.0.1.${i}`)
       .filter((task) => fleet.workers.runsOf(task).length > 0);
-    vitest.expect(begun.length).toBe(120);
-    await fleet.until(() => isOver(fleet, idOf(1)), LIMIT_MS);
+    vitest.expect(started.length).toBe(120);
+    await fleet.until(() => isOver(fleet, idOf(1)), COMPLETION_TIMEOUT_MS);
     vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
     await fleet.stop();
-  }, TIMEOUT_MS);
+  }, TEST_TIMEOUT_MS);
 
   vitest.it("count what failed in each of their lives", async () => {
     const fleet = await startFleet([4], 500);
     await fleet.submit("node-1", idOf(0), {
       steps: [TestUtils.buildStep({ count: 12 })],
     });
-    await fleet.until(() => isOver(fleet, idOf(0)), LIMIT_MS);
+    await fleet.until(() => isOver(fleet, idOf(0)), COMPLETION_TIMEOUT_MS);
     fleet.workers.crash("worker-0");
     await fleet.clock.advance(2000);
     fleet.workers.behave = () => ({ runMs: RUN_MS, fails: true });
     await fleet.submit("node-1", idOf(1));
-    await fleet.until(() => isOver(fleet, idOf(1)), LIMIT_MS);
+    await fleet.until(() => isOver(fleet, idOf(1)), COMPLETION_TIMEOUT_MS);
     const runs = fleet.workers.runsOf(`${idOf(1)}.0.0.0`);
     vitest.expect(runs.map(({ how }) => how))
       .toEqual(["failed", "failed", "failed"]);
--- a/packages/workflow-node/src/record_size_test.ts
+++ b/packages/workflow-node/src/record_size_test.ts
@@ -13,7 +13,7 @@
 /** Tasks of the workflow, of which 500 at most run at once. */
 const TASKS = 2000;
 /** Tasks of one workflow that run at once at most. */
-const PLACED = 500;
+const MAX_CONCURRENT_TASKS = 500;
 /** When the first endpoint was born; each run is on another life. */
 const BORN_MS = 1_790_000_000_000;
 
@@ -64,8 +64,8 @@
       const bornMs = BORN_MS + place;
       task.crashes = { laid: 1, excused: 1, presence: 3, unseen: 1 };
       const presence = Workflow.Presence.Certain;
-      const life = { worker, bornMs, address };
-      workflow.suspectGone({ task, run: 1, ...life, presence });
+      const incarnation = { worker, bornMs, address };
+      workflow.suspectGone({ task, run: 1, ...incarnation, presence });
       task.place(worker, 2, 0, bornMs, address);
       task.confirmedRun = 2;
       task.confirmedEndsAtWallMs = bornMs;
@@ -76,7 +76,7 @@
   }
 
   vitest.it("leaves out addresses where they would not fit", () => {
-    const wide = measureCrashes(PLACED);
+    const wide = measureCrashes(MAX_CONCURRENT_TASKS);
     vitest.expect(wide.addresses).toBe(0);
     vitest.expect(wide.length).toBeLessThan(ENCODED_CHARACTERS);
     const narrow = measureCrashes(150);
--- a/packages/workflow-node/src/recorded_address_test.ts
+++ b/packages/workflow-node/src/recorded_address_test.ts
@@ -9,13 +9,13 @@
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
 
-const CRASHER = "c000000000000001";
+const CRASHING_ID = "c000000000000001";
 /** Long enough that nobody takes a run for done, in ms. */
 const RUN_MS = 60_000;
 const CRASHES_AFTER_MS = 400;
 /** After a crash, in ms: the next coordinator begins when the endpoint is back. */
 const KILL_AFTER_MS = 2500;
-const LIMIT_MS = 120_000;
+const TIMEOUT_MS = 120_000;
 
 vitest.describe("a crash whose endpoint nobody lists any more", () => {
   vitest.it("counts for the next coordinator", async () => {
@@ -27,21 +27,22 @@
     });
     await fleet.start();
     const steps = [TestUtils.buildStep({ estimateMs: RUN_MS })];
-    await fleet.submit("node-1", CRASHER, { steps });
-    const isOver = () => fleet.state(CRASHER) === Workflow.WorkflowState.Failed;
+    await fleet.submit("node-1", CRASHING_ID, { steps });
+    const isOver = () =>
+      fleet.state(CRASHING_ID) === Workflow.WorkflowState.Failed;
     const crashes = () =>
       fleet.workers.runs.filter(({ how }) => how === "crashed").length;
     for (let crash = 1; crash <= 8 && !isOver(); crash++) {
-      await fleet.until(() => isOver() || crashes() >= crash, LIMIT_MS);
+      await fleet.until(() => isOver() || crashes() >= crash, TIMEOUT_MS);
       await fleet.clock.advance(KILL_AFTER_MS);
       const coordinator = fleet.coordinator();
       if (coordinator === null || !fleet.nodes.has(coordinator)) continue;
       await fleet.kill(coordinator);
       fleet.startNode(`${coordinator}+`);
     }
-    const gaveUp = await fleet.until(isOver, LIMIT_MS);
+    const hasFailed = await fleet.until(isOver, TIMEOUT_MS);
     vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
-    vitest.expect(gaveUp).toBe(true);
+    vitest.expect(hasFailed).toBe(true);
     await fleet.stop();
   });
 });
--- a/packages/workflow-node/src/refused_start_test.ts
+++ b/packages/workflow-node/src/refused_start_test.ts
@@ -6,7 +6,7 @@
 const LONG_ID = "a000000000000001";
 const URGENT_ID = "a000000000000002";
 /** A look and another start, in ms; a look that waits for news takes 600. */
-const PLACED_ANEW_MS = 250;
+const MAX_RESCHEDULE_MS = 250;
 
 vitest.describe("a start that is refused", () => {
   vitest.it("is placed anew at once", async () => {
@@ -30,8 +30,8 @@
     const task = `${URGENT_ID}.0.0.0`;
     await fleet.until(() => fleet.workers.runsOf(task).length > 0);
     const [run] = fleet.workers.runsOf(task);
-    const tookMs = run.startedAtMs - (refusedAtMs ?? 0);
-    vitest.expect(tookMs).toBeLessThan(PLACED_ANEW_MS);
+    const elapsedMs = run.startedAtMs - (refusedAtMs ?? 0);
+    vitest.expect(elapsedMs).toBeLessThan(MAX_RESCHEDULE_MS);
     await fleet.stop();
   });
 });
--- a/packages/workflow-node/src/relay_test.ts
+++ b/packages/workflow-node/src/relay_test.ts
@@ -15,13 +15,13 @@
 }
 
 /** How the store turns a node away. */
-const WAYS = [
+const REJECTIONS = [
   { how: "refuses its calls", faults: { down: true } },
   { how: "leaves its calls unanswered", faults: { silent: true } },
 ];
 
 vitest.describe("a node that the store turns away", () => {
-  for (const { how, faults } of WAYS) {
+  for (const { how, faults } of REJECTIONS) {
     vitest.it(`takes workflows where the store ${how}`, async () => {
       const fleet = new TestUtils.TestFleet();
       await fleet.start();
--- a/packages/workflow-node/src/relisted_endpoint_test.ts
+++ b/packages/workflow-node/src/relisted_endpoint_test.ts
@@ -11,20 +11,20 @@
 /** Time of a run, in ms: it ends while its endpoint is cut off. */
 const RUN_MS = 900;
 /** Time from the start of the run to the cut, in ms. */
-const CUT_AFTER_MS = 300;
+const CUT_DELAY_MS = 300;
 /** Times from the cut to its end, in ms: after a takeover, within a lease of 6 s. */
-const LENGTHS_MS: readonly number[] = [2500, 3500, 4500, 5000, 5400];
-const LIMIT_MS = 30_000;
+const CUT_DURATIONS_MS: readonly number[] = [2500, 3500, 4500, 5000, 5400];
+const TIMEOUT_MS = 30_000;
 /** Time of an order on its way, in ms, the least that a network takes. */
-const WAY_MS = 1;
+const ORDER_DELAY_MS = 1;
 
 /** Work of a play: so many workflows on endpoints of these sizes. */
-interface Work {
+interface Scenario {
   readonly workers: readonly number[];
   readonly workflows: number;
 }
 
-const WORKS: Readonly<Record<string, Work>> = {
+const SCENARIOS: Readonly<Record<string, Scenario>> = {
   "one on one endpoint": { workers: [1], workflows: 1 },
   "two on one endpoint": { workers: [2], workflows: 2 },
   "four on one endpoint": { workers: [4], workflows: 4 },
@@ -37,12 +37,12 @@
 }
 
 /** Plays one cut over a takeover; returns what became of the runs. */
-async function playTakeover(healsMs: number, { workers, workflows }: Work) {
+async function runTakeover(healsMs: number, { workers, workflows }: Scenario) {
   const fleet = new TestUtils.TestFleet({ workers });
   const cuts = new TestUtils.EndpointCuts(fleet);
   fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
   fleet.workers.carry = (id) => cuts.fateOf(id) ?? StandIns.OrderFate.Carried;
-  fleet.workers.wayMs = WAY_MS;
+  fleet.workers.wayMs = ORDER_DELAY_MS;
   await fleet.start();
   const ids = Array.from(
     { length: workflows },
@@ -50,7 +50,7 @@
   );
   await Promise.all(ids.map((id) => fleet.submit("node-1", id)));
   await fleet.until(() => fleet.workers.runs.length === workflows);
-  await fleet.clock.advance(CUT_AFTER_MS);
+  await fleet.clock.advance(CUT_DELAY_MS);
   const fate = StandIns.OrderFate.Lost;
   const shape = { fate, healsMs, entryGoesMs: 0, entryBackMs: healsMs };
   for (const id of fleet.workers.listLives()) cuts.begin(id, shape);
@@ -58,7 +58,7 @@
   await replaceCoordinator(fleet);
   const { Completed } = Workflow.WorkflowState;
   const areDone = () => ids.every((id) => fleet.state(id) === Completed);
-  const isDone = await fleet.until(areDone, LIMIT_MS);
+  const isDone = await fleet.until(areDone, TIMEOUT_MS);
   await fleet.clock.advance(RUN_MS * 2);
   const broken = TestUtils.findBrokenRuns(fleet);
   const runs = fleet.workers.runs.length;
@@ -67,14 +67,14 @@
 }
 
 vitest.describe("runs that are done while their endpoints are away", () => {
-  for (const [name, work] of Object.entries(WORKS)) {
-    for (const healsMs of LENGTHS_MS) {
+  for (const [name, scenario] of Object.entries(SCENARIOS)) {
+    for (const healsMs of CUT_DURATIONS_MS) {
       vitest.it(
         `are not repeated after a takeover, ${name}, for ${healsMs} ms`,
         async () => {
-          vitest.expect(await playTakeover(healsMs, work)).toEqual({
+          vitest.expect(await runTakeover(healsMs, scenario)).toEqual({
             isDone: true,
-            runs: work.workflows,
+            runs: scenario.workflows,
             broken: [],
           });
         },
--- a/packages/workflow-node/src/replaced_endpoint_test.ts
+++ b/packages/workflow-node/src/replaced_endpoint_test.ts
@@ -2,7 +2,7 @@
 import * as TestUtils from "@cairngate/test-utils";
 import * as vitest from "vitest";
 
-const HELD_UP = "a000000000000001";
+const BLOCKED_ID = "a000000000000001";
 /** Time of a run, in ms: longer than two crashes and returns of 3 s take. */
 const RUN_MS = 6000;
 const STEPS = [TestUtils.buildStep({ estimateMs: RUN_MS })];
@@ -21,14 +21,14 @@
 ): Promise<string> {
   for (let i = 2; i < 20; i++) {
     const id = `a${String(i).padStart(15, "0")}`;
-    const isTaken = await fleet.submit("node-2", id, { steps: STEPS }).then(
+    const isAccepted = await fleet.submit("node-2", id, { steps: STEPS }).then(
       () => true,
       () => false,
     );
-    if (!isTaken) continue;
+    if (!isAccepted) continue;
     const task = `${id}.0.0.0`;
-    const begun = () => fleet.workers.runsOf(task).length > 0;
-    if (await fleet.until(begun, 2000)) {
+    const isStarted = () => fleet.workers.runsOf(task).length > 0;
+    if (await fleet.until(isStarted, 2000)) {
       vitest.expect(partitionOf(fleet, id)).not.toBe(partition);
       return task;
     }
@@ -41,9 +41,9 @@
     const fleet = new TestUtils.TestFleet({ workers: [1] });
     fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
     await fleet.start();
-    await fleet.submit("node-1", HELD_UP, { steps: STEPS });
+    await fleet.submit("node-1", BLOCKED_ID, { steps: STEPS });
     await fleet.until(() => fleet.workers.runs.length === 1);
-    const partition = partitionOf(fleet, HELD_UP);
+    const partition = partitionOf(fleet, BLOCKED_ID);
     for (const name of fleet.nodes.keys()) {
       fleet.faultsOf(name).set({ downPartitions: [partition] });
     }
--- a/packages/workflow-node/src/rolling_restart_test.ts
+++ b/packages/workflow-node/src/rolling_restart_test.ts
@@ -18,25 +18,25 @@
 /** Boxes that restart by turns. */
 const BOXES = 4;
 /** Each box restarts this many times: a short play, of which many are made. */
-const TURNS = 1;
+const ROUNDS = 1;
 /** Time between two restarts, in ms: a term is often cut off early. */
 const GAP_MS: readonly [number, number] = [200, 1600];
 /** A start later than this after the acknowledgement breaks a promise, in ms. */
-const CANCEL_MS = 4000;
-const END_LIMIT_MS = 120_000;
+const CANCEL_DEADLINE_MS = 4000;
+const END_TIMEOUT_MS = 120_000;
 /** Share of the workflows that are cancelled. */
 const CANCELLED_SHARE = 0.7;
 /** Share of the filings that come once more, perhaps elsewhere. */
-const COPIED_SHARE = 0.5;
+const RESUBMITTED_SHARE = 0.5;
 /** Share of the moments in which a box reaches the store in part. */
-const BAD_SHARE = 0.75;
+const FAULTY_SHARE = 0.75;
 /** Share of the partitions that a box can't reach in a bad moment. */
-const AWAY_SHARE = 0.3;
+const DOWN_PARTITION_SHARE = 0.3;
 /** Share of the boxes whose feeds are behind in a bad moment. */
-const BEHIND_SHARE = 0.3;
+const STALE_FEED_SHARE = 0.3;
 
 /** What the caller of one workflow knows. */
-interface Handed {
+interface Submission {
   readonly id: string;
   readonly priority: number;
   accepted: boolean;
@@ -46,10 +46,10 @@
 }
 
 /** One play. */
-class Play {
+class RestartScenario {
   readonly fleet: TestUtils.TestFleet;
   readonly #random: TestUtils.SeededRandom;
-  readonly #handed: Handed[] = [];
+  readonly #submissions: Submission[] = [];
 
   constructor(seed: number) {
     this.fleet = new TestUtils.TestFleet({
@@ -68,48 +68,48 @@
   /** Plays and tells what went wrong, in words. */
   async run(): Promise<string[]> {
     await this.fleet.start();
-    for (let turn = 1; turn <= TURNS; turn++) {
+    for (let round = 1; round <= ROUNDS; round++) {
       for (const name of [...this.fleet.nodes.keys()]) {
-        await this.#handIn();
+        await this.#submitNew();
         this.#breakStore();
         await this.#restart(name);
-        await this.#callAgain();
+        await this.#repeatCalls();
         await this.fleet.clock.advance(this.#random.between(...GAP_MS));
-        await this.#callAgain();
+        await this.#repeatCalls();
       }
     }
-    this.#mendStore();
+    this.#restoreStore();
     await this.#finishCancels();
     const ended = await this.fleet.until(
-      () => this.#handed.every((one) => this.#isSettled(one)),
-      END_LIMIT_MS,
+      () => this.#submissions.every((one) => this.#isSettled(one)),
+      END_TIMEOUT_MS,
     );
-    await this.fleet.clock.advance(CANCEL_MS);
-    const found = [...this.#findLate(), ...this.#findDoubled()];
+    await this.fleet.clock.advance(CANCEL_DEADLINE_MS);
+    const found = [...this.#findCancelFaults(), ...this.#findDuplicateRuns()];
     if (!ended) {
-      const open = this.#handed.filter((one) => !this.#isSettled(one));
+      const open = this.#submissions.filter((one) => !this.#isSettled(one));
       found.push(...open.map((one) => this.#describe(one)));
     }
     await this.fleet.stop();
     return found;
   }
 
-  async #handIn(): Promise<void> {
+  async #submitNew(): Promise<void> {
     const count = this.#random.between(2, 4);
     for (let i = 0; i < count; i++) {
-      const one: Handed = {
-        id: `a${String(this.#handed.length).padStart(15, "0")}`,
+      const one: Submission = {
+        id: `a${String(this.#submissions.length).padStart(15, "0")}`,
         priority: this.#random.between(0, 2),
         accepted: false,
         isCancelAsked: false,
         cancelledAtMs: null,
       };
-      this.#handed.push(one);
+      this.#submissions.push(one);
       await this.#submit(one);
     }
   }
 
-  async #submit(one: Handed): Promise<void> {
+  async #submit(one: Submission): Promise<void> {
     const steps = [
       TestUtils.buildStep({ count: 2, estimateMs: 2000 }),
       TestUtils.buildStep({ count: 2, gang: true, after: [0] }),
@@ -122,15 +122,15 @@
   }
 
   /** Filings come again, perhaps in other partitions; cancels come. */
-  async #callAgain(): Promise<void> {
-    for (const one of this.#handed.slice(-6)) {
-      const isAgain = this.#random.next() < COPIED_SHARE;
-      if (isAgain || !one.accepted) await this.#submit(one);
+  async #repeatCalls(): Promise<void> {
+    for (const one of this.#submissions.slice(-6)) {
+      const isResubmitted = this.#random.next() < RESUBMITTED_SHARE;
+      if (isResubmitted || !one.accepted) await this.#submit(one);
       if (this.#random.next() < CANCELLED_SHARE / 2) await this.#cancel(one);
     }
   }
 
-  async #cancel(one: Handed): Promise<void> {
+  async #cancel(one: Submission): Promise<void> {
     const { id, priority } = one;
     if (!one.accepted || one.cancelledAtMs !== null) return;
     one.isCancelAsked = true;
@@ -143,7 +143,7 @@
   /** Whoever asked for a cancel asks until there is an answer. */
   async #finishCancels(): Promise<void> {
     await this.fleet.clock.advance(2000);
-    for (const one of this.#handed) {
+    for (const one of this.#submissions) {
       if (one.isCancelAsked) await this.#cancel(one);
       if (!one.accepted) await this.#submit(one);
     }
@@ -164,36 +164,36 @@
 
   #breakBox(name: string): void {
     const random = this.#random;
-    const isBad = random.next() < BAD_SHARE;
+    const isFaulty = random.next() < FAULTY_SHARE;
     const downPartitions = TableClient.Keys.PARTITIONS.filter(() =>
-      isBad && random.next() < AWAY_SHARE
+      isFaulty && random.next() < DOWN_PARTITION_SHARE
     );
-    const hideChanges = isBad && random.next() < BEHIND_SHARE;
+    const hideChanges = isFaulty && random.next() < STALE_FEED_SHARE;
     this.fleet.faultsOf(name).set({ downPartitions, hideChanges });
   }
 
-  #mendStore(): void {
+  #restoreStore(): void {
     for (const name of this.fleet.nodes.keys()) {
       this.fleet.faultsOf(name).set({ downPartitions: [], hideChanges: false });
     }
   }
 
-  #isSettled({ id, accepted }: Handed): boolean {
+  #isSettled({ id, accepted }: Submission): boolean {
     const state = this.fleet.state(id);
     return !accepted || (state !== null && Workflow.isFinal(state));
   }
 
-  #describe({ id, cancelledAtMs }: Handed): string {
+  #describe({ id, cancelledAtMs }: Submission): string {
     const state = this.fleet.state(id);
     return `${id} does not end: ${state}, cancelled at ${cancelledAtMs}`;
   }
 
   /** Starts after an acknowledged cancel, and ends without one. */
-  #findLate(): string[] {
-    const late = this.#handed.flatMap(({ id, cancelledAtMs }) =>
+  #findCancelFaults(): string[] {
+    const late = this.#submissions.flatMap(({ id, cancelledAtMs }) =>
       this.#runsOf(id)
         .filter(({ startedAtMs }) =>
-          startedAtMs > (cancelledAtMs ?? Infinity) + CANCEL_MS
+          startedAtMs > (cancelledAtMs ?? Infinity) + CANCEL_DEADLINE_MS
         )
         .map(({ task, run, startedAtMs }) =>
           `${task} run ${run} starts ${
@@ -201,16 +201,16 @@
           } ms after its cancel`
         )
     );
-    const uncaused = this.#handed
+    const unrequested = this.#submissions
       .filter(({ id, isCancelAsked }) =>
         !isCancelAsked &&
         this.fleet.state(id) === Workflow.WorkflowState.Cancelled
       )
       .map(({ id }) => `${id} is cancelled, and nobody asked`);
-    return [...late, ...uncaused];
+    return [...late, ...unrequested];
   }
 
-  #findDoubled(): string[] {
+  #findDuplicateRuns(): string[] {
     this.fleet.workers.settle();
     const { runs } = this.fleet.workers;
     return runs.flatMap((first) =>
@@ -219,7 +219,7 @@
           second !== first && second.task === first.task &&
           second.startedAtMs >= first.startedAtMs &&
           (second.startedAtMs < (first.endedAtMs ?? Infinity) ||
-            isNotedDone(first))
+            isAcknowledgedInLease(first))
         )
         .map(({ run }) => `${first.task} runs ${first.run} and ${run}`)
     );
@@ -233,7 +233,7 @@
 }
 
 /** An end that was noted in time stands; later ones the lease has outlived. */
-function isNotedDone(note: StandIns.TaskRunNote): boolean {
+function isAcknowledgedInLease(note: StandIns.TaskRunNote): boolean {
   const { how, endedAtMs, acknowledgedAtMs } = note;
   if (how !== "done" || endedAtMs === null || acknowledgedAtMs === null) {
     return false;
@@ -245,7 +245,7 @@
 vitest.describe("restarts of all boxes by turns", () => {
   for (let seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
     vitest.it(`start nothing cancelled, seed ${seed}`, async () => {
-      vitest.expect(await new Play(seed).run()).toEqual([]);
+      vitest.expect(await new RestartScenario(seed).run()).toEqual([]);
     });
   }
 });
--- a/packages/workflow-node/src/run_ends_test.ts
+++ b/packages/workflow-node/src/run_ends_test.ts
@@ -26,16 +26,16 @@
 const RUN_MS = 20_000;
 const STEPS = [TestUtils.buildStep({ estimateMs: RUN_MS })];
 /** Two heartbeats of an endpoint, in ms. */
-const BEATS_MS = 3000;
+const HEARTBEATS_MS = 3000;
 /** Longer than any lease, in ms. */
-const LONG_MS = 10_000;
+const BEYOND_LEASE_MS = 10_000;
 /** Time of a call to a slow store, in ms: the record of a start takes one. */
-const SLOW_MS = 300;
+const STORE_DELAY_MS = 300;
 /** Nobody stands there. */
-const NOWHERE = "10.0.9.9:80";
+const VACANT_ADDRESS = "10.0.9.9:80";
 
 /** An entry of another writer names a wrong address for an endpoint. */
-function moveEntry(
+function rewriteAddress(
   fleet: TestUtils.TestFleet,
   id: string,
   address: string,
@@ -55,10 +55,10 @@
     await fleet.clock.advance(500);
     const { worker } = fleet.workers.runs[0];
     const place = fleet.placeOf(worker);
-    moveEntry(fleet, worker, `10.0.0.${(place + 1) % 3}:80`);
-    await fleet.clock.advance(BEATS_MS);
+    rewriteAddress(fleet, worker, `10.0.0.${(place + 1) % 3}:80`);
+    await fleet.clock.advance(HEARTBEATS_MS);
     fleet.list({ id: worker, accelerators: 1 }, place);
-    await fleet.clock.advance(LONG_MS);
+    await fleet.clock.advance(BEYOND_LEASE_MS);
     vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
     vitest.expect(fleet.workers.runs.length).toBe(1);
     await fleet.stop();
@@ -66,21 +66,21 @@
 
   vitest.it("ends no start that is under way", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1, 1] });
-    fleet.workers.vacate(NOWHERE);
+    fleet.workers.vacate(VACANT_ADDRESS);
     fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
     await fleet.start();
-    await fleet.clock.advance(LONG_MS);
+    await fleet.clock.advance(BEYOND_LEASE_MS);
     for (const name of fleet.nodes.keys()) {
-      fleet.faultsOf(name).set({ delayMs: SLOW_MS });
+      fleet.faultsOf(name).set({ delayMs: STORE_DELAY_MS });
     }
     await fleet.submit("node-1", ID, { steps: STEPS });
     // The start is planned, and its record is on its way.
-    await fleet.clock.advance(SLOW_MS / 2);
+    await fleet.clock.advance(STORE_DELAY_MS / 2);
     vitest.expect(fleet.workers.runs).toEqual([]);
-    moveEntry(fleet, "worker-0", NOWHERE);
-    await fleet.clock.advance(BEATS_MS);
+    rewriteAddress(fleet, "worker-0", VACANT_ADDRESS);
+    await fleet.clock.advance(HEARTBEATS_MS);
     fleet.list({ id: "worker-0", accelerators: 1 }, 0);
-    await fleet.clock.advance(LONG_MS);
+    await fleet.clock.advance(BEYOND_LEASE_MS);
     vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
     vitest.expect(fleet.workers.runs.length).toBe(1);
     await fleet.stop();
@@ -95,7 +95,7 @@
     await fleet.clock.advance(500);
     const [first] = fleet.workers.runs;
     const place = fleet.placeOf(first.worker);
-    moveEntry(fleet, first.worker, `10.0.0.${(place + 1) % 3}:80`);
+    rewriteAddress(fleet, first.worker, `10.0.0.${(place + 1) % 3}:80`);
     await fleet.kill(fleet.coordinator() ?? "");
     const runsAgain = () => fleet.workers.runs.length === 2;
     vitest.expect(await fleet.until(runsAgain)).toBe(true);
--- a/packages/workflow-node/src/run_proofs_test.ts
+++ b/packages/workflow-node/src/run_proofs_test.ts
@@ -13,9 +13,9 @@
 /** Longer than a test. */
 const LONG_MS = 60_000;
 /** Longer than a lease, in ms. */
-const LEASE_OUT_MS = 8000;
+const BEYOND_LEASE_MS = 8000;
 /** Time in which a run whose lease is out begins again, in ms. */
-const LIMIT_MS = 15_000;
+const TIMEOUT_MS = 15_000;
 
 /** A fleet that has run for longer than any lease of an earlier term. */
 async function startFleet(
@@ -25,7 +25,7 @@
   const fleet = new TestUtils.TestFleet({ workers });
   fleet.workers.behave = () => ({ runMs, fails: false });
   await fleet.start();
-  await fleet.clock.advance(LEASE_OUT_MS);
+  await fleet.clock.advance(BEYOND_LEASE_MS);
   return fleet;
 }
 
@@ -62,9 +62,9 @@
 }
 
 /** Waits until the task runs again; returns what ran twice. */
-async function findTwice(fleet: TestUtils.TestFleet): Promise<string[]> {
+async function findDuplicates(fleet: TestUtils.TestFleet): Promise<string[]> {
   const runsAgain = () => fleet.workers.runs.length > 1;
-  vitest.expect(await fleet.until(runsAgain, LIMIT_MS)).toBe(true);
+  vitest.expect(await fleet.until(runsAgain, TIMEOUT_MS)).toBe(true);
   await fleet.clock.advance(1000);
   return await endTest(fleet);
 }
@@ -112,7 +112,7 @@
     const spec = { id: first.worker, accelerators: 1 };
     const leaves = { draining: true, leavesInMs: 500 };
     fleet.list(spec, fleet.placeOf(first.worker), leaves);
-    vitest.expect(await findTwice(fleet)).toEqual([]);
+    vitest.expect(await findDuplicates(fleet)).toEqual([]);
     vitest.expect(first.how).toBe("stopped");
   });
 });
@@ -144,36 +144,36 @@
     const fleet = await startFleet([1, 1], LONG_MS);
     const first = await startRuns(fleet);
     breakOrders(fleet, first.worker, StandIns.OrderFate.Lost);
-    vitest.expect(await findTwice(fleet)).toEqual([]);
+    vitest.expect(await findDuplicates(fleet)).toEqual([]);
     vitest.expect(first.how).toBe("lapsed");
   });
 
   vitest.it("counts from looks whose answers are lost", async () => {
     const fleet = await startFleet([1, 1], LONG_MS);
     const first = await startRuns(fleet);
-    await fleet.clock.advance(LEASE_OUT_MS);
+    await fleet.clock.advance(BEYOND_LEASE_MS);
     breakOrders(fleet, first.worker, StandIns.OrderFate.AnswerLost, ["renew"]);
-    vitest.expect(await findTwice(fleet)).toEqual([]);
+    vitest.expect(await findDuplicates(fleet)).toEqual([]);
     vitest.expect(first.how).toBe("lapsed");
   });
 
   vitest.it("of an earlier term is waited for", async () => {
     const fleet = await startFleet([1, 1], LONG_MS);
     const first = await startRuns(fleet);
-    await fleet.clock.advance(LEASE_OUT_MS);
+    await fleet.clock.advance(BEYOND_LEASE_MS);
     await fleet.kill(fleet.coordinator() ?? "");
     breakOrders(fleet, first.worker, StandIns.OrderFate.Lost);
-    vitest.expect(await findTwice(fleet)).toEqual([]);
+    vitest.expect(await findDuplicates(fleet)).toEqual([]);
     vitest.expect(first.how).toBe("lapsed");
   });
 
   vitest.it("is waited for where the endpoint is not listed", async () => {
     const fleet = await startFleet([1, 1], LONG_MS);
     const first = await startRuns(fleet);
-    await fleet.clock.advance(LEASE_OUT_MS);
+    await fleet.clock.advance(BEYOND_LEASE_MS);
     await fleet.kill(fleet.coordinator() ?? "");
     fleet.unlist(first.worker);
-    vitest.expect(await findTwice(fleet)).toEqual([]);
+    vitest.expect(await findDuplicates(fleet)).toEqual([]);
     vitest.expect(first.how).toBe("lapsed");
   });
 });
@@ -187,7 +187,7 @@
     fleet.workers.vacate(address);
     await fleet.clock.advance(2000);
     fleet.workers.livesAt(address, first.worker);
-    await fleet.clock.advance(LEASE_OUT_MS);
+    await fleet.clock.advance(BEYOND_LEASE_MS);
     vitest.expect(fleet.workers.runs.length).toBe(1);
     vitest.expect(await endTest(fleet)).toEqual([]);
   });
@@ -196,11 +196,11 @@
 vitest.describe("a takeover", () => {
   vitest.it("ends a start on its way by calling its endpoint", async () => {
     const fleet = await startFleet([1, 1], LONG_MS);
-    const former = fleet.coordinator() ?? "";
+    const previous = fleet.coordinator() ?? "";
     const token = fleet.token();
     let endpoint = "";
     fleet.workers.carry = (id, order) => {
-      if (order !== "start" || fleet.coordinator() !== former) {
+      if (order !== "start" || fleet.coordinator() !== previous) {
         return StandIns.OrderFate.Carried;
       }
       endpoint = id;
@@ -212,12 +212,12 @@
     // The next run begins elsewhere, so that no start of it calls this endpoint.
     const spec = { id: endpoint, accelerators: 1 };
     fleet.list(spec, fleet.placeOf(endpoint), { draining: true });
-    await fleet.kill(former);
+    await fleet.kill(previous);
     // Orders under way in a test outlast the box that makes them.
     const stop = fleet.workers.stop.bind(fleet.workers);
     fleet.workers.stop = (ref, order) =>
       order.fencingToken === token ? Effect.never : stop(ref, order);
-    await fleet.clock.advance(LEASE_OUT_MS);
+    await fleet.clock.advance(BEYOND_LEASE_MS);
     vitest.expect(fleet.workers.runs.length).toBe(1);
     vitest.expect(await endTest(fleet)).toEqual([]);
   });
--- a/packages/workflow-node/src/shared_outage_test.ts
+++ b/packages/workflow-node/src/shared_outage_test.ts
@@ -23,7 +23,7 @@
 }
 
 /** How the run is after an outage of the store for these boxes. */
-async function endOf(
+async function findEndAfter(
   fleet: TestUtils.TestFleet,
   boxes: readonly string[],
 ): Promise<string | null> {
@@ -39,7 +39,7 @@
   vitest.it("runs on where the store is away for all boxes", async () => {
     const fleet = await startRun();
     const boxes = [...fleet.nodes.keys()];
-    vitest.expect(await endOf(fleet, boxes)).toBeNull();
+    vitest.expect(await findEndAfter(fleet, boxes)).toBeNull();
     await fleet.stop();
   });
 
@@ -50,24 +50,24 @@
     );
     await fleet.kill(lost);
     const boxes = [...fleet.nodes.keys()];
-    vitest.expect(await endOf(fleet, boxes)).toBeNull();
+    vitest.expect(await findEndAfter(fleet, boxes)).toBeNull();
     await fleet.stop();
   });
 
   vitest.it("runs on where the store turns the coordinator away", async () => {
     const fleet = await startRun();
     const boxes = [fleet.coordinator() ?? ""];
-    vitest.expect(await endOf(fleet, boxes)).toBeNull();
+    vitest.expect(await findEndAfter(fleet, boxes)).toBeNull();
     vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
     await fleet.stop();
   });
 
   vitest.it("lapses where the coordinator hears nobody", async () => {
     const fleet = await startRun();
-    const former = fleet.coordinator() ?? "";
-    fleet.links.passes = (from, to) => from !== former && to !== former;
+    const isolated = fleet.coordinator() ?? "";
+    fleet.links.passes = (from, to) => from !== isolated && to !== isolated;
     const boxes = [...fleet.nodes.keys()];
-    vitest.expect(await endOf(fleet, boxes)).toBe("lapsed");
+    vitest.expect(await findEndAfter(fleet, boxes)).toBe("lapsed");
     await fleet.stop();
   });
 });
--- a/packages/workflow-node/src/shrinking_room_test.ts
+++ b/packages/workflow-node/src/shrinking_room_test.ts
@@ -6,15 +6,15 @@
 
 const ENDPOINT = "worker-0";
 /** Accelerators of the endpoint: enough that one, two and none are fewer. */
-const ROOM = 4;
+const CAPACITY = 4;
 /** Time of a run, in ms: long beside the records of a slow store. */
 const RUN_MS = 2000;
 /** A store this slow holds a start back between its plan and its order, in ms. */
-const SLOW_MS = 400;
+const STORE_DELAY_MS = 400;
 
 /** An endpoint that starts whatever it is told. */
 async function startFleet(): Promise<TestUtils.TestFleet> {
-  const fleet = new TestUtils.TestFleet({ workers: [ROOM] });
+  const fleet = new TestUtils.TestFleet({ workers: [CAPACITY] });
   fleet.workers.guardsRoom = false;
   fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
   await fleet.start();
@@ -33,7 +33,7 @@
 }
 
 /** Most runs at once of those that began after a time. */
-function mostAtOnce(
+function maxConcurrency(
   fleet: TestUtils.TestFleet,
   sinceMs: number,
 ): number {
@@ -49,7 +49,7 @@
   return Math.max(0, ...counts);
 }
 
-async function endAll(
+async function waitForAll(
   fleet: TestUtils.TestFleet,
   all: readonly string[],
 ): Promise<boolean> {
@@ -62,19 +62,19 @@
   vitest.it("gets no start that was planned before", async () => {
     const fleet = await startFleet();
     for (const name of fleet.nodes.keys()) {
-      fleet.faultsOf(name).set({ delayMs: SLOW_MS });
+      fleet.faultsOf(name).set({ delayMs: STORE_DELAY_MS });
     }
-    const all = ids(ROOM);
-    const handedIn = Promise.all(
+    const all = ids(CAPACITY);
+    const submissions = Promise.all(
       all.map((id) => fleet.submit("node-1", id)),
     );
     // The listing changes as soon as a start is on its way to the record.
     await fleet.until(() => fleet.table.rowsUnder("progress:").length > 0);
     resize(fleet, 1);
     const shrunkAtMs = fleet.clock.monotonicMs();
-    await handedIn;
-    vitest.expect(await endAll(fleet, all)).toBe(true);
-    vitest.expect(mostAtOnce(fleet, shrunkAtMs)).toBe(1);
+    await submissions;
+    vitest.expect(await waitForAll(fleet, all)).toBe(true);
+    vitest.expect(maxConcurrency(fleet, shrunkAtMs)).toBe(1);
     await fleet.stop();
   });
 
@@ -82,15 +82,15 @@
     "starts nothing while more runs than fits, and goes on",
     async () => {
       const fleet = await startFleet();
-      const all = ids(ROOM + 2);
+      const all = ids(CAPACITY + 2);
       for (const id of all) await fleet.submit("node-1", id);
-      await fleet.until(() => fleet.workers.runs.length === ROOM);
+      await fleet.until(() => fleet.workers.runs.length === CAPACITY);
       resize(fleet, 2);
       const shrunkAtMs = fleet.clock.monotonicMs();
       await fleet.clock.advance(RUN_MS / 2);
-      vitest.expect(fleet.workers.runs.length).toBe(ROOM);
-      vitest.expect(await endAll(fleet, all)).toBe(true);
-      vitest.expect(mostAtOnce(fleet, shrunkAtMs)).toBeLessThanOrEqual(2);
+      vitest.expect(fleet.workers.runs.length).toBe(CAPACITY);
+      vitest.expect(await waitForAll(fleet, all)).toBe(true);
+      vitest.expect(maxConcurrency(fleet, shrunkAtMs)).toBeLessThanOrEqual(2);
       // What ran when the room shrank was left to end.
       vitest.expect(fleet.workers.runs.length).toBe(all.length);
       await fleet.stop();
@@ -106,8 +106,8 @@
     resize(fleet, 2);
     const shrunkAtMs = fleet.clock.monotonicMs();
     await fleet.submit("node-1", third, { priority: 0 });
-    vitest.expect(await endAll(fleet, [first, second, third])).toBe(true);
-    vitest.expect(mostAtOnce(fleet, shrunkAtMs)).toBeLessThanOrEqual(2);
+    vitest.expect(await waitForAll(fleet, [first, second, third])).toBe(true);
+    vitest.expect(maxConcurrency(fleet, shrunkAtMs)).toBeLessThanOrEqual(2);
     await fleet.stop();
   });
 
@@ -121,23 +121,23 @@
       for (const id of all) await fleet.submit("node-1", id);
       await fleet.clock.advance(5000);
       vitest.expect(fleet.workers.runs.length).toBe(0);
-      resize(fleet, ROOM);
-      vitest.expect(await endAll(fleet, all)).toBe(true);
+      resize(fleet, CAPACITY);
+      vitest.expect(await waitForAll(fleet, all)).toBe(true);
       await fleet.stop();
     },
   );
 
   vitest.it("keeps to its room through a change of coordinators", async () => {
     const fleet = await startFleet();
-    const all = ids(ROOM + 2);
+    const all = ids(CAPACITY + 2);
     for (const id of all) await fleet.submit("node-1", id);
-    await fleet.until(() => fleet.workers.runs.length === ROOM);
+    await fleet.until(() => fleet.workers.runs.length === CAPACITY);
     resize(fleet, 1);
     const shrunkAtMs = fleet.clock.monotonicMs();
     const coordinator = fleet.coordinator();
     if (coordinator !== null) await fleet.kill(coordinator);
-    vitest.expect(await endAll(fleet, all)).toBe(true);
-    vitest.expect(mostAtOnce(fleet, shrunkAtMs)).toBe(1);
+    vitest.expect(await waitForAll(fleet, all)).toBe(true);
+    vitest.expect(maxConcurrency(fleet, shrunkAtMs)).toBe(1);
     await fleet.stop();
   });
 
@@ -146,20 +146,20 @@
     async () => {
       const fleet = await startFleet();
       for (const name of fleet.nodes.keys()) {
-        fleet.faultsOf(name).set({ delayMs: SLOW_MS });
+        fleet.faultsOf(name).set({ delayMs: STORE_DELAY_MS });
       }
-      const steps = [TestUtils.buildStep({ count: ROOM, gang: true })];
+      const steps = [TestUtils.buildStep({ count: CAPACITY, gang: true })];
       const [id] = ids(1);
-      const handedIn = fleet.submit("node-1", id, { steps });
+      const submissions = fleet.submit("node-1", id, { steps });
       await fleet.until(() => fleet.table.rowsUnder("progress:").length > 0);
-      resize(fleet, ROOM - 1);
-      await handedIn;
+      resize(fleet, CAPACITY - 1);
+      await submissions;
       await fleet.clock.advance(5000);
       fleet.workers.settle();
       const running = fleet.workers.runs.filter(({ how }) => how === null);
       vitest.expect(running).toEqual([]);
-      resize(fleet, ROOM);
-      vitest.expect(await endAll(fleet, [id])).toBe(true);
+      resize(fleet, CAPACITY);
+      vitest.expect(await waitForAll(fleet, [id])).toBe(true);
       await fleet.stop();
     },
   );
@@ -167,23 +167,23 @@
   vitest.it("counts each of its resources", async () => {
     const fleet = await startFleet();
     const place = fleet.placeOf(ENDPOINT);
-    const spec = { id: ENDPOINT, accelerators: ROOM };
+    const spec = { id: ENDPOINT, accelerators: CAPACITY };
     // Memory for one task only, of 1,000 MB each.
     fleet.list(spec, place, { memoryMb: 1500 });
     const shrunkAtMs = fleet.clock.monotonicMs();
     await fleet.clock.advance(200);
     const all = ids(3);
     for (const id of all) await fleet.submit("node-1", id);
-    vitest.expect(await endAll(fleet, all)).toBe(true);
-    vitest.expect(mostAtOnce(fleet, shrunkAtMs)).toBe(1);
+    vitest.expect(await waitForAll(fleet, all)).toBe(true);
+    vitest.expect(maxConcurrency(fleet, shrunkAtMs)).toBe(1);
     await fleet.stop();
   });
 
   vitest.it("is followed after an outage of the store", async () => {
     const fleet = await startFleet();
-    const all = ids(ROOM + 1);
+    const all = ids(CAPACITY + 1);
     for (const id of all) await fleet.submit("node-1", id);
-    await fleet.until(() => fleet.workers.runs.length === ROOM);
+    await fleet.until(() => fleet.workers.runs.length === CAPACITY);
     for (const name of fleet.nodes.keys()) {
       fleet.faultsOf(name).set({ down: true });
     }
@@ -193,8 +193,8 @@
     for (const name of fleet.nodes.keys()) {
       fleet.faultsOf(name).set({ down: false });
     }
-    vitest.expect(await endAll(fleet, all)).toBe(true);
-    vitest.expect(mostAtOnce(fleet, shrunkAtMs)).toBe(1);
+    vitest.expect(await waitForAll(fleet, all)).toBe(true);
+    vitest.expect(maxConcurrency(fleet, shrunkAtMs)).toBe(1);
     await fleet.stop();
   });
 });
--- a/packages/workflow-node/src/silent_connections_test.ts
+++ b/packages/workflow-node/src/silent_connections_test.ts
@@ -7,13 +7,13 @@
 import * as vitest from "vitest";
 
 /** An urgent workflow has to run in this time on the strictest sites, in ms. */
-const URGENT_STARTS_MS = 2900;
+const MAX_URGENT_START_MS = 2900;
 const LONG_ID = "a000000000000001";
 const URGENT_ID = "a000000000000002";
 /** Moments of the silence, over the time between two renewals, in ms. */
-const OFFSETS: readonly number[] = [0, 90, 180, 270, 340];
+const OFFSETS_MS: readonly number[] = [0, 90, 180, 270, 340];
 /** Time after which whatever the silence did must be over, in ms. */
-const SETTLED_MS = 6000;
+const SETTLE_MS = 6000;
 
 async function startFleet(): Promise<TestUtils.TestFleet> {
   const fleet = new TestUtils.TestFleet({
@@ -44,15 +44,15 @@
 /** The urgent workflow runs in time, once, and nothing else was lost. */
 async function expectServed(
   fleet: TestUtils.TestFleet,
-  limitMs = URGENT_STARTS_MS,
+  timeoutMs = MAX_URGENT_START_MS,
 ): Promise<void> {
-  const begunAtMs = fleet.clock.monotonicMs();
+  const startedAtMs = fleet.clock.monotonicMs();
   await submitUrgent(fleet);
   const task = `${URGENT_ID}.0.0.0`;
-  const leftMs = limitMs - (fleet.clock.monotonicMs() - begunAtMs);
+  const remainingMs = timeoutMs - (fleet.clock.monotonicMs() - startedAtMs);
   const isStarted = () => fleet.workers.runsOf(task).length > 0;
-  vitest.expect(await fleet.until(isStarted, leftMs)).toBe(true);
-  await fleet.clock.advance(SETTLED_MS);
+  vitest.expect(await fleet.until(isStarted, remainingMs)).toBe(true);
+  await fleet.clock.advance(SETTLE_MS);
   fleet.workers.settle();
   vitest.expect(fleet.workers.runsOf(task)).toHaveLength(1);
   vitest.expect(fleet.state(URGENT_ID)).toBe(Workflow.WorkflowState.Completed);
@@ -63,7 +63,7 @@
 }
 
 vitest.describe("when all connections turn silent at once", () => {
-  for (const offsetMs of OFFSETS) {
+  for (const offsetMs of OFFSETS_MS) {
     vitest.it(`urgent work starts in time (${offsetMs} ms)`, async () => {
       const fleet = await startFleet();
       const token = fleet.token();
@@ -107,7 +107,7 @@
     }
     await fleet.clock.advance(1000);
     fleet.silenceOpen();
-    await expectServed(fleet, URGENT_STARTS_MS * 2);
+    await expectServed(fleet, MAX_URGENT_START_MS * 2);
     await fleet.stop();
   });
 });
--- a/packages/workflow-node/src/slow_link_test.ts
+++ b/packages/workflow-node/src/slow_link_test.ts
@@ -7,36 +7,38 @@
 const ID = "a000000000000001";
 const OTHER_ID = "a000000000000002";
 /** Workflows that ended before; their rows are kept for a while. */
-const ENDED = 400;
+const ENDED_WORKFLOWS = 400;
 /** Time that a kilobyte takes at 4 Mbit/s, in ms. */
 const KILOBYTE_MS = 2;
 /** Rows of one ended workflow, in KB. */
-const ENDED_KB = 5;
+const ENDED_WORKFLOW_KB = 5;
 /** The silence after which a term is taken over, at most, in ms. */
-const NOTICE_MS = 1800;
+const DETECTION_MS = 1800;
 /** Rows of one partition that are nearly as large as stores allow. */
 const LARGE_ROWS = 100;
 /** Size of one such row, in KB; stores take 64. */
-const LARGE_KB = 40;
+const LARGE_ROW_KB = 40;
 /** History that a store keeps at least in the second test, in ms. */
 const HISTORY_MS = 2000;
 /** Time between two writes of others, in ms. */
-const WRITE_EVERY_MS = 500;
+const WRITE_INTERVAL_MS = 500;
 
 /** Time to read all, and to notice; as much again for all else, in ms. */
-function boundMs(kilobytes: number): number {
-  return 2 * (kilobytes * KILOBYTE_MS + NOTICE_MS);
+function maxReadMs(kilobytes: number): number {
+  return 2 * (kilobytes * KILOBYTE_MS + DETECTION_MS);
 }
 
 /** The coordinator dies; another box with a slow link is left. */
-async function leaveOne(fleet: TestUtils.TestFleet): Promise<void> {
+async function killCoordinator(fleet: TestUtils.TestFleet): Promise<void> {
   await fleet.start();
-  const [left] = [...fleet.nodes.keys()]
+  const [remaining] = [...fleet.nodes.keys()]
     .filter((name) => name !== fleet.coordinator());
-  await fleet.submit(left, ID, { steps: [TestUtils.buildStep({ count: 2 })] });
+  await fleet.submit(remaining, ID, {
+    steps: [TestUtils.buildStep({ count: 2 })],
+  });
   await fleet.kill(fleet.coordinator() ?? "");
-  await fleet.submit(left, OTHER_ID);
-  fleet.faultsOf(left).set({ kilobyteMs: KILOBYTE_MS });
+  await fleet.submit(remaining, OTHER_ID);
+  fleet.faultsOf(remaining).set({ kilobyteMs: KILOBYTE_MS });
 }
 
 function isServed(fleet: TestUtils.TestFleet): boolean {
@@ -46,15 +48,17 @@
 }
 
 /** Others write now and then, and the store forgets what is older. */
-async function slideHistory(fleet: TestUtils.TestFleet): Promise<boolean> {
-  const limitMs = boundMs(ENDED * ENDED_KB);
+async function waitWithShortHistory(
+  fleet: TestUtils.TestFleet,
+): Promise<boolean> {
+  const limitMs = maxReadMs(ENDED_WORKFLOWS * ENDED_WORKFLOW_KB);
   const revisions: number[] = [];
-  for (let ms = 0; ms < limitMs; ms += WRITE_EVERY_MS) {
+  for (let ms = 0; ms < limitMs; ms += WRITE_INTERVAL_MS) {
     if (isServed(fleet)) return true;
-    await fleet.clock.advance(WRITE_EVERY_MS);
+    await fleet.clock.advance(WRITE_INTERVAL_MS);
     revisions.push(fleet.table.revision);
     fleet.write("others/row", ms);
-    const old = revisions.at(-1 - HISTORY_MS / WRITE_EVERY_MS);
+    const old = revisions.at(-1 - HISTORY_MS / WRITE_INTERVAL_MS);
     if (old !== undefined) fleet.table.forgetHistory(old);
   }
   return isServed(fleet);
@@ -63,18 +67,18 @@
 vitest.describe("a coordinator on a slow link", () => {
   vitest.it("serves once it has read all rows, however many", async () => {
     const fleet = new TestUtils.TestFleet({ nodes: 2 });
-    for (let i = 0; i < ENDED; i++) TestUtils.writeEnded(fleet, i);
-    await leaveOne(fleet);
-    const limitMs = boundMs(ENDED * ENDED_KB);
+    for (let i = 0; i < ENDED_WORKFLOWS; i++) TestUtils.writeEnded(fleet, i);
+    await killCoordinator(fleet);
+    const limitMs = maxReadMs(ENDED_WORKFLOWS * ENDED_WORKFLOW_KB);
     vitest.expect(await fleet.until(() => isServed(fleet), limitMs)).toBe(true);
     await fleet.stop();
   });
 
   vitest.it("serves where the store keeps little history", async () => {
     const fleet = new TestUtils.TestFleet({ nodes: 2 });
-    for (let i = 0; i < ENDED; i++) TestUtils.writeEnded(fleet, i);
-    await leaveOne(fleet);
-    vitest.expect(await slideHistory(fleet)).toBe(true);
+    for (let i = 0; i < ENDED_WORKFLOWS; i++) TestUtils.writeEnded(fleet, i);
+    await killCoordinator(fleet);
+    vitest.expect(await waitWithShortHistory(fleet)).toBe(true);
     await fleet.stop();
   });
 
@@ -83,15 +87,15 @@
     const value = {
       ...Workflow.toProgress(new Workflow.Workflow(TestUtils.buildEnded(0))),
       state: Workflow.WorkflowState.Completed,
-      tasks: { "0.0.0": [1, -1, 0, "x".repeat(LARGE_KB * 1000)] },
+      tasks: { "0.0.0": [1, -1, 0, "x".repeat(LARGE_ROW_KB * 1000)] },
     };
     for (let i = 0; i < LARGE_ROWS; i++) {
       const id = `c${String(i).padStart(15, "0")}`;
       const partition = TableClient.Keys.homePartition(id);
       fleet.write(TableClient.Keys.progressKey(partition, id), value);
     }
-    await leaveOne(fleet);
-    const limitMs = boundMs(LARGE_ROWS * LARGE_KB);
+    await killCoordinator(fleet);
+    const limitMs = maxReadMs(LARGE_ROWS * LARGE_ROW_KB);
     vitest.expect(await fleet.until(() => isServed(fleet), limitMs)).toBe(true);
     await fleet.stop();
   });
--- a/packages/workflow-node/src/standstill_test.ts
+++ b/packages/workflow-node/src/standstill_test.ts
@@ -16,11 +16,11 @@
     await fleet.clock.advance(1000);
     await fleet.submit("node-1", "a000000000000001");
     await fleet.clock.advance(9000);
-    const told = log.sentences.filter((line) => line.includes("stands still"));
-    vitest.expect(told.length).toBe(1);
-    vitest.expect(told[0]).toContain("Step a000000000000001.0.0 stands still");
-    vitest.expect(told[0]).toContain("waits for endpoints");
-    vitest.expect(told[0]).toContain("of 1 endpoints of its service 0 may be");
+    const lines = log.sentences.filter((line) => line.includes("stands still"));
+    vitest.expect(lines.length).toBe(1);
+    vitest.expect(lines[0]).toContain("Step a000000000000001.0.0 stands still");
+    vitest.expect(lines[0]).toContain("waits for endpoints");
+    vitest.expect(lines[0]).toContain("of 1 endpoints of its service 0 may be");
     const dump = fleet.node(fleet.coordinator() ?? "").dump();
     const { workflows } = dump["work"] as Coordinator.CoordinatorDump;
     vitest.expect(workflows[0].waitsFor).toBe("endpoints");
--- a/packages/workflow-node/src/swallowed_renewals_test.ts
+++ b/packages/workflow-node/src/swallowed_renewals_test.ts
@@ -15,19 +15,19 @@
 import * as vitest from "vitest";
 
 /** The pace of the renewals is known by then, and silence is judged by it, in ms. */
-const KNOWN_PACE_MS = 4000;
+const WARM_UP_MS = 4000;
 /** One renewal is due in this time, in ms. */
-const RENEWALS_MS = 370;
+const RENEWAL_INTERVAL_MS = 370;
 /** A term would have been taken over by then, in ms. */
-const SETTLED_MS = 5000;
+const TAKEOVER_MS = 5000;
 /** Share of writes that a store loses that loses answers. */
-const SHARE = 0.35;
+const LOST_WRITES_SHARE = 0.35;
 const SEEDS: readonly number[] = [1, 2, 3, 4, 5, 6];
 
 async function startFleet(seed = 1): Promise<TestUtils.TestFleet> {
   const fleet = new TestUtils.TestFleet({ nodes: 4, seed });
   await fleet.start();
-  await fleet.clock.advance(KNOWN_PACE_MS);
+  await fleet.clock.advance(WARM_UP_MS);
   return fleet;
 }
 
@@ -37,9 +37,9 @@
     const token = fleet.token();
     const faults = fleet.faultsOf(fleet.coordinator() ?? "");
     faults.set({ swallowWrites: 1 });
-    await fleet.clock.advance(RENEWALS_MS);
+    await fleet.clock.advance(RENEWAL_INTERVAL_MS);
     faults.set({ swallowWrites: 0 });
-    await fleet.clock.advance(SETTLED_MS);
+    await fleet.clock.advance(TAKEOVER_MS);
     vitest.expect(fleet.token()).toBe(token);
     await fleet.stop();
   });
@@ -50,9 +50,9 @@
       const fleet = await startFleet(seed);
       const token = fleet.token();
       for (const name of fleet.nodes.keys()) {
-        fleet.faultsOf(name).set({ swallowWrites: SHARE });
+        fleet.faultsOf(name).set({ swallowWrites: LOST_WRITES_SHARE });
       }
-      await fleet.clock.advance(SETTLED_MS);
+      await fleet.clock.advance(TAKEOVER_MS);
       vitest.expect(fleet.token()).toBe(token);
       await fleet.stop();
     },
@@ -64,10 +64,10 @@
       const fleet = await startFleet(seed);
       const token = fleet.token();
       for (const name of fleet.nodes.keys()) {
-        fleet.faultsOf(name).set({ swallowWrites: SHARE });
+        fleet.faultsOf(name).set({ swallowWrites: LOST_WRITES_SHARE });
       }
       await fleet.kill(fleet.coordinator() ?? "");
-      await fleet.clock.advance(2 * SETTLED_MS);
+      await fleet.clock.advance(2 * TAKEOVER_MS);
       vitest.expect(fleet.token()).toBe(token + 1);
       await fleet.stop();
     },
@@ -78,7 +78,7 @@
     const token = fleet.token();
     // By its time no true renewal would be newer.
     fleet.write(TableClient.Keys.COORDINATOR_LEASE_KEY, 1e15);
-    await fleet.clock.advance(SETTLED_MS);
+    await fleet.clock.advance(TAKEOVER_MS);
     vitest.expect(fleet.token()).toBe(token);
     await fleet.stop();
   });
--- a/packages/workflow-node/src/team_shares_test.ts
+++ b/packages/workflow-node/src/team_shares_test.ts
@@ -6,7 +6,7 @@
 import * as vitest from "vitest";
 
 const KEY = TableClient.Keys.TEAM_SHARES_KEY;
-const HELD_ID = "a000000000000001";
+const RUNNING_ID = "a000000000000001";
 
 /** One team has paid for far more than the others. */
 const CONFIG = TestUtils.buildAccess({ large: 8, small: 1, other: 1 });
@@ -30,10 +30,10 @@
 }
 
 /** The small team holds half of the fleet for a while. */
-async function holdHalf(fleet: TestUtils.TestFleet, forMs: number) {
+async function occupyHalf(fleet: TestUtils.TestFleet, forMs: number) {
   await fleet.start();
   const steps = [TestUtils.buildStep({ count: 4, estimateMs: 120_000 })];
-  await fleet.submit("node-1", HELD_ID, { tenant: "small", steps });
+  await fleet.submit("node-1", RUNNING_ID, { tenant: "small", steps });
   await fleet.until(() => fleet.workers.runs.length === 4);
   await fleet.clock.advance(forMs);
 }
@@ -62,7 +62,7 @@
   vitest.it("show who has had how much, and who waits", async () => {
     const log = new TestUtils.KeptLog();
     const fleet = buildFleet({ log });
-    await holdHalf(fleet, 25_000);
+    await occupyHalf(fleet, 25_000);
     // As wide as the fleet, and long enough to be of use after what runs.
     const steps = [
       TestUtils.buildStep({ count: 8, gang: true, estimateMs: 60_000 }),
@@ -85,7 +85,7 @@
 
   vitest.it("outlive a takeover", async () => {
     const fleet = buildFleet();
-    await holdHalf(fleet, 20_000);
+    await occupyHalf(fleet, 20_000);
     const before = useOf(fleet);
     await takeOver(fleet);
     vitest.expect(before).toBeGreaterThan(0.3);
@@ -97,22 +97,22 @@
   vitest.it("are not known where somebody else wrote the row", async () => {
     const log = new TestUtils.KeptLog();
     const fleet = buildFleet({ log });
-    await holdHalf(fleet, 20_000);
+    await occupyHalf(fleet, 20_000);
     const first = fleet.coordinator() ?? "";
     fleet.faultsOf(first).set({ down: true });
     fleet.write(KEY, { use: { small: "much" } });
     await takeOver(fleet);
     vitest.expect(useOf(fleet)).toBeLessThan(0.25);
-    const told = log.sentences.filter((one) =>
+    const lines = log.sentences.filter((one) =>
       one.includes("Nothing is known of what teams have had: it can't be read")
     );
-    vitest.expect(told.length).toBe(1);
+    vitest.expect(lines.length).toBe(1);
     await fleet.stop();
   });
 
   vitest.it("go on where writes are lost, and are written again", async () => {
     const fleet = buildFleet();
-    await holdHalf(fleet, 4000);
+    await occupyHalf(fleet, 4000);
     const name = fleet.coordinator() ?? "";
     fleet.faultsOf(name).set({ down: true });
     await fleet.clock.advance(500);
@@ -129,7 +129,7 @@
 
   vitest.it("are neither kept nor counted where not asked for", async () => {
     const fleet = buildFleet({ hardLoad: Types.HARD_LOAD_OFF });
-    await holdHalf(fleet, 20_000);
+    await occupyHalf(fleet, 20_000);
     vitest.expect(sharesAt(fleet)).toEqual([]);
     vitest.expect(fleet.table.rowsUnder(KEY)).toEqual([]);
     await fleet.stop();
@@ -137,7 +137,7 @@
 
   vitest.it("are written each 2 s at most", async () => {
     const fleet = buildFleet();
-    await holdHalf(fleet, 3000);
+    await occupyHalf(fleet, 3000);
     const before = fleet.table.revision;
     const changesBefore = fleet.table.changesAfter(KEY, before).length;
     await fleet.clock.advance(20_000);
--- a/packages/workflow-node/src/two_runs_at_once_test.ts
+++ b/packages/workflow-node/src/two_runs_at_once_test.ts
@@ -21,12 +21,12 @@
 import * as vitest from "vitest";
 
 const ID = "a000000000000001";
-const SIZE = 3;
+const GANG_SIZE = 3;
 const RUN_MS = 30_000;
 /** Time for which the endpoint of the third member answers nothing, in ms. */
-const UNHEARD_MS = 700;
+const CUT_OFF_MS = 700;
 /** Time within which the gang runs again, in ms. */
-const LIMIT_MS = 20_000;
+const TIMEOUT_MS = 20_000;
 
 interface Gang {
   readonly fleet: TestUtils.TestFleet;
@@ -40,10 +40,10 @@
   fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
   await fleet.start();
   const steps = [
-    TestUtils.buildStep({ count: SIZE, gang: true, estimateMs: RUN_MS }),
+    TestUtils.buildStep({ count: GANG_SIZE, gang: true, estimateMs: RUN_MS }),
   ];
   await fleet.submit("node-1", ID, { steps });
-  await fleet.until(() => fleet.workers.runs.length === SIZE);
+  await fleet.until(() => fleet.workers.runs.length === GANG_SIZE);
   await fleet.clock.advance(1000);
   return { fleet, runs: [...fleet.workers.runs] };
 }
@@ -61,9 +61,9 @@
 }
 
 /** What was run twice at once, once the gang runs again. */
-async function findTwice({ fleet }: Gang): Promise<string[]> {
-  const runsAgain = () => fleet.workers.runs.length >= 2 * SIZE;
-  vitest.expect(await fleet.until(runsAgain, LIMIT_MS)).toBe(true);
+async function findDuplicates({ fleet }: Gang): Promise<string[]> {
+  const runsAgain = () => fleet.workers.runs.length >= 2 * GANG_SIZE;
+  vitest.expect(await fleet.until(runsAgain, TIMEOUT_MS)).toBe(true);
   await fleet.clock.advance(1000);
   const found = TestUtils.findBrokenRuns(fleet);
   await fleet.stop();
@@ -74,10 +74,10 @@
 async function breakLate(): Promise<string[]> {
   const gang = await startGang();
   const { fleet, runs: [first, , third] } = gang;
-  fleet.workers.gangFollowsMs = (task) => task === third.task ? UNHEARD_MS : 0;
+  fleet.workers.gangFollowsMs = (task) => task === third.task ? CUT_OFF_MS : 0;
   fleet.workers.endNow(first.task, "failed");
-  await cutOff(gang, third.worker, UNHEARD_MS);
-  const found = await findTwice(gang);
+  await cutOff(gang, third.worker, CUT_OFF_MS);
+  const found = await findDuplicates(gang);
   vitest.expect(third.how).toBe("broken");
   return found;
 }
@@ -90,8 +90,8 @@
   fleet.workers.gangFollowsMs = (task) => task === second.task ? 200 : RUN_MS;
   fleet.workers.endNow(first.task, "failed");
   await fleet.clock.advance(150);
-  await cutOff(gang, third.worker, UNHEARD_MS);
-  const found = await findTwice(gang);
+  await cutOff(gang, third.worker, CUT_OFF_MS);
+  const found = await findDuplicates(gang);
   vitest.expect(third.how).toBe("stopped");
   return found;
 }
@@ -114,8 +114,8 @@
   fleet.list(spec, fleet.placeOf(second.worker), leaves);
   vitest.expect(await fleet.until(() => isStopping)).toBe(true);
   workers.endNow(third.task, "broken");
-  await cutOff(gang, first.worker, UNHEARD_MS);
-  const found = await findTwice(gang);
+  await cutOff(gang, first.worker, CUT_OFF_MS);
+  const found = await findDuplicates(gang);
   vitest.expect(second.how).toBe("broken");
   return found;
 }
--- a/packages/workflow-node/src/uneven_endpoints_test.ts
+++ b/packages/workflow-node/src/uneven_endpoints_test.ts
@@ -32,7 +32,7 @@
 }
 
 /** Endpoints that count as twice as fast as the slowest, or more. */
-function fastOnes(fleet: TestUtils.TestFleet): readonly string[] {
+function listFast(fleet: TestUtils.TestFleet): readonly string[] {
   const { work } = fleet.node(fleet.coordinator() ?? "").dump();
   const { workers } = work as DumpedWork;
   const slowest = Math.min(...workers.map(({ speed }) => speed));
@@ -74,7 +74,7 @@
       const fleet = createFleet();
       await fleet.start();
       for (const id of ["b1", "b2", "b3"]) await runBatch(fleet, id);
-      vitest.expect([...fastOnes(fleet)].sort()).toEqual(FAST);
+      vitest.expect([...listFast(fleet)].sort()).toEqual(FAST);
       for (const worker of await placeUrgent(fleet, "u1")) {
         vitest.expect(FAST).toContain(worker);
       }
@@ -88,13 +88,13 @@
     for (const id of ["b1", "b2", "b3"]) await runBatch(fleet, id);
     const first = fleet.coordinator();
     await fleet.kill(first ?? "");
-    const isTaken = () => ![null, first].includes(fleet.coordinator());
-    vitest.expect(await fleet.until(isTaken)).toBe(true);
+    const hasTakenOver = () => ![null, first].includes(fleet.coordinator());
+    vitest.expect(await fleet.until(hasTakenOver)).toBe(true);
     await fleet.clock.advance(1000);
-    vitest.expect(fastOnes(fleet)).toEqual([]);
+    vitest.expect(listFast(fleet)).toEqual([]);
     vitest.expect(await placeUrgent(fleet, "u1")).toHaveLength(2);
     for (const id of ["b4", "b5", "b6"]) await runBatch(fleet, id);
-    vitest.expect([...fastOnes(fleet)].sort()).toEqual(FAST);
+    vitest.expect([...listFast(fleet)].sort()).toEqual(FAST);
     await fleet.stop();
   });
 });
--- a/packages/workflow-node/src/unheard_endpoint_test.ts
+++ b/packages/workflow-node/src/unheard_endpoint_test.ts
@@ -12,9 +12,9 @@
 
 const ID = "a000000000000001";
 /** Time in which the endpoint does not answer, in ms: a start gives up meanwhile. */
-const AWAY_MS = 3000;
+const SILENT_MS = 3000;
 /** Users allow work to stand for this time, in ms, while there is room. */
-const MOST_STANDING_MS = 3000;
+const MAX_STALL_MS = 3000;
 
 vitest.describe("an endpoint that did not answer a start", () => {
   vitest.it("is used once it answers", async () => {
@@ -23,11 +23,11 @@
     fleet.workers.carry = () => StandIns.OrderFate.Lost;
     const steps = [TestUtils.buildStep({ count: 2, gang: true })];
     await fleet.submit("node-1", ID, { steps });
-    await fleet.clock.advance(AWAY_MS);
+    await fleet.clock.advance(SILENT_MS);
     vitest.expect(fleet.workers.runs).toEqual([]);
     fleet.workers.carry = () => StandIns.OrderFate.Carried;
     const isDone = () => fleet.state(ID) === Workflow.WorkflowState.Completed;
-    vitest.expect(await fleet.until(isDone, MOST_STANDING_MS)).toBe(true);
+    vitest.expect(await fleet.until(isDone, MAX_STALL_MS)).toBe(true);
     await fleet.stop();
   });
 });
--- a/packages/workflow-node/src/unshown_crashes_test.ts
+++ b/packages/workflow-node/src/unshown_crashes_test.ts
@@ -9,14 +9,14 @@
 import * as Effect from "effect/Effect";
 import * as vitest from "vitest";
 
-const LIMIT_MS = 180_000;
+const TIMEOUT_MS = 180_000;
 
 /** Tasks that break the rule of two starts after three crashes. */
-function findOverdrawn(fleet: TestUtils.TestFleet): string[] {
+function findExcessStarts(fleet: TestUtils.TestFleet): string[] {
   return TestUtils.findBrokenRuns(fleet);
 }
 
-function crasherIds(count: number): string[] {
+function crashingIds(count: number): string[] {
   return Array.from(
     { length: count },
     (_, i) => `c${String(i).padStart(15, "0")}`,
@@ -31,9 +31,9 @@
    * Both together must not count nothing, as often as it happens.
    */
   for (const crashesAfterMs of [0, 10]) {
-    for (const crashers of [3, 14]) {
+    for (const taskCount of [3, 14]) {
       vitest.it(
-        `are given up where ${crashers} crash at once, ${crashesAfterMs} ms on`,
+        `are given up where ${taskCount} crash at once, ${crashesAfterMs} ms on`,
         async () => {
           const sizes = Array.from({ length: 60 }, () => 1);
           const fleet = new TestUtils.TestFleet({ workers: sizes });
@@ -45,15 +45,15 @@
             crashesAfterMs,
           });
           await fleet.start();
-          const ids = crasherIds(crashers);
+          const ids = crashingIds(taskCount);
           await Promise.all(ids.map((id) => fleet.submit("node-1", id)));
           const { Failed } = Workflow.WorkflowState;
-          const gaveUp = await fleet.until(
+          const hasFailed = await fleet.until(
             () => ids.every((id) => fleet.state(id) === Failed),
             40_000,
           );
-          vitest.expect(findOverdrawn(fleet)).toEqual([]);
-          vitest.expect(gaveUp).toBe(true);
+          vitest.expect(findExcessStarts(fleet)).toEqual([]);
+          vitest.expect(hasFailed).toBe(true);
           await fleet.stop();
         },
         60_000,
@@ -83,14 +83,14 @@
         };
         await fleet.start();
         await fleet.submit("node-1", "c000000000000001");
-        const gaveUp = await fleet.until(
+        const hasFailed = await fleet.until(
           () =>
             fleet.state("c000000000000001") === Workflow.WorkflowState.Failed,
-          LIMIT_MS,
+          TIMEOUT_MS,
         );
         await fleet.clock.advance(10_000);
-        vitest.expect(findOverdrawn(fleet)).toEqual([]);
-        vitest.expect(gaveUp).toBe(true);
+        vitest.expect(findExcessStarts(fleet)).toEqual([]);
+        vitest.expect(hasFailed).toBe(true);
         await fleet.stop();
       },
     );
@@ -118,13 +118,13 @@
           fleet.clock.every(1500, Effect.sync(() => fleet.beat())),
         );
         await fleet.submit("node-1", "c000000000000001");
-        const gaveUp = await fleet.until(
+        const hasFailed = await fleet.until(
           () =>
             fleet.state("c000000000000001") === Workflow.WorkflowState.Failed,
-          LIMIT_MS,
+          TIMEOUT_MS,
         );
-        vitest.expect(findOverdrawn(fleet)).toEqual([]);
-        vitest.expect(gaveUp).toBe(true);
+        vitest.expect(findExcessStarts(fleet)).toEqual([]);
+        vitest.expect(hasFailed).toBe(true);
         await fleet.stop();
       },
       60_000,
--- a/packages/workflow-node/src/workflow_node.ts
+++ b/packages/workflow-node/src/workflow_node.ts
@@ -58,14 +58,14 @@
  * Share of the time in which a configuration has to be in force that one look
  * waits for a change: a link that turns silent is noticed well before its end.
  */
-const CONFIG_WAIT_SHARE = 0.4;
+const CONFIG_POLL_SHARE = 0.4;
 /**
  * Longest pause between looks for a configuration that fail, in ms: where some
  * partitions answer, nothing tells that this one is back.
  */
-const CONFIG_PAUSE_MS = 250;
+const MAX_CONFIG_PAUSE_MS = 250;
 /** A store that fails for this long fails callers' requests too. */
-const STORE_FAILING_MS = 300;
+const STORE_FAILURE_MS = 300;
 /** Covers the time from a look at the store to the check of a request. */
 const FRESHNESS_MARGIN_MS = 150;
 
@@ -78,18 +78,18 @@
   readonly #ports: WorkflowNodePorts;
   readonly #store: TableClient.StoreClient;
   readonly #route: StoreRelay.StoreRoute;
-  readonly #members: members.MemberBook;
+  readonly #members: members.MemberRegistry;
   readonly #relay: StoreRelay.RelayServer;
   readonly #feeds: NodeFeeds;
   readonly #election: Coordinator.Election;
   readonly #evacuations: Coordinator.EvacuationBook;
-  readonly #outage: sharedOutages.SharedOutage;
+  readonly #sharedOutage: sharedOutages.SharedOutageDetector;
   readonly #coordinatorPorts: Coordinator.CoordinatorPorts;
   readonly #fibers: Fiber.Fiber<unknown>[] = [];
   /** While this node coordinates. */
   #coordinator: Coordinator.Coordinator | null = null;
-  #leaving = false;
-  #configHeardAtMs = Number.NEGATIVE_INFINITY;
+  #isLeaving = false;
+  #configReadAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(ports: WorkflowNodePorts) {
     this.#ports = ports;
@@ -103,11 +103,15 @@
       log: log.part("relay"),
       metrics,
     });
-    const direct = new Map<string, Ports.RowFeed<unknown>>(
+    const directFeeds = new Map<string, Ports.RowFeed<unknown>>(
       Object.entries(ports.feeds),
     );
     const route = this.#route;
-    this.#relay = new StoreRelay.RelayServer({ table, feeds: direct, route });
+    this.#relay = new StoreRelay.RelayServer({
+      table,
+      feeds: directFeeds,
+      route,
+    });
     this.#feeds = relayFeeds(ports.feeds, route);
     this.#store = new TableClient.StoreClient({
       table: new StoreRelay.RelayedTable(table, route),
@@ -116,7 +120,7 @@
       metrics,
       writesPerSecond: ports.storeWritesPerSecond,
     });
-    this.#members = new members.MemberBook({
+    this.#members = new members.MemberRegistry({
       node,
       address: ports.peersAddress,
       cores: ports.processorCores,
@@ -149,7 +153,7 @@
       log: log.part("node"),
       inForceMs: ports.evacuationInForceMs,
     });
-    this.#outage = new sharedOutages.SharedOutage({
+    this.#sharedOutage = new sharedOutages.SharedOutageDetector({
       clock,
       random,
       peers: ports.peers,
@@ -178,7 +182,7 @@
         peers: ports.peers,
         reachesStore: () => this.#route.isDirect,
       }),
-      outage: this.#outage,
+      outage: this.#sharedOutage,
       countBoxes: () => this.#members.others().length + 1,
       bounds: ports.bounds,
       hardLoad: ports.hardLoad,
@@ -194,37 +198,37 @@
    */
   #mayBeStale(): boolean {
     const { clock, configInForceMs } = this.#ports;
-    const silentMs = clock.monotonicMs() - this.#configHeardAtMs;
+    const silentMs = clock.monotonicMs() - this.#configReadAtMs;
     return silentMs > configInForceMs - FRESHNESS_MARGIN_MS ||
-      this.#store.silentForMs() > STORE_FAILING_MS;
+      this.#store.silentForMs() > STORE_FAILURE_MS;
   }
 
   /** Follows the operator and takes part in the election. */
   start(): Effect.Effect<void, Errors.ListenError> {
     const { peers } = this.#ports;
     const listen = peers.listen((call) => this.#relay.answer(call));
-    return Effect.map(listen, () => this.#work());
+    return Effect.map(listen, () => this.#startLoops());
   }
 
-  #work(): void {
+  #startLoops(): void {
     const { clock, random, configInForceMs } = this.#ports;
-    this.#keep("Membership", this.#members.run());
-    const watch = new outages.OutageWatch({
+    this.#runForever("Membership", this.#members.run());
+    const recovery = new outages.RecoveryDetector({
       store: this.#store,
       clock,
       probe: () => this.#route.probe(),
     });
-    this.#keep("Watching for the store's return", watch.run());
-    this.#keep("Asking others about the store", this.#outage.run());
+    this.#runForever("Watching for the store's return", recovery.run());
+    this.#runForever("Asking others about the store", this.#sharedOutage.run());
     const follower = new TableClient.RowFollower({
       feed: this.#feeds.operator,
       clock,
       random,
-      waitMs: Math.round(configInForceMs * CONFIG_WAIT_SHARE),
+      waitMs: Math.round(configInForceMs * CONFIG_POLL_SHARE),
       awaitBack: () => this.#store.awaitBack(),
-      longestPauseMs: CONFIG_PAUSE_MS,
+      longestPauseMs: MAX_CONFIG_PAUSE_MS,
       onHeard: () => {
-        this.#configHeardAtMs = clock.monotonicMs();
+        this.#configReadAtMs = clock.monotonicMs();
         this.#evacuations.noteHeard();
         this.#store.noteAnswered();
       },
@@ -238,8 +242,8 @@
         }
       },
     });
-    this.#keep("Following the operator", follower.run());
-    const work = (term: Coordinator.Term) =>
+    this.#runForever("Following the operator", follower.run());
+    const coordinate = (term: Coordinator.Term) =>
       Effect.suspend(() => {
         const ports = this.#coordinatorPorts;
         this.#coordinator = new Coordinator.Coordinator(ports, term);
@@ -248,27 +252,27 @@
         });
         return Effect.ensuring(this.#coordinator.run(), ended);
       });
-    this.#keep("The election", this.#election.run(work));
+    this.#runForever("The election", this.#election.run(coordinate));
   }
 
   /** Runs work for ever beside everything else. */
-  #keep(what: string, work: Effect.Effect<never>): void {
+  #runForever(what: string, work: Effect.Effect<never>): void {
     const { clock, log, metrics } = this.#ports;
     const parts = { what, clock, log: log.part("node"), metrics };
-    const kept = Coordinator.restartOnDefect(work, parts);
-    this.#fibers.push(Effect.runFork(kept));
+    const supervised = Coordinator.restartOnDefect(work, parts);
+    this.#fibers.push(Effect.runFork(supervised));
   }
 
   /** Whether callers should be sent here. */
   get isReady(): boolean {
-    return !this.#leaving && this.access.config !== null &&
+    return !this.#isLeaving && this.access.config !== null &&
       !this.#mayBeStale();
   }
 
   /** Hands the coordination over; callers are still served. */
   leave(): Effect.Effect<void> {
     return Effect.suspend(() => {
-      this.#leaving = true;
+      this.#isLeaving = true;
       const both = [this.#election.release(), this.#members.leave()];
       return Effect.all(both, { concurrency: "unbounded", discard: true });
     });
@@ -292,8 +296,10 @@
     return Effect.map(this.submissions.standing(id), (standing) => {
       if (standing === null) return null;
       const { state, giveUp } = standing;
-      const told = giveUp === null ? null : Coordinator.describeGiveUp(giveUp);
-      return { id, state, giveUp: told };
+      const description = giveUp === null
+        ? null
+        : Coordinator.describeGiveUp(giveUp);
+      return { id, state, giveUp: description };
     });
   }
 
--- a/packages/workflow-node/src/wrong_addresses_test.ts
+++ b/packages/workflow-node/src/wrong_addresses_test.ts
@@ -13,18 +13,18 @@
 const RUN_MS = 20_000;
 const STEPS = [TestUtils.buildStep({ estimateMs: RUN_MS })];
 /** Nobody stands there. */
-const NOWHERE = "10.0.9.9:80";
+const VACANT_ADDRESS = "10.0.9.9:80";
 
 /** Orders reach whoever stands at the address, as they do on a network. */
-function heedAddresses(fleet: TestUtils.TestFleet): void {
+function routeByAddress(fleet: TestUtils.TestFleet): void {
   const { workers } = fleet;
-  const meet = <A>(
+  const route = <A>(
     { id, address }: Ports.EndpointRef,
     order: Effect.Effect<A, Ports.OrderError>,
   ): Effect.Effect<A, Ports.OrderError> => {
     const worker = id;
     if (address === `10.0.0.${fleet.placeOf(id)}:80`) return order;
-    return address === NOWHERE
+    return address === VACANT_ADDRESS
       ? Effect.fail(
         new Errors.WorkerLostError({
           worker,
@@ -37,15 +37,15 @@
   const start = workers.start.bind(workers);
   const stop = workers.stop.bind(workers);
   const renew = workers.renew.bind(workers);
-  workers.start = (ref, order) => meet(ref, start(ref, order));
-  workers.stop = (ref, order) => meet(ref, stop(ref, order));
-  workers.renew = (ref, order) => meet(ref, renew(ref, order));
+  workers.start = (ref, order) => route(ref, start(ref, order));
+  workers.stop = (ref, order) => route(ref, stop(ref, order));
+  workers.renew = (ref, order) => route(ref, renew(ref, order));
 }
 
 vitest.describe("an entry that names another endpoint's address", () => {
   vitest.it("does not end what runs, where a takeover reads it", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1, 1, 1] });
-    heedAddresses(fleet);
+    routeByAddress(fleet);
     fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
     await fleet.start();
     await fleet.submit("node-1", ID, { steps: STEPS });
@@ -73,8 +73,10 @@
 
   vitest.it("keeps no sound endpoint out of use", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1] });
-    heedAddresses(fleet);
-    fleet.list({ id: "worker-0", accelerators: 1 }, 0, { address: NOWHERE });
+    routeByAddress(fleet);
+    fleet.list({ id: "worker-0", accelerators: 1 }, 0, {
+      address: VACANT_ADDRESS,
+    });
     await fleet.start();
     await fleet.submit("node-1", ID);
     await fleet.clock.advance(1500);
