--- a/packages/peers/src/frames.ts
+++ b/packages/peers/src/frames.ts
@@ -80,15 +80,15 @@
     case FrameKind.Failure:
       return typeof value.id === "number";
     case FrameKind.Request:
-      return typeof value.id === "number" && carriesRequest(value);
+      return typeof value.id === "number" && hasRequest(value);
     case FrameKind.Notice:
-      return carriesRequest(value);
+      return hasRequest(value);
     default:
       return false;
   }
 }
 
-function carriesRequest(value: { from?: unknown; req?: unknown }): boolean {
+function hasRequest(value: { from?: unknown; req?: unknown }): boolean {
   return typeof value.from === "string" && typeof value.req === "object" &&
     value.req !== null;
 }
--- a/packages/peers/src/peer_link.ts
+++ b/packages/peers/src/peer_link.ts
@@ -26,35 +26,35 @@
 }
 
 /** First and longest pause between two tries, in ms. */
-const FIRST_BACKOFF_MS = 50;
-const LONGEST_BACKOFF_MS = 1000;
-const CONNECT_MS = 1000;
-const LARGEST_FRAME_BYTES = 16_000_000;
+const INITIAL_BACKOFF_MS = 50;
+const MAX_BACKOFF_MS = 1000;
+const CONNECT_TIMEOUT_MS = 1000;
+const MAX_FRAME_BYTES = 16_000_000;
 /**
  * While a reply is due and nothing comes for this long, the peer is asked for a
  * sign of life, in ms: replies that take longer wait for the store.
  */
-const QUIET_MS = 300;
+const REPLY_IDLE_MS = 300;
 /** The same while nothing but messages without a reply is sent, in ms. */
-const NOTICES_QUIET_MS = 2000;
+const NOTICE_IDLE_MS = 2000;
 /**
  * Time for the sign of life, in ms. Any live process gives it whatever its work
  * waits for; with the quiet time before and a new connection after it, a link
  * answers again within 3 s.
  */
-const SIGN_OF_LIFE_MS = 700;
+const PONG_TIMEOUT_MS = 700;
 
 /** Sends requests to one peer. */
 export class PeerLink {
   readonly #options: PeerLinkOptions;
-  readonly #waiting = new Map<number, Deferred.Deferred<unknown, LinkError>>();
+  readonly #pending = new Map<number, Deferred.Deferred<unknown, LinkError>>();
   #socket: Ws.WebSocket | null = null;
   #codec = new frames.FrameCodec();
   #nextId = 1;
   /** Counts what has come on the open connection, signs of life included. */
-  #heard = 0;
+  #received = 0;
   /** Whether something was sent since anything came. */
-  #isUnproven = false;
+  #isUnconfirmed = false;
   #isWatching = false;
 
   constructor(options: PeerLinkOptions) {
@@ -65,17 +65,17 @@
   run(): Effect.Effect<never> {
     return Effect.gen({ self: this }, function* () {
       const { clock, random, log, peer } = this.#options;
-      let backoffMs = FIRST_BACKOFF_MS;
+      let backoffMs = INITIAL_BACKOFF_MS;
       for (;;) {
-        const opened = yield* clock.within(CONNECT_MS, this.#open());
+        const opened = yield* clock.within(CONNECT_TIMEOUT_MS, this.#open());
         if (opened !== null && opened.value !== null) {
           log.info(`Link to ${peer} is open.`);
-          backoffMs = FIRST_BACKOFF_MS;
+          backoffMs = INITIAL_BACKOFF_MS;
           yield* this.#awaitClose(opened.value);
           log.info(`Link to ${peer} is closed.`);
         }
         yield* clock.sleep(random.jitter(backoffMs));
-        backoffMs = Math.min(backoffMs * 2, LONGEST_BACKOFF_MS);
+        backoffMs = Math.min(backoffMs * 2, MAX_BACKOFF_MS);
       }
     }).pipe(Effect.ensuring(Effect.sync(() => this.#socket?.terminate())));
   }
@@ -103,14 +103,14 @@
       if (socket === null) return yield* this.#unreachable("no link");
       const id = this.#nextId++;
       const done = Deferred.makeUnsafe<unknown, LinkError>();
-      this.#waiting.set(id, done);
+      this.#pending.set(id, done);
       const { self, clock } = this.#options;
       const kind = frames.FrameKind.Request as const;
       this.#send(socket, { kind, id, from: self, req });
       const reply = clock.within(timeoutMs, Deferred.await(done));
       const timed = yield* Effect.ensuring(
         reply,
-        Effect.sync(() => this.#waiting.delete(id)),
+        Effect.sync(() => this.#pending.delete(id)),
       );
       if (timed === null) return yield* this.#unreachable("no reply in time");
       return timed.value;
@@ -122,13 +122,13 @@
       const { address } = this.#options;
       const codec = new frames.FrameCodec();
       const socket = new Ws.WebSocket(`ws://${address}`, {
-        maxPayload: LARGEST_FRAME_BYTES,
+        maxPayload: MAX_FRAME_BYTES,
         perMessageDeflate: false,
       });
-      socket.on("pong", () => this.#noteHeard());
+      socket.on("pong", () => this.#recordReceived());
       socket.once("open", () => {
         this.#socket = socket;
-        this.#isUnproven = false;
+        this.#isUnconfirmed = false;
         this.#codec = codec;
         resume(Effect.succeed(socket));
       });
@@ -143,20 +143,20 @@
       if (socket.readyState === Ws.WebSocket.CLOSED) resume(Effect.void);
       socket.once("close", () => resume(Effect.void));
     });
-    return Effect.andThen(closed, Effect.sync(() => this.#fail(socket)));
+    return Effect.andThen(closed, Effect.sync(() => this.#failPending(socket)));
   }
 
-  #fail(socket: Ws.WebSocket): void {
+  #failPending(socket: Ws.WebSocket): void {
     if (this.#socket === socket) this.#socket = null;
-    for (const done of this.#waiting.values()) {
+    for (const done of this.#pending.values()) {
       Deferred.doneUnsafe(done, this.#unreachable("the link closed"));
     }
-    this.#waiting.clear();
+    this.#pending.clear();
   }
 
   #receive(codec: frames.FrameCodec, data: Uint8Array): void {
     const { peer, metrics, log } = this.#options;
-    this.#noteHeard();
+    this.#recordReceived();
     metrics.count("cairngate_peer_received_bytes_total", {}, data.length);
     const frame = codec.decode(data, peer);
     if (frame instanceof Errors.MalformedMessageError) {
@@ -167,7 +167,7 @@
     const isAnswer = frame.kind === frames.FrameKind.Reply ||
       frame.kind === frames.FrameKind.Failure;
     if (!isAnswer) return;
-    const done = this.#waiting.get(frame.id);
+    const done = this.#pending.get(frame.id);
     // A reply that comes after its time-out belongs to nobody.
     if (done === undefined) {
       metrics.count("cairngate_peer_late_replies_total");
@@ -181,13 +181,13 @@
     const { metrics } = this.#options;
     metrics.count("cairngate_peer_sent_bytes_total", {}, bytes.length);
     socket.send(bytes, () => {});
-    this.#isUnproven = true;
+    this.#isUnconfirmed = true;
     if (!this.#isWatching) Effect.runFork(this.#watch(socket));
   }
 
-  #noteHeard(): void {
-    this.#heard++;
-    this.#isUnproven = false;
+  #recordReceived(): void {
+    this.#received++;
+    this.#isUnconfirmed = false;
   }
 
   /**
@@ -199,17 +199,17 @@
     const { clock } = this.#options;
     return Effect.gen({ self: this }, function* () {
       this.#isWatching = true;
-      while (this.#socket === socket && this.#isAwaiting) {
-        const heard = this.#heard;
-        const quietMs = this.#waiting.size > 0 ? QUIET_MS : NOTICES_QUIET_MS;
-        yield* clock.sleep(quietMs);
-        if (this.#heard !== heard || this.#socket !== socket) continue;
+      while (this.#socket === socket && this.#isExpectingData) {
+        const received = this.#received;
+        const idleMs = this.#pending.size > 0 ? REPLY_IDLE_MS : NOTICE_IDLE_MS;
+        yield* clock.sleep(idleMs);
+        if (this.#received !== received || this.#socket !== socket) continue;
         socket.ping();
-        yield* clock.sleep(SIGN_OF_LIFE_MS);
+        yield* clock.sleep(PONG_TIMEOUT_MS);
         // What arrived while this process was held up is read first.
-        yield* nextTurn;
-        if (this.#heard === heard && this.#socket === socket) {
-          this.#giveUp(socket, quietMs + SIGN_OF_LIFE_MS);
+        yield* nextEventLoopTurn;
+        if (this.#received === received && this.#socket === socket) {
+          this.#dropSilent(socket, idleMs + PONG_TIMEOUT_MS);
         }
       }
     }).pipe(Effect.ensuring(Effect.sync(() => {
@@ -217,19 +217,23 @@
     })));
   }
 
-  get #isAwaiting(): boolean {
-    return this.#isUnproven || this.#waiting.size > 0;
+  get #isExpectingData(): boolean {
+    return this.#isUnconfirmed || this.#pending.size > 0;
   }
 
-  #giveUp(socket: Ws.WebSocket, silentMs: number): void {
+  #dropSilent(socket: Ws.WebSocket, silentMs: number): void {
     const { log, metrics, peer } = this.#options;
-    const lost = this.#waiting.size;
+    const lostCalls = this.#pending.size;
     const kind = "peer";
     metrics.count("cairngate_connections_silent_total", { kind });
-    metrics.count("cairngate_answers_lost_by_silence_total", { kind }, lost);
+    metrics.count(
+      "cairngate_answers_lost_by_silence_total",
+      { kind },
+      lostCalls,
+    );
     log.warn(
       `Link to ${peer} is given up: silent for ${silentMs} ms, ` +
-        `${lost} calls lost.`,
+        `${lostCalls} calls lost.`,
     );
     socket.terminate();
   }
@@ -243,9 +247,11 @@
 }
 
 /** Lets what has arrived on sockets be read. */
-const nextTurn: Effect.Effect<void> = Effect.callback<void>((resume) => {
-  setImmediate(() => resume(Effect.void));
-});
+const nextEventLoopTurn: Effect.Effect<void> = Effect.callback<void>(
+  (resume) => {
+    setImmediate(() => resume(Effect.void));
+  },
+);
 
 function toResult(
   frame: frames.ReplyFrame | frames.FailureFrame,
--- a/packages/peers/src/peer_server.ts
+++ b/packages/peers/src/peer_server.ts
@@ -20,36 +20,38 @@
   readonly metrics: Metrics.Metrics;
 }
 
-const LARGEST_FRAME_BYTES = 16_000_000;
+const MAX_FRAME_BYTES = 16_000_000;
 /**
  * Time between two looks at the links that peers opened, in ms. One on which
  * nothing came in this time is asked for a sign of life, and is closed where
  * none has come by the next look. One small frame each 10 s costs next to
  * nothing, and links that nobody uses are closed by their peer after 30 s.
  */
-const LOOK_MS = 10_000;
+const CHECK_INTERVAL_MS = 10_000;
 /**
  * Replies that wait to be read by the peer, in bytes: beyond it the peer has
  * gone, or is too slow to be served. A page of rows is at most 1 MB.
  */
-const MOST_UNREAD_BYTES = 8_000_000;
+const MAX_UNREAD_BYTES = 8_000_000;
 
 /** Takes links and answers what comes over them. */
 export class PeerServer {
   readonly #options: PeerServerOptions;
-  readonly #lookMs: number;
+  readonly #checkIntervalMs: number;
   readonly #server = http.createServer();
   #sockets: Ws.WebSocketServer | null = null;
-  #looks: NodeJS.Timeout | null = null;
+  #checkTimer: NodeJS.Timeout | null = null;
   /** Links on which something came since the last look. */
-  readonly #heard = new WeakSet<Ws.WebSocket>();
+  readonly #active = new WeakSet<Ws.WebSocket>();
   /** Links that were asked for a sign of life. */
-  readonly #asked = new WeakSet<Ws.WebSocket>();
+  readonly #pinged = new WeakSet<Ws.WebSocket>();
 
   /** @param options.lookMs time between two looks at the links, in ms */
-  constructor(options: PeerServerOptions & { readonly lookMs?: number }) {
+  constructor(
+    options: PeerServerOptions & { readonly checkIntervalMs?: number },
+  ) {
     this.#options = options;
-    this.#lookMs = options.lookMs ?? LOOK_MS;
+    this.#checkIntervalMs = options.checkIntervalMs ?? CHECK_INTERVAL_MS;
   }
 
   /** Opens the server. */
@@ -61,19 +63,19 @@
       yield* this.#listenOn(address);
       this.#sockets = new Ws.WebSocketServer({
         server: this.#server,
-        maxPayload: LARGEST_FRAME_BYTES,
+        maxPayload: MAX_FRAME_BYTES,
         perMessageDeflate: false,
       });
       this.#sockets.on("connection", (socket) => this.#accept(socket, handler));
       // What arrived while this process was held up is read before the look.
-      const look = () => setImmediate(() => this.#closeSilent());
-      this.#looks = setInterval(look, this.#lookMs);
+      const check = () => setImmediate(() => this.#closeSilent());
+      this.#checkTimer = setInterval(check, this.#checkIntervalMs);
     });
   }
 
   /** Closes the server and all links that peers have opened. */
   close(): void {
-    if (this.#looks !== null) clearInterval(this.#looks);
+    if (this.#checkTimer !== null) clearInterval(this.#checkTimer);
     for (const client of this.#sockets?.clients ?? []) client.terminate();
     this.#sockets?.close();
     this.#server.close();
@@ -94,16 +96,16 @@
   /** Closes links whose peer gives no sign of life; asks the quiet ones. */
   #closeSilent(): void {
     for (const socket of this.#sockets?.clients ?? []) {
-      if (this.#heard.delete(socket)) this.#asked.delete(socket);
-      else if (this.#asked.has(socket)) this.#giveUp(socket, "is silent");
+      if (this.#active.delete(socket)) this.#pinged.delete(socket);
+      else if (this.#pinged.has(socket)) this.#drop(socket, "is silent");
       else {
-        this.#asked.add(socket);
+        this.#pinged.add(socket);
         socket.ping();
       }
     }
   }
 
-  #giveUp(socket: Ws.WebSocket, why: string): void {
+  #drop(socket: Ws.WebSocket, why: string): void {
     const { log, metrics } = this.#options;
     const kind = "accepted";
     metrics.count("cairngate_connections_silent_total", { kind });
@@ -117,14 +119,14 @@
   #accept(socket: Ws.WebSocket, handler: RequestHandler): void {
     const { metrics, log } = this.#options;
     const codec = new frames.FrameCodec();
-    const answering = new Set<Fiber.Fiber<void>>();
+    const pendingFibers = new Set<Fiber.Fiber<void>>();
     socket.on("error", () => socket.terminate());
-    socket.on("pong", () => this.#heard.add(socket));
+    socket.on("pong", () => this.#active.add(socket));
     socket.on("close", () => {
-      for (const fiber of answering) Effect.runFork(Fiber.interrupt(fiber));
+      for (const fiber of pendingFibers) Effect.runFork(Fiber.interrupt(fiber));
     });
     socket.on("message", (data: Uint8Array) => {
-      this.#heard.add(socket);
+      this.#active.add(socket);
       metrics.count("cairngate_peer_received_bytes_total", {}, data.length);
       const frame = codec.decode(data, "a peer");
       if (frame instanceof Errors.MalformedMessageError) {
@@ -139,8 +141,8 @@
       if (frame.kind !== frames.FrameKind.Request) return;
       const connection = { socket, codec };
       const fiber = Effect.runFork(this.#answer(connection, frame, handler));
-      answering.add(fiber);
-      fiber.addObserver(() => answering.delete(fiber));
+      pendingFibers.add(fiber);
+      fiber.addObserver(() => pendingFibers.delete(fiber));
     });
   }
 
@@ -163,8 +165,8 @@
         metrics.count("cairngate_peer_sent_bytes_total", {}, bytes.length);
         const { socket } = connection;
         socket.send(bytes, () => {});
-        if (socket.bufferedAmount > MOST_UNREAD_BYTES) {
-          this.#giveUp(socket, "does not read its replies");
+        if (socket.bufferedAmount > MAX_UNREAD_BYTES) {
+          this.#drop(socket, "does not read its replies");
         }
       }),
     );
--- a/packages/peers/src/silence_test.ts
+++ b/packages/peers/src/silence_test.ts
@@ -16,10 +16,10 @@
 const clock = new Adapters.SystemClock();
 
 /** What a test has opened, to be closed after it. */
-const closers: (() => unknown)[] = [];
+const cleanups: (() => unknown)[] = [];
 
 vitest.afterEach(async () => {
-  for (const close of closers.splice(0).reverse()) await close();
+  for (const close of cleanups.splice(0).reverse()) await close();
 });
 
 async function createPeers(self: string, metrics = new Metrics.Metrics()) {
@@ -32,7 +32,7 @@
     log: Logger.silentLogger(),
     metrics,
   });
-  closers.push(() => Effect.runPromise(peers.close()));
+  cleanups.push(() => Effect.runPromise(peers.close()));
   return { peers, address };
 }
 
@@ -41,13 +41,13 @@
   const answering = await createPeers("box-2");
   await Effect.runPromise(answering.peers.listen(answer));
   const proxy = new TestUtils.SilentProxy(answering.address);
-  closers.push(() => proxy.stop());
+  cleanups.push(() => proxy.stop());
   const address = await proxy.start();
   const metrics = new Metrics.Metrics();
   const { peers } = await createPeers("box-1", metrics);
-  const call = (limitMs = 1000) =>
+  const call = (timeoutMs = 1000) =>
     Effect.runPromise(
-      Effect.result(peers.call({ node: "box-2", address }, READ, limitMs)),
+      Effect.result(peers.call({ node: "box-2", address }, READ, timeoutMs)),
     );
   return { proxy, call, metrics };
 }
@@ -55,18 +55,18 @@
 const sleep = (ms: number) => Effect.runPromise(clock.sleep(ms));
 
 vitest.describe("a link that turns silent", () => {
-  for (const way of ["both", "to-server", "to-client"] as const) {
-    vitest.it(`answers again within 3 s (silent: ${way})`, async () => {
+  for (const direction of ["both", "to-server", "to-client"] as const) {
+    vitest.it(`answers again within 3 s (silent: ${direction})`, async () => {
       const { proxy, call, metrics } = await createPair(() =>
         Effect.succeed(DONE)
       );
       vitest.expect((await call())._tag).toBe("Success");
-      proxy.silence(way);
-      const begunAtMs = performance.now();
+      proxy.silence(direction);
+      const startedAtMs = performance.now();
       while ((await call())._tag === "Failure") {
-        vitest.expect(performance.now() - begunAtMs).toBeLessThan(3000);
+        vitest.expect(performance.now() - startedAtMs).toBeLessThan(3000);
       }
-      vitest.expect(performance.now() - begunAtMs).toBeLessThan(3000);
+      vitest.expect(performance.now() - startedAtMs).toBeLessThan(3000);
       const kind = "peer";
       vitest.expect(metrics.get("cairngate_connections_silent_total", { kind }))
         .toBe(1);
@@ -85,58 +85,60 @@
 });
 
 vitest.describe("a link that a peer has opened", () => {
-  const LOOK_MS = 100;
+  const CHECK_INTERVAL_MS = 100;
 
   async function listen(reply: unknown) {
     const metrics = new Metrics.Metrics();
     const server = new servers.PeerServer({
       log: Logger.silentLogger(),
       metrics,
-      lookMs: LOOK_MS,
+      checkIntervalMs: CHECK_INTERVAL_MS,
     });
     const address = await TestUtils.findFreeAddress();
     await Effect.runPromise(
       server.listen(address, () => Effect.succeed(reply)),
     );
-    closers.push(() => server.close());
+    cleanups.push(() => server.close());
     const kind = "accepted";
-    const silent = () =>
+    const silentCount = () =>
       metrics.get("cairngate_connections_silent_total", { kind });
-    return { address, silent };
+    return { address, silentCount };
   }
 
   function open(address: string): Promise<Ws.WebSocket> {
     const socket = new Ws.WebSocket(`ws://${address}`);
     socket.on("error", () => {});
-    closers.push(() => socket.terminate());
+    cleanups.push(() => socket.terminate());
     return new Promise((resolve) => socket.once("open", () => resolve(socket)));
   }
 
   vitest.it("is closed when the peer has gone in silence", async () => {
-    const { address, silent } = await listen({});
+    const { address, silentCount } = await listen({});
     const proxy = new TestUtils.SilentProxy(address);
-    closers.push(() => proxy.stop());
+    cleanups.push(() => proxy.stop());
     await open(await proxy.start());
-    await sleep(LOOK_MS * 4);
-    vitest.expect(silent()).toBe(0);
+    await sleep(CHECK_INTERVAL_MS * 4);
+    vitest.expect(silentCount()).toBe(0);
     proxy.silence();
-    await sleep(LOOK_MS * 4);
-    vitest.expect(silent()).toBe(1);
+    await sleep(CHECK_INTERVAL_MS * 4);
+    vitest.expect(silentCount()).toBe(1);
   });
 
   vitest.it("is closed when its replies pile up", async () => {
-    const { address, silent } = await listen({ text: "x".repeat(1_000_000) });
+    const { address, silentCount } = await listen({
+      text: "x".repeat(1_000_000),
+    });
     const socket = await open(address);
     // A client that asks and does not read.
     socket.pause();
     const codec = new frames.FrameCodec();
     const closed = new Promise((resolve) => socket.once("close", resolve));
-    for (let id = 1; id <= 40 && silent() === 0; id++) {
+    for (let id = 1; id <= 40 && silentCount() === 0; id++) {
       const kind = frames.FrameKind.Request as const;
       socket.send(codec.encode({ kind, id, from: "box-1", req: READ }));
       await sleep(2);
     }
-    vitest.expect(silent()).toBe(1);
+    vitest.expect(silentCount()).toBe(1);
     socket.resume();
     await closed;
   });
--- a/packages/peers/src/ws_store_peers.ts
+++ b/packages/peers/src/ws_store_peers.ts
@@ -25,9 +25,9 @@
   usedAtMs: number;
 }
 
-const OPEN_LOOK_MS = 3;
-const IDLE_MS = 30_000;
-const IDLE_LOOK_MS = 5000;
+const OPEN_POLL_MS = 3;
+const IDLE_TIMEOUT_MS = 30_000;
+const IDLE_CHECK_INTERVAL_MS = 5000;
 
 /** Adapter of the links between nodes to ws. */
 export class WsStorePeers extends Ports.StorePeers {
@@ -47,7 +47,7 @@
     handler: (call: Ports.StoreCall) => Effect.Effect<Ports.StoreReply>,
   ): Effect.Effect<void, Errors.ListenError> {
     const { clock, address } = this.#options;
-    const sweep = clock.every(IDLE_LOOK_MS, this.#closeIdle());
+    const sweep = clock.every(IDLE_CHECK_INTERVAL_MS, this.#closeIdle());
     return Effect.andThen(
       this.#server.listen(
         address,
@@ -69,7 +69,7 @@
       const endMs = clock.monotonicMs() + timeoutMs;
       const link = this.#linkTo(peer);
       while (!link.isOpen && clock.monotonicMs() < endMs) {
-        yield* clock.sleep(OPEN_LOOK_MS);
+        yield* clock.sleep(OPEN_POLL_MS);
       }
       const leftMs = Math.max(1, endMs - clock.monotonicMs());
       return (yield* link.request(call, leftMs)) as Ports.StoreReply;
@@ -94,10 +94,10 @@
 
   #linkTo({ node, address }: Ports.StorePeer): links.PeerLink {
     const nowMs = this.#options.clock.monotonicMs();
-    const known = this.#links.get(address);
-    if (known !== undefined) {
-      known.usedAtMs = nowMs;
-      return known.link;
+    const existing = this.#links.get(address);
+    if (existing !== undefined) {
+      existing.usedAtMs = nowMs;
+      return existing.link;
     }
     const options = { ...this.#options, peer: node, address };
     const link = new links.PeerLink(options);
@@ -108,9 +108,9 @@
 
   #closeIdle(): Effect.Effect<void> {
     return Effect.suspend(() => {
-      const beforeMs = this.#options.clock.monotonicMs() - IDLE_MS;
-      const idle = [...this.#links].filter(([, one]) =>
-        one.usedAtMs < beforeMs
+      const cutoffMs = this.#options.clock.monotonicMs() - IDLE_TIMEOUT_MS;
+      const idle = [...this.#links].filter(([, entry]) =>
+        entry.usedAtMs < cutoffMs
       );
       for (const [address] of idle) this.#links.delete(address);
       return Fiber.interruptAll(idle.map(([, { fiber }]) => fiber));
--- a/packages/peers/src/ws_store_peers_test.ts
+++ b/packages/peers/src/ws_store_peers_test.ts
@@ -43,10 +43,10 @@
     }));
     const { member } = answering;
     for (let i = 0; i < 2; i++) {
-      const got = await Effect.runPromise(
+      const received = await Effect.runPromise(
         caller.peers.call(member, READ, 2000),
       );
-      vitest.expect(got).toEqual(reply);
+      vitest.expect(received).toEqual(reply);
     }
     vitest.expect(calls).toEqual([READ, READ]);
   });
@@ -57,13 +57,13 @@
       node: "node-2",
       address: await TestUtils.findFreeAddress(),
     };
-    const begunAtMs = performance.now();
-    const got = await Effect.runPromise(
+    const startedAtMs = performance.now();
+    const result = await Effect.runPromise(
       Effect.result(caller.peers.call(member, READ, 200)),
     );
-    vitest.expect(got).toMatchObject({
+    vitest.expect(result).toMatchObject({
       failure: { _tag: "PeerUnreachableError", box: "node-2" },
     });
-    vitest.expect(performance.now() - begunAtMs).toBeLessThan(1500);
+    vitest.expect(performance.now() - startedAtMs).toBeLessThan(1500);
   });
 });
--- a/packages/store-relay/src/relay_server.ts
+++ b/packages/store-relay/src/relay_server.ts
@@ -13,7 +13,7 @@
 }
 
 /** Calls of peers that are carried out at once. */
-const MOST_CALLS = 64;
+const MAX_CALLS = 64;
 
 /** Answers the calls of peers. */
 export class RelayServer {
@@ -28,16 +28,16 @@
   answer(call: Ports.StoreCall): Effect.Effect<Ports.StoreReply> {
     return Effect.suspend(() => {
       if (!this.#options.route.isDirect) return refuse("it is turned away too");
-      if (this.#running >= MOST_CALLS) return refuse("it has too many calls");
+      if (this.#running >= MAX_CALLS) return refuse("it has too many calls");
       this.#running++;
       const done = Effect.sync(() => {
         this.#running--;
       });
-      return Effect.ensuring(this.#carryOut(call), done);
+      return Effect.ensuring(this.#execute(call), done);
     });
   }
 
-  #carryOut(call: Ports.StoreCall): Effect.Effect<Ports.StoreReply> {
+  #execute(call: Ports.StoreCall): Effect.Effect<Ports.StoreReply> {
     const { table, route, feeds } = this.#options;
     switch (call.kind) {
       case Ports.StoreCallKind.Probe:
--- a/packages/store-relay/src/relayed_feed.ts
+++ b/packages/store-relay/src/relayed_feed.ts
@@ -5,9 +5,9 @@
 import type * as routes from "./store_route.ts";
 
 /** A page of a snapshot takes no longer than this, in ms. */
-const SNAPSHOT_LIMIT_MS = 1500;
+const SNAPSHOT_TIMEOUT_MS = 1500;
 /** Time for the answer beside the wait that was asked for. */
-const ANSWER_MS = 400;
+const ANSWER_MARGIN_MS = 400;
 
 /** Passes looks on. */
 export class RelayedFeed<T> extends Ports.RowFeed<T> {
@@ -34,12 +34,12 @@
     ask: Ports.PageAsk,
   ): Effect.Effect<Ports.SnapshotPage<T>, Ports.StoreError> {
     const feed = this.#name;
-    return this.#route.carry({
+    return this.#route.call({
       direct: this.#direct.page(partition, ask),
       relayed: { kind: Ports.StoreCallKind.Snapshot, feed, partition, ask },
-      limitMs: SNAPSHOT_LIMIT_MS,
-      quietMs: 0,
-      whenSwitched: "again",
+      relayTimeoutMs: SNAPSHOT_TIMEOUT_MS,
+      expectedWaitMs: 0,
+      onRouteChange: "again",
     }) as Effect.Effect<Ports.SnapshotPage<T>, Ports.StoreError>;
   }
 
@@ -52,12 +52,12 @@
   > {
     const feed = this.#name;
     const kind = Ports.StoreCallKind.Changes as const;
-    return this.#route.carry({
+    return this.#route.call({
       direct: this.#direct.changes(position, waitMs),
       relayed: { kind, feed, position, waitMs },
-      limitMs: waitMs + ANSWER_MS,
-      quietMs: waitMs,
-      whenSwitched: "again",
+      relayTimeoutMs: waitMs + ANSWER_MARGIN_MS,
+      expectedWaitMs: waitMs,
+      onRouteChange: "again",
     }) as Effect.Effect<
       Ports.FeedPage<T>,
       Ports.StoreError | Errors.HistoryLostError
--- a/packages/store-relay/src/relayed_table.ts
+++ b/packages/store-relay/src/relayed_table.ts
@@ -4,9 +4,9 @@
 import type * as routes from "./store_route.ts";
 
 /** A call through a peer takes no longer than this, in ms. */
-const LIMIT_MS = 1000;
+const CALL_TIMEOUT_MS = 1000;
 /** The same for a page of many rows. */
-const PAGE_LIMIT_MS = 1500;
+const PAGE_TIMEOUT_MS = 1500;
 
 /** Passes calls on. */
 export class RelayedTable extends Ports.TableService {
@@ -22,12 +22,12 @@
   override read(
     keys: readonly string[],
   ): Effect.Effect<readonly Ports.Row[], Ports.StoreError> {
-    return this.#route.carry({
+    return this.#route.call({
       direct: this.#direct.read(keys),
       relayed: { kind: Ports.StoreCallKind.Read, keys },
-      limitMs: LIMIT_MS,
-      quietMs: 0,
-      whenSwitched: "again",
+      relayTimeoutMs: CALL_TIMEOUT_MS,
+      expectedWaitMs: 0,
+      onRouteChange: "again",
     }) as Effect.Effect<readonly Ports.Row[], Ports.StoreError>;
   }
 
@@ -35,12 +35,12 @@
     prefix: string,
     afterRevision: number,
   ): Effect.Effect<readonly Ports.Row[], Ports.StoreError> {
-    return this.#route.carry({
+    return this.#route.call({
       direct: this.#direct.scan(prefix, afterRevision),
       relayed: { kind: Ports.StoreCallKind.Scan, prefix, afterRevision },
-      limitMs: LIMIT_MS,
-      quietMs: 0,
-      whenSwitched: "again",
+      relayTimeoutMs: CALL_TIMEOUT_MS,
+      expectedWaitMs: 0,
+      onRouteChange: "again",
     }) as Effect.Effect<readonly Ports.Row[], Ports.StoreError>;
   }
 
@@ -48,24 +48,24 @@
     prefix: string,
     ask: Ports.PageAsk,
   ): Effect.Effect<Ports.RowPage, Ports.StoreError> {
-    return this.#route.carry({
+    return this.#route.call({
       direct: this.#direct.scanPage(prefix, ask),
       relayed: { kind: Ports.StoreCallKind.ScanPage, prefix, ask },
-      limitMs: PAGE_LIMIT_MS,
-      quietMs: 0,
-      whenSwitched: "again",
+      relayTimeoutMs: PAGE_TIMEOUT_MS,
+      expectedWaitMs: 0,
+      onRouteChange: "again",
     }) as Effect.Effect<Ports.RowPage, Ports.StoreError>;
   }
 
   override transact(
     tx: Ports.Transaction,
   ): Effect.Effect<number, Ports.WriteError> {
-    return this.#route.carry({
+    return this.#route.call({
       direct: this.#direct.transact(tx),
       relayed: { kind: Ports.StoreCallKind.Transact, tx },
-      limitMs: LIMIT_MS,
-      quietMs: 0,
-      whenSwitched: "lost",
+      relayTimeoutMs: CALL_TIMEOUT_MS,
+      expectedWaitMs: 0,
+      onRouteChange: "lost",
     }) as Effect.Effect<number, Ports.WriteError>;
   }
 }
--- a/packages/store-relay/src/replies.ts
+++ b/packages/store-relay/src/replies.ts
@@ -19,11 +19,11 @@
       outcome: Ports.StoreOutcome.Done,
       value,
     }),
-    onFailure: describeFailure,
+    onFailure: toFailureReply,
   });
 }
 
-function describeFailure(err: CallError): Ports.StoreReply {
+function toFailureReply(err: CallError): Ports.StoreReply {
   switch (err._tag) {
     case "StoreUnavailableError":
       return { outcome: Ports.StoreOutcome.Unavailable, value: err.cause };
--- a/packages/store-relay/src/store_route.ts
+++ b/packages/store-relay/src/store_route.ts
@@ -30,24 +30,24 @@
   readonly direct: Effect.Effect<A, E>;
   readonly relayed: Ports.StoreCall;
   /** Time after which the peer's reply is given up. */
-  readonly limitMs: number;
+  readonly relayTimeoutMs: number;
   /** Time for which a call that is well may go without an answer. */
-  readonly quietMs: number;
+  readonly expectedWaitMs: number;
   /** What a direct call that hangs becomes when the route changes. */
-  readonly whenSwitched: "again" | "lost";
+  readonly onRouteChange: "again" | "lost";
 }
 
 /** A direct call without an answer for this long raises suspicion. */
-const SUSPICIOUS_MS = 250;
+const UNANSWERED_CALL_MS = 250;
 /** Longest wait for a probe; beyond it the store is as good as away. */
-const PROBE_LIMIT_MS = 700;
+const PROBE_TIMEOUT_MS = 700;
 /** A store that answers a peer this many times faster turns this node away. */
-const HANGS_FACTOR = 5;
-const HANGS_LEAST_MS = 100;
-const JUDGE_PAUSE_MS = 250;
+const PROBE_GRACE_FACTOR = 5;
+const MIN_PROBE_GRACE_MS = 100;
+const CHECK_PAUSE_MS = 250;
 /** Time between probes of the direct way while calls go through a peer. */
-const PROBE_AGAIN_MS = 300;
-const PEERS_ASKED = 2;
+const PROBE_INTERVAL_MS = 300;
+const PROBING_PEERS = 2;
 /** A row that nobody writes. */
 const PROBE_KEY = "election/probe";
 
@@ -55,9 +55,9 @@
 export class StoreRoute {
   readonly #options: StoreRouteOptions;
   #peer: Ports.StorePeer | null = null;
-  #switched = Deferred.makeUnsafe<void>();
-  #isJudging = false;
-  #judgedAtMs = Number.NEGATIVE_INFINITY;
+  #routeChanged = Deferred.makeUnsafe<void>();
+  #isChecking = false;
+  #checkedAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(options: StoreRouteOptions) {
     this.#options = options;
@@ -76,7 +76,7 @@
   /** Asks the store directly for next to nothing. */
   probe(): Effect.Effect<void, Ports.StoreError> {
     const { table, clock } = this.#options;
-    const read = clock.within(PROBE_LIMIT_MS, table.probe(PROBE_KEY));
+    const read = clock.within(PROBE_TIMEOUT_MS, table.probe(PROBE_KEY));
     return Effect.flatMap(read, (timed) => {
       if (timed !== null) return Effect.void;
       const cause = "no answer to a probe";
@@ -88,50 +88,50 @@
   }
 
   /** Makes a call on the way that is open. */
-  carry<A, E extends { readonly _tag: string }>(
+  call<A, E extends { readonly _tag: string }>(
     call: RoutedCall<A, E>,
   ): Effect.Effect<A, E | replies.CallError> {
     return Effect.suspend((): Effect.Effect<A, E | replies.CallError> => {
       const peer = this.#peer;
       return peer === null
-        ? this.#carryDirect(call)
-        : this.#carryThrough(peer, call);
+        ? this.#callDirect(call)
+        : this.#callThrough(peer, call);
     });
   }
 
-  #carryDirect<A, E extends { readonly _tag: string }>(
+  #callDirect<A, E extends { readonly _tag: string }>(
     call: RoutedCall<A, E>,
   ): Effect.Effect<A, E | replies.CallError> {
     const { clock } = this.#options;
     const watched = Effect.tapError(call.direct, (err) =>
       Effect.sync(() => {
-        if (isNoAnswer(err)) this.#suspect();
+        if (isNoAnswer(err)) this.#check();
       }));
-    const switched = Deferred.await(this.#switched);
-    const turned = Effect.gen({ self: this }, function* () {
-      let patienceMs = call.quietMs + SUSPICIOUS_MS;
-      while ((yield* clock.within(patienceMs, switched)) === null) {
-        this.#suspect();
-        patienceMs = JUDGE_PAUSE_MS;
+    const routeChanged = Deferred.await(this.#routeChanged);
+    const rerouted = Effect.gen({ self: this }, function* () {
+      let waitMs = call.expectedWaitMs + UNANSWERED_CALL_MS;
+      while ((yield* clock.within(waitMs, routeChanged)) === null) {
+        this.#check();
+        waitMs = CHECK_PAUSE_MS;
       }
-      if (call.whenSwitched === "again") return yield* this.carry(call);
+      if (call.onRouteChange === "again") return yield* this.call(call);
       const operation = call.relayed.kind;
       return yield* new Errors.AnswerLostError({ operation });
     });
-    return Effect.raceFirst(watched, turned);
+    return Effect.raceFirst(watched, rerouted);
   }
 
-  #carryThrough<A, E extends { readonly _tag: string }>(
+  #callThrough<A, E extends { readonly _tag: string }>(
     peer: Ports.StorePeer,
     call: RoutedCall<A, E>,
   ): Effect.Effect<A, E | replies.CallError> {
     const { peers, metrics } = this.#options;
-    const { relayed, limitMs } = call;
+    const { relayed, relayTimeoutMs } = call;
     const operation = relayed.kind;
     metrics.count("cairngate_store_relayed_total", { operation });
-    return peers.call(peer, relayed, limitMs).pipe(
+    return peers.call(peer, relayed, relayTimeoutMs).pipe(
       Effect.catch((err): Effect.Effect<never, replies.CallError> => {
-        this.#leave(peer, err.cause);
+        this.#abandon(peer, err.cause);
         // A call that was on its way may have been carried out.
         return Effect.fail(
           operation === Ports.StoreCallKind.Transact
@@ -141,7 +141,7 @@
       }),
       Effect.tap((reply) =>
         Effect.sync(() => {
-          if (reply.outcome === Ports.StoreOutcome.Unavailable) this.#suspect();
+          if (reply.outcome === Ports.StoreOutcome.Unavailable) this.#check();
         })
       ),
       Effect.flatMap((reply) => replies.fromReply<A>(operation, reply)),
@@ -149,52 +149,58 @@
   }
 
   /** The store does not answer: find out whom it turns away. */
-  #suspect(): void {
+  #check(): void {
     const nowMs = this.#options.clock.monotonicMs();
-    if (this.#isJudging || nowMs < this.#judgedAtMs + JUDGE_PAUSE_MS) return;
-    this.#isJudging = true;
+    if (this.#isChecking || nowMs < this.#checkedAtMs + CHECK_PAUSE_MS) return;
+    this.#isChecking = true;
     const done = Effect.sync(() => {
-      this.#isJudging = false;
-      this.#judgedAtMs = this.#options.clock.monotonicMs();
+      this.#isChecking = false;
+      this.#checkedAtMs = this.#options.clock.monotonicMs();
     });
-    Effect.runFork(Effect.ensuring(this.#judge(), done));
+    Effect.runFork(Effect.ensuring(this.#compareRoutes(), done));
   }
 
-  #judge(): Effect.Effect<void> {
+  #compareRoutes(): Effect.Effect<void> {
     const { clock } = this.#options;
     return Effect.gen({ self: this }, function* () {
-      const beganAtMs = clock.monotonicMs();
-      const own = Deferred.makeUnsafe<boolean>();
-      const ask = Effect.matchEffect(this.probe(), {
-        onSuccess: () => Deferred.succeed(own, true),
-        onFailure: () => Deferred.succeed(own, false),
+      const startedAtMs = clock.monotonicMs();
+      const ownResult = Deferred.makeUnsafe<boolean>();
+      const ownProbe = Effect.matchEffect(this.probe(), {
+        onSuccess: () => Deferred.succeed(ownResult, true),
+        onFailure: () => Deferred.succeed(ownResult, false),
       });
-      yield* Effect.forkDetach(ask);
-      const peer = yield* this.#askPeers();
+      yield* Effect.forkDetach(ownProbe);
+      const peer = yield* this.#probePeers();
       if (peer !== null) {
-        const tookMs = clock.monotonicMs() - beganAtMs;
-        const graceMs = Math.max(HANGS_LEAST_MS, tookMs * HANGS_FACTOR);
-        const answered = yield* clock.within(graceMs, Deferred.await(own));
-        if (answered?.value !== true) this.#turnTo(peer);
-        else this.#turnBack();
-      } else if (yield* Deferred.await(own)) this.#turnBack();
+        const tookMs = clock.monotonicMs() - startedAtMs;
+        const graceMs = Math.max(
+          MIN_PROBE_GRACE_MS,
+          tookMs * PROBE_GRACE_FACTOR,
+        );
+        const answered = yield* clock.within(
+          graceMs,
+          Deferred.await(ownResult),
+        );
+        if (answered?.value !== true) this.#switchTo(peer);
+        else this.#restoreDirect();
+      } else if (yield* Deferred.await(ownResult)) this.#restoreDirect();
     });
   }
 
   /** The first of a few peers whom the store answers; null for none. */
-  #askPeers(): Effect.Effect<Ports.StorePeer | null> {
+  #probePeers(): Effect.Effect<Ports.StorePeer | null> {
     const { peers, random, members } = this.#options;
     const others = [...members()];
     const chosen: Ports.StorePeer[] = [];
-    while (chosen.length < PEERS_ASKED && others.length > 0) {
-      const at = Math.floor(random.next() * others.length);
-      chosen.push(...others.splice(at, 1));
+    while (chosen.length < PROBING_PEERS && others.length > 0) {
+      const index = Math.floor(random.next() * others.length);
+      chosen.push(...others.splice(index, 1));
     }
     if (chosen.length === 0) return Effect.succeed(null);
     const probe = { kind: Ports.StoreCallKind.Probe } as const;
-    const asks = chosen.map((peer) =>
+    const probes = chosen.map((peer) =>
       Effect.flatMap(
-        peers.call(peer, probe, PROBE_LIMIT_MS),
+        peers.call(peer, probe, PROBE_TIMEOUT_MS),
         ({ outcome }) =>
           outcome === Ports.StoreOutcome.Done
             ? Effect.succeed(peer)
@@ -202,43 +208,43 @@
       )
     );
     return Effect.catch(
-      Effect.raceAll(asks),
+      Effect.raceAll(probes),
       () => Effect.succeed(null),
     );
   }
 
-  #turnTo(peer: Ports.StorePeer): void {
+  #switchTo(peer: Ports.StorePeer): void {
     const { log, clock } = this.#options;
     if (this.#peer?.address === peer.address) return;
     const wasDirect = this.#peer === null;
     this.#peer = peer;
     log.warn(`The store turns this node away; calls go through ${peer.node}.`);
     if (!wasDirect) return;
-    Deferred.doneUnsafe(this.#switched, Effect.void);
-    this.#switched = Deferred.makeUnsafe<void>();
-    const look = Effect.gen({ self: this }, function* () {
+    Deferred.doneUnsafe(this.#routeChanged, Effect.void);
+    this.#routeChanged = Deferred.makeUnsafe<void>();
+    const probing = Effect.gen({ self: this }, function* () {
       while (this.#peer !== null) {
-        yield* clock.sleep(PROBE_AGAIN_MS);
-        const answered = yield* Effect.result(this.probe());
-        if (answered._tag === "Success") this.#turnBack();
+        yield* clock.sleep(PROBE_INTERVAL_MS);
+        const ownProbe = yield* Effect.result(this.probe());
+        if (ownProbe._tag === "Success") this.#restoreDirect();
       }
     });
-    Effect.runFork(look);
+    Effect.runFork(probing);
   }
 
-  #turnBack(): void {
+  #restoreDirect(): void {
     if (this.#peer === null) return;
     this.#peer = null;
     this.#options.log.info("The store answers this node again.");
   }
 
   /** A peer that cannot be reached is no way any more. */
-  #leave(peer: Ports.StorePeer, cause: string): void {
+  #abandon(peer: Ports.StorePeer, cause: string): void {
     if (this.#peer?.address !== peer.address) return;
     this.#options.log.warn(`No calls through ${peer.node} any more: ${cause}.`);
     this.#peer = null;
-    this.#judgedAtMs = Number.NEGATIVE_INFINITY;
-    this.#suspect();
+    this.#checkedAtMs = Number.NEGATIVE_INFINITY;
+    this.#check();
   }
 }
 
--- a/packages/table-client/src/circuit_breaker.ts
+++ b/packages/table-client/src/circuit_breaker.ts
@@ -20,7 +20,7 @@
   }
 
   /** The service has answered. */
-  succeeded(): void {
+  recordSuccess(): void {
     this.#failures = 0;
   }
 
@@ -30,7 +30,7 @@
   }
 
   /** The service has not answered; one trial follows each open time. */
-  failed(): void {
+  recordFailure(): void {
     this.#failures++;
     if (this.#failures < FAILURES_TO_OPEN) return;
     this.#openUntilMs = this.#clock.monotonicMs() + OPEN_MS;
--- a/packages/table-client/src/grouped_writer.ts
+++ b/packages/table-client/src/grouped_writer.ts
@@ -20,7 +20,7 @@
   readonly done: Deferred.Deferred<number, Failure>;
 }
 
-const MOST_WRITES = 100;
+const MAX_GROUP_WRITES = 100;
 const DEADLINE_MS = 3000;
 
 /** Collects writes while an earlier group is on its way. */
@@ -76,11 +76,11 @@
     const group: Pending[] = [];
     const rest: Pending[] = [];
     for (const pending of this.#pending) {
-      const own = pending.write.writes.map((w) => w.key);
-      const fits = group.length < MOST_WRITES &&
-        !own.some((key) => keys.has(key));
+      const rowKeys = pending.write.writes.map((w) => w.key);
+      const fits = group.length < MAX_GROUP_WRITES &&
+        !rowKeys.some((key) => keys.has(key));
       (fits ? group : rest).push(pending);
-      for (const key of own) keys.add(key);
+      for (const key of rowKeys) keys.add(key);
     }
     this.#pending = rest;
     return group;
@@ -88,11 +88,11 @@
 
   #writeGroup(group: Pending[]): Effect.Effect<void> {
     if (group.length === 1) return this.#writeOne(group[0]);
-    const all = {
+    const combined = {
       conditions: uniqueConditions(group),
       writes: group.flatMap((p) => p.write.writes),
     };
-    return this.#client.write(all, DEADLINE_MS).pipe(
+    return this.#client.write(combined, DEADLINE_MS).pipe(
       Effect.flatMap((revision) =>
         Effect.forEach(group, (p) => Deferred.succeed(p.done, revision))
       ),
--- a/packages/table-client/src/keys.ts
+++ b/packages/table-client/src/keys.ts
@@ -151,8 +151,8 @@
 export const MEMBER_PREFIX = "members/";
 
 /** Row of one node. */
-export function memberKey(node: string): string {
-  return `${MEMBER_PREFIX}${node}`;
+export function memberKey(box: string): string {
+  return `${MEMBER_PREFIX}${box}`;
 }
 
 /** Rows by which the nodes elect a coordinator. */
--- a/packages/table-client/src/paged_read.ts
+++ b/packages/table-client/src/paged_read.ts
@@ -17,34 +17,34 @@
 /** How pages are read. */
 export interface PagedReadOptions<P extends Page, E> {
   readonly clock: Ports.Clock;
-  readonly read: (ask: Ports.PageAsk) => Effect.Effect<P, E>;
+  readonly read: (request: Ports.PageAsk) => Effect.Effect<P, E>;
 }
 
 /** Rows of a first page: 150 KB of workflows, 0.12 s at 10 Mbit/s. */
-const FIRST_ROWS = 50;
+const FIRST_PAGE_ROWS = 50;
 /** A row may be as large as the store allows: one has to come in any case. */
-const LEAST_ROWS = 1;
+const MIN_PAGE_ROWS = 1;
 /** The stores that we know give no more rows at once. */
-const MOST_ROWS = 500;
+const MAX_PAGE_ROWS = 500;
 /** A page that was late is cut to this share. */
-const SHRINK = 4;
+const SHRINK_FACTOR = 4;
 /** After a page that was quick the next one is larger by this factor. */
-const GROW = 2;
+const GROWTH_FACTOR = 2;
 /** A page is quick below this share of its limit. */
-const QUICK_SHARE = 0.25;
+const FAST_PAGE_SHARE = 0.25;
 /**
  * A page is late after this time, in ms: a store that answers 75 times more
  * slowly than usual (0.3 s) and a link that eight reads share leave room.
  */
-export const PAGE_LIMIT_MS = 1500;
+export const PAGE_TIMEOUT_MS = 1500;
 
 /** One read of many rows, under way. */
 export class PagedRead<P extends Page, E> {
   readonly #options: PagedReadOptions<P, E>;
   readonly #items: P["items"][number][] = [];
   #first: P | null = null;
-  #from: string | null = null;
-  #most = FIRST_ROWS;
+  #nextFrom: string | null = null;
+  #maxRows = FIRST_PAGE_ROWS;
 
   constructor(options: PagedReadOptions<P, E>) {
     this.#options = options;
@@ -64,27 +64,30 @@
   step(): Effect.Effect<boolean, E | Errors.StoreUnavailableError> {
     const { clock, read } = this.#options;
     return Effect.gen({ self: this }, function* () {
-      const ask = { from: this.#from, most: this.#most };
-      const askedAtMs = clock.monotonicMs();
-      const timed = yield* clock.within(PAGE_LIMIT_MS, read(ask));
+      const request = { from: this.#nextFrom, most: this.#maxRows };
+      const requestedAtMs = clock.monotonicMs();
+      const timed = yield* clock.within(PAGE_TIMEOUT_MS, read(request));
       if (timed === null) {
-        this.#most = Math.max(LEAST_ROWS, Math.floor(this.#most / SHRINK));
-        const cause = `no page in time; the next has ${this.#most} rows`;
+        this.#maxRows = Math.max(
+          MIN_PAGE_ROWS,
+          Math.floor(this.#maxRows / SHRINK_FACTOR),
+        );
+        const cause = `no page in time; the next has ${this.#maxRows} rows`;
         const operation = "scan";
         return yield* new Errors.StoreUnavailableError({ operation, cause });
       }
       const page = timed.value;
       this.#first ??= page;
       this.#items.push(...page.items);
-      this.#from = page.next;
-      this.#noteTime(clock.monotonicMs() - askedAtMs);
+      this.#nextFrom = page.next;
+      this.#growIfFast(clock.monotonicMs() - requestedAtMs);
       return page.next === null;
     });
   }
 
   /** Where pages are quick, fewer and larger ones do. */
-  #noteTime(tookMs: number): void {
-    if (tookMs > PAGE_LIMIT_MS * QUICK_SHARE) return;
-    this.#most = Math.min(MOST_ROWS, this.#most * GROW);
+  #growIfFast(tookMs: number): void {
+    if (tookMs > PAGE_TIMEOUT_MS * FAST_PAGE_SHARE) return;
+    this.#maxRows = Math.min(MAX_PAGE_ROWS, this.#maxRows * GROWTH_FACTOR);
   }
 }
--- a/packages/table-client/src/paged_read_test.ts
+++ b/packages/table-client/src/paged_read_test.ts
@@ -8,34 +8,34 @@
 /** Reads numbers below `count`; a number takes `rowMs` on its way. */
 function readNumbers(count: number, rowMs: number) {
   const clock = new TestUtils.FakeClock();
-  const asked: Ports.PageAsk[] = [];
+  const requests: Ports.PageAsk[] = [];
   const read = new pagedReads.PagedRead({
     clock,
-    read: (ask: Ports.PageAsk) =>
+    read: (request: Ports.PageAsk) =>
       Effect.gen(function* () {
-        asked.push(ask);
-        const begin = Number(ask.from ?? 0);
-        const end = Math.min(count, begin + ask.most);
+        requests.push(request);
+        const begin = Number(request.from ?? 0);
+        const end = Math.min(count, begin + request.most);
         yield* clock.sleep((end - begin) * rowMs);
         const items = Array.from({ length: end - begin }, (_, i) => begin + i);
         return { items, next: end < count ? String(end) : null };
       }),
   });
   const step = async () => {
-    const ended = Effect.runPromise(Effect.result(read.step()));
+    const result = Effect.runPromise(Effect.result(read.step()));
     await clock.advance(2000);
-    return await ended;
+    return await result;
   };
-  return { read, asked, step };
+  return { read, requests, step };
 }
 
 async function readAll(
   { step }: ReturnType<typeof readNumbers>,
-  mostSteps: number,
+  maxSteps: number,
 ): Promise<number> {
-  for (let steps = 1; steps <= mostSteps; steps++) {
-    const ended = await step();
-    if (ended._tag === "Success" && ended.success) return steps;
+  for (let steps = 1; steps <= maxSteps; steps++) {
+    const result = await step();
+    if (result._tag === "Success" && result.success) return steps;
   }
   return Number.POSITIVE_INFINITY;
 }
@@ -46,7 +46,7 @@
     vitest.expect(await readAll(numbers, 6)).toBe(5);
     const all = Array.from({ length: 1000 }, (_, i) => i);
     vitest.expect(numbers.read.items).toEqual(all);
-    vitest.expect(numbers.asked.map(({ most }) => most))
+    vitest.expect(numbers.requests.map(({ most }) => most))
       .toEqual([50, 100, 200, 400, 500]);
   });
 
@@ -55,18 +55,18 @@
     const first = await numbers.step();
     vitest.expect(first._tag).toBe("Failure");
     vitest.expect(await readAll(numbers, 4)).toBe(4);
-    vitest.expect(numbers.asked.map(({ from }) => from))
+    vitest.expect(numbers.requests.map(({ from }) => from))
       .toEqual([null, null, "12", "24", "36"]);
     vitest.expect(numbers.read.items.length).toBe(40);
   });
 
   vitest.it("keeps what has come when a page fails", async () => {
     const numbers = readNumbers(120, 12);
-    const left = () => numbers.read.items.length;
+    const readCount = () => numbers.read.items.length;
     await numbers.step();
-    vitest.expect(left()).toBe(50);
+    vitest.expect(readCount()).toBe(50);
     vitest.expect(await readAll(numbers, 8)).toBeLessThan(8);
-    vitest.expect(numbers.asked.filter(({ from }) => from === null).length)
+    vitest.expect(numbers.requests.filter(({ from }) => from === null).length)
       .toBe(1);
   });
 });
--- a/packages/table-client/src/partition_read.ts
+++ b/packages/table-client/src/partition_read.ts
@@ -14,7 +14,7 @@
 }
 
 /** Usual pause after a page that failed, in ms; a store may be away. */
-const RETRY_MS = 100;
+const RETRY_DELAY_MS = 100;
 
 /** One read. Its pages stay while their successors fail. */
 export class PartitionRead<T> {
@@ -28,11 +28,11 @@
   #fiber: Fiber.Fiber<void> | null = null;
   #isReading = false;
   #isFailing = false;
-  #isJoined = false;
+  #isFirstPositionTaken = false;
   #newestPosition = 0;
   #result: readonly Ports.FeedEntry<T>[] | null = null;
   /** Done when all pages have come, or a page has failed. */
-  #turn = Deferred.makeUnsafe<void>();
+  #settled = Deferred.makeUnsafe<void>();
 
   constructor(options: PartitionReadOptions<T>) {
     this.#options = options;
@@ -71,13 +71,13 @@
    */
   takeFirstPosition(): number | null {
     const position = this.#pages.first?.position ?? null;
-    if (position === null || this.#isJoined) return null;
-    this.#isJoined = true;
+    if (position === null || this.#isFirstPositionTaken) return null;
+    this.#isFirstPositionTaken = true;
     return position;
   }
 
   /** A row has changed, as the feed tells. */
-  noteChange(key: string): void {
+  markChanged(key: string): void {
     this.#changed.add(key);
   }
 
@@ -87,21 +87,21 @@
   }
 
   /** Ends when all pages have come, or a page has failed. */
-  awaitTurn(): Effect.Effect<void> {
-    return Effect.suspend(() => Deferred.await(this.#turn));
+  awaitSettled(): Effect.Effect<void> {
+    return Effect.suspend(() => Deferred.await(this.#settled));
   }
 
   /** Reads on in a fiber of its own, unless one does so already. */
-  goOn(): Effect.Effect<void> {
+  resume(): Effect.Effect<void> {
     return Effect.suspend(() => {
       if (this.#isReading || this.#result !== null) return Effect.void;
       this.#isReading = true;
       this.#isFailing = false;
-      this.#turn = Deferred.makeUnsafe<void>();
-      const over = Effect.sync(() => {
+      this.#settled = Deferred.makeUnsafe<void>();
+      const finished = Effect.sync(() => {
         this.#isReading = false;
       });
-      const read = Effect.ensuring(this.#readOn(), over);
+      const read = Effect.ensuring(this.#readPages(), finished);
       return Effect.map(Effect.forkChild(read), (fiber) => {
         this.#fiber = fiber;
       });
@@ -109,23 +109,23 @@
   }
 
   /** Gives the read up: its pages are of no use any more. */
-  giveUp(): Effect.Effect<void> {
+  cancel(): Effect.Effect<void> {
     const fiber = this.#fiber;
     return fiber === null ? Effect.void : Fiber.interrupt(fiber);
   }
 
-  #readOn(): Effect.Effect<void> {
+  #readPages(): Effect.Effect<void> {
     const { clock, random } = this.#options;
     return Effect.gen({ self: this }, function* () {
       while (!(yield* this.#pages.step()));
       this.#result = this.#pages.items;
-      Deferred.doneUnsafe(this.#turn, Effect.void);
+      Deferred.doneUnsafe(this.#settled, Effect.void);
     }).pipe(
       Effect.catch(() => {
         this.#isFailing = true;
-        Deferred.doneUnsafe(this.#turn, Effect.void);
+        Deferred.doneUnsafe(this.#settled, Effect.void);
         // The next try of this partition waits; the follower does not.
-        return clock.sleep(random.jitter(RETRY_MS));
+        return clock.sleep(random.jitter(RETRY_DELAY_MS));
       }),
     );
   }
--- a/packages/table-client/src/resolved_writes.ts
+++ b/packages/table-client/src/resolved_writes.ts
@@ -23,7 +23,7 @@
   readonly budget: budgets.WriteBudget;
 }
 
-type WriteTry =
+type WriteResult =
   | { readonly kind: "written"; readonly revision: number }
   | {
     readonly kind: "refused";
@@ -49,46 +49,47 @@
     return Effect.gen({ self: this }, function* () {
       const endMs = clock.monotonicMs() + deadlineMs;
       const backoff = calls.backoffUntil(endMs);
-      let mayHaveLanded = false;
+      let isUncertain = false;
       for (;;) {
         yield* budget.take(endMs);
-        const tried = yield* this.#try(tx);
-        if (tried.kind === "written") return tried.revision;
-        if (tried.kind === "refused" && !mayHaveLanded) return yield* tried.err;
-        mayHaveLanded ||= tried.kind === "lost";
-        if (mayHaveLanded) {
-          const landed = yield* this.#find(tx);
-          if (landed !== null) return landed;
-          if (tried.kind === "refused") return yield* tried.err;
+        const result = yield* this.#attempt(tx);
+        if (result.kind === "written") return result.revision;
+        if (result.kind === "refused" && !isUncertain) return yield* result.err;
+        isUncertain ||= result.kind === "lost";
+        if (isUncertain) {
+          const revision = yield* this.#readBack(tx);
+          if (revision !== null) return revision;
+          if (result.kind === "refused") return yield* result.err;
         }
-        if (backoff.isOver) return yield* overdue(mayHaveLanded);
+        if (backoff.isExhausted) return yield* deadlineExceeded(isUncertain);
         yield* backoff.pause();
       }
     });
   }
 
-  #try(tx: Ports.Transaction): Effect.Effect<WriteTry> {
+  #attempt(tx: Ports.Transaction): Effect.Effect<WriteResult> {
     const { table, metrics, health, calls } = this.#options;
     metrics.count("cairngate_store_writes_total");
     const target = { operation: "write", partition: partitionOf(tx) };
-    return calls.call(target, table.transact(tx), health.writeLimitMs).pipe(
-      Effect.map((revision): WriteTry => ({ kind: "written", revision })),
+    return calls.call(target, table.transact(tx), health.writeTimeoutMs).pipe(
+      Effect.map((revision): WriteResult => ({ kind: "written", revision })),
       Effect.catchTags({
         ConditionFailedError: (err) =>
-          Effect.succeed<WriteTry>({ kind: "refused", err }),
+          Effect.succeed<WriteResult>({ kind: "refused", err }),
         WriteRefusedError: (err) =>
-          Effect.succeed<WriteTry>({ kind: "refused", err }),
-        AnswerLostError: () => Effect.succeed<WriteTry>({ kind: "lost" }),
-        StoreUnavailableError: () => Effect.succeed<WriteTry>({ kind: "down" }),
+          Effect.succeed<WriteResult>({ kind: "refused", err }),
+        AnswerLostError: () => Effect.succeed<WriteResult>({ kind: "lost" }),
+        StoreUnavailableError: () =>
+          Effect.succeed<WriteResult>({ kind: "down" }),
       }),
     );
   }
 
   /** Revision of the transaction if its rows show that it took effect. */
-  #find(tx: Ports.Transaction): Effect.Effect<number | null> {
+  #readBack(tx: Ports.Transaction): Effect.Effect<number | null> {
     const { table, metrics, calls } = this.#options;
-    const kept = tx.writes.filter((w) => w.value !== null);
-    const call = table.read(kept.map((w) => w.key));
+    const puts = tx.writes.filter((w) => w.value !== null);
+    const call = table.read(puts.map((w) => w.key));
     metrics.count("cairngate_store_lost_answers_total");
     const target = { operation: "read", partition: partitionOf(tx) };
     return calls.call(target, call).pipe(
@@ -101,7 +102,7 @@
   }
 }
 
-function overdue(perhapsDone: boolean): Errors.StoreUnavailableError {
+function deadlineExceeded(perhapsDone: boolean): Errors.StoreUnavailableError {
   return new Errors.StoreUnavailableError({
     operation: "write",
     cause: "no answer before the deadline",
--- a/packages/table-client/src/row_follower.ts
+++ b/packages/table-client/src/row_follower.ts
@@ -40,27 +40,27 @@
 }
 
 /** A step waits for the first partitions for the longest usual answer, in ms. */
-const FIRST_PAGE_MS = 400;
+const INITIAL_READ_WAIT_MS = 400;
 /** The same while some partition is read: changes are due meanwhile, in ms. */
-const MORE_PAGES_MS = 100;
+const LATER_READ_WAIT_MS = 100;
 /** An answer takes no longer than this beyond the wait, in ms, as a rule. */
-const ANSWER_MS = 500;
+const ANSWER_TIMEOUT_MS = 500;
 /** The same for large answers: 1 MB, which the stores give, at 1.5 Mbit/s. */
-const LONGEST_ANSWER_MS = 6000;
+const MAX_ANSWER_TIMEOUT_MS = 6000;
 /** First and longest pause between two tries, in ms. */
-const FIRST_BACKOFF_MS = 50;
-const LONGEST_BACKOFF_MS = 250;
+const INITIAL_BACKOFF_MS = 50;
+const MAX_BACKOFF_MS = 250;
 /** Longest pause where somebody else notices the end of an outage, in ms. */
-const LONGEST_AWAITED_MS = 1000;
+const MAX_BACKOFF_WITH_RECOVERY_MS = 1000;
 /** Longest wait of one look while some partition is still to be read. */
-const UNREAD_WAIT_MS = 200;
+const UNREAD_POLL_WAIT_MS = 200;
 
 /** Keeps the keys that it has told of, to notice what has gone. */
 export class RowFollower<T> {
   readonly #options: RowFollowerOptions<T>;
-  readonly #known = new Set<string>();
+  readonly #reportedKeys = new Set<string>();
   /** Keys found since the reading of all partitions began. */
-  readonly #present = new Set<string>();
+  readonly #foundKeys = new Set<string>();
   readonly #unread: Set<string>;
   /** Reads of partitions that are under way. */
   readonly #reads = new Map<string, partitionReads.PartitionRead<T>>();
@@ -69,11 +69,11 @@
   #newestPosition = 0;
   /** Whether the changes since the reading of all partitions are told. */
   #isCaughtUp = false;
-  #heardAtMs = Number.NEGATIVE_INFINITY;
+  #lastPollAtMs = Number.NEGATIVE_INFINITY;
   /** Whether the last look failed. */
   #hasFailed = false;
-  #backoffMs = FIRST_BACKOFF_MS;
-  #answerMs = ANSWER_MS;
+  #backoffMs = INITIAL_BACKOFF_MS;
+  #answerTimeoutMs = ANSWER_TIMEOUT_MS;
 
   constructor(options: RowFollowerOptions<T>) {
     this.#options = options;
@@ -81,8 +81,8 @@
   }
 
   /** Monotonic time of the last successful look. */
-  get heardAtMs(): number {
-    return this.#heardAtMs;
+  get lastPollAtMs(): number {
+    return this.#lastPollAtMs;
   }
 
   /** Whether all partitions have been read. */
@@ -110,32 +110,34 @@
 
   /** One look: at partitions that are still to be read, or for changes. */
   step(): Effect.Effect<void> {
-    const look = Effect.gen({ self: this }, function* () {
+    const poll = Effect.gen({ self: this }, function* () {
       if (yield* this.#readMissing()) return;
       if (this.#position !== null) yield* this.#readChanges(this.#position);
       else if (this.#isFailing) yield* this.#pause();
     });
-    return Effect.catch(look, () => this.#pause());
+    return Effect.catch(poll, () => this.#pause());
   }
 
   /** Goes on with partitions that are to be read; tells whether one was. */
   #readMissing(): Effect.Effect<boolean> {
     const { mayRead, clock } = this.#options;
     return Effect.gen({ self: this }, function* () {
-      const open = [...this.#unread].filter((p) => mayRead?.(p) ?? true);
-      if (open.length === 0) return false;
-      const reads = open.map((partition) => this.#readOf(partition));
-      for (const read of reads) yield* read.goOn();
-      const limitMs = this.#position === null ? FIRST_PAGE_MS : MORE_PAGES_MS;
-      const well = reads.filter(({ isFailing }) => !isFailing);
-      const turns = well.map((read) => read.awaitTurn());
-      const all = Effect.all(turns, {
+      const readable = [...this.#unread].filter((p) => mayRead?.(p) ?? true);
+      if (readable.length === 0) return false;
+      const reads = readable.map((partition) => this.#partitionRead(partition));
+      for (const read of reads) yield* read.resume();
+      const timeoutMs = this.#position === null
+        ? INITIAL_READ_WAIT_MS
+        : LATER_READ_WAIT_MS;
+      const healthy = reads.filter(({ isFailing }) => !isFailing);
+      const settled = healthy.map((read) => read.awaitSettled());
+      const all = Effect.all(settled, {
         concurrency: "unbounded",
         discard: true,
       });
-      yield* clock.within(limitMs, all);
-      for (const read of reads) this.#join(read);
-      return reads.filter((read) => this.#takeRead(read)).length > 0;
+      yield* clock.within(timeoutMs, all);
+      for (const read of reads) this.#followFrom(read);
+      return reads.filter((read) => this.#finishRead(read)).length > 0;
     });
   }
 
@@ -144,34 +146,34 @@
     return [...this.#reads.values()].every(({ isFailing }) => isFailing);
   }
 
-  #readOf(partition: string): partitionReads.PartitionRead<T> {
-    const known = this.#reads.get(partition);
-    if (known !== undefined) return known;
-    const made = new partitionReads.PartitionRead({
+  #partitionRead(partition: string): partitionReads.PartitionRead<T> {
+    const existing = this.#reads.get(partition);
+    if (existing !== undefined) return existing;
+    const created = new partitionReads.PartitionRead({
       ...this.#options,
       partition,
     });
-    this.#reads.set(partition, made);
-    return made;
+    this.#reads.set(partition, created);
+    return created;
   }
 
   /** Changes are followed from the oldest of the first pages on. */
-  #join(read: partitionReads.PartitionRead<T>): void {
+  #followFrom(read: partitionReads.PartitionRead<T>): void {
     const first = read.takeFirstPosition();
     if (first === null) return;
     this.#position = Math.min(this.#position ?? first, first);
   }
 
   /** Takes in a partition if all of its pages have come. */
-  #takeRead(read: partitionReads.PartitionRead<T>): boolean {
+  #finishRead(read: partitionReads.PartitionRead<T>): boolean {
     const { result, partition } = read;
     if (result === null) return false;
     this.#reads.delete(partition);
     this.#unread.delete(partition);
     this.#newestPosition = Math.max(this.#newestPosition, read.newestPosition);
     this.#isCaughtUp = false;
-    this.#take(result);
-    this.#tellGone();
+    this.#report(result);
+    this.#reportDeleted();
     return true;
   }
 
@@ -180,39 +182,43 @@
     const waitMs = this.#waitMs();
     const hasReadAll = this.#unread.size === 0;
     return Effect.gen({ self: this }, function* () {
-      const limitMs = waitMs + this.#answerMs;
-      const askedAtMs = clock.monotonicMs();
-      const asked = this.#againWhenBack(feed.changes(position, waitMs));
-      const timed = yield* clock.within(limitMs, asked);
+      const timeoutMs = waitMs + this.#answerTimeoutMs;
+      const polledAtMs = clock.monotonicMs();
+      const poll = this.#retryOnRecovery(feed.changes(position, waitMs));
+      const timed = yield* clock.within(timeoutMs, poll);
       if (timed === null) {
         // An answer may be large; it is not asked for again in less time.
-        this.#answerMs = Math.min(LONGEST_ANSWER_MS, this.#answerMs * 2);
+        this.#answerTimeoutMs = Math.min(
+          MAX_ANSWER_TIMEOUT_MS,
+          this.#answerTimeoutMs * 2,
+        );
         return yield* this.#pause();
       }
-      this.#answerMs = ANSWER_MS;
-      const delayMs = clock.monotonicMs() - askedAtMs - waitMs;
+      this.#answerTimeoutMs = ANSWER_TIMEOUT_MS;
+      const delayMs = clock.monotonicMs() - polledAtMs - waitMs;
       if (delayMs > 0) this.#options.onDelay?.(delayMs);
-      const { entries, position: reached } = timed.value;
-      this.#position = reached;
-      const isAll = entries.length === 0 || reached >= this.#newestPosition;
-      if (hasReadAll && isAll) this.#isCaughtUp = true;
+      const { entries, position: newPosition } = timed.value;
+      this.#position = newPosition;
+      const isUpToDate = entries.length === 0 ||
+        newPosition >= this.#newestPosition;
+      if (hasReadAll && isUpToDate) this.#isCaughtUp = true;
       for (const { key } of entries) {
-        for (const read of this.#reads.values()) read.noteChange(key);
+        for (const read of this.#reads.values()) read.markChanged(key);
       }
-      this.#take(entries);
-      if (entries.length > 0) yield* this.#gather();
+      this.#report(entries);
+      if (entries.length > 0) yield* this.#coalesce();
     }).pipe(
       Effect.catchTag(
         "HistoryLostError",
-        () => this.#beginAgain(),
+        () => this.#restart(),
       ),
     );
   }
 
-  #gather(): Effect.Effect<void> {
+  #coalesce(): Effect.Effect<void> {
     const { clock, gatherMs } = this.#options;
-    const isAllTold = this.hasSnapshot && this.#isCaughtUp;
-    if (gatherMs === undefined || !isAllTold) return Effect.void;
+    const isCaughtUp = this.hasSnapshot && this.#isCaughtUp;
+    if (gatherMs === undefined || !isCaughtUp) return Effect.void;
     return clock.sleep(gatherMs);
   }
 
@@ -221,53 +227,55 @@
    * when the outage ends. The first answer counts, so that a slow store, whose
    * outages seem to end often, holds up no look.
    */
-  #againWhenBack<A, E>(look: Effect.Effect<A, E>): Effect.Effect<A, E> {
+  #retryOnRecovery<A, E>(poll: Effect.Effect<A, E>): Effect.Effect<A, E> {
     const { awaitBack } = this.#options;
-    if (awaitBack === undefined) return look;
-    return Effect.raceFirst(look, Effect.andThen(awaitBack(), look));
+    if (awaitBack === undefined) return poll;
+    return Effect.raceFirst(poll, Effect.andThen(awaitBack(), poll));
   }
 
   /** After a failure a look asks for an answer at once: is the store back? */
   #waitMs(): number {
     if (this.#hasFailed || (this.hasSnapshot && !this.#isCaughtUp)) return 0;
-    return this.#unread.size === 0 ? this.#options.waitMs : UNREAD_WAIT_MS;
+    return this.#unread.size === 0 ? this.#options.waitMs : UNREAD_POLL_WAIT_MS;
   }
 
-  #beginAgain(): Effect.Effect<void> {
+  #restart(): Effect.Effect<void> {
     return Effect.suspend(() => {
       this.#position = null;
       this.#isCaughtUp = false;
-      this.#present.clear();
+      this.#foundKeys.clear();
       for (const partition of this.#options.feed.partitions) {
         this.#unread.add(partition);
       }
       // Pages of a history that is lost are of no use.
       const reads = [...this.#reads.values()];
       this.#reads.clear();
-      return Effect.forEach(reads, (read) => read.giveUp(), { discard: true });
+      return Effect.forEach(reads, (read) => read.cancel(), { discard: true });
     });
   }
 
-  #take(entries: readonly Ports.FeedEntry<T>[]): void {
+  #report(entries: readonly Ports.FeedEntry<T>[]): void {
     for (const { key, value } of entries) {
       const change = value === null ? "delete" : "add";
-      this.#known[change](key);
-      this.#present[change](key);
+      this.#reportedKeys[change](key);
+      this.#foundKeys[change](key);
     }
     this.#hasFailed = false;
-    this.#backoffMs = FIRST_BACKOFF_MS;
+    this.#backoffMs = INITIAL_BACKOFF_MS;
     if (entries.length > 0) this.#options.onChange(entries);
-    this.#heardAtMs = this.#options.clock.monotonicMs();
+    this.#lastPollAtMs = this.#options.clock.monotonicMs();
     this.#options.onHeard?.();
   }
 
   /** Once all partitions are read: what is known and was not found is gone. */
-  #tellGone(): void {
+  #reportDeleted(): void {
     if (this.#unread.size > 0) return;
-    const gone = [...this.#known].filter((key) => !this.#present.has(key));
-    for (const key of gone) this.#known.delete(key);
-    if (gone.length === 0) return;
-    this.#options.onChange(gone.map((key) => ({ key, value: null })));
+    const deleted = [...this.#reportedKeys].filter((key) =>
+      !this.#foundKeys.has(key)
+    );
+    for (const key of deleted) this.#reportedKeys.delete(key);
+    if (deleted.length === 0) return;
+    this.#options.onChange(deleted.map((key) => ({ key, value: null })));
   }
 
   #pause(): Effect.Effect<void> {
@@ -276,11 +284,11 @@
     this.#hasFailed = true;
     onFailed?.();
     const waitMs = random.jitter(this.#backoffMs);
-    const usualMs = awaitBack === undefined
-      ? LONGEST_BACKOFF_MS
-      : LONGEST_AWAITED_MS;
-    const longestMs = longestPauseMs ?? usualMs;
-    this.#backoffMs = Math.min(this.#backoffMs * 2, longestMs);
+    const defaultMs = awaitBack === undefined
+      ? MAX_BACKOFF_MS
+      : MAX_BACKOFF_WITH_RECOVERY_MS;
+    const maxBackoffMs = longestPauseMs ?? defaultMs;
+    this.#backoffMs = Math.min(this.#backoffMs * 2, maxBackoffMs);
     if (awaitBack === undefined) return clock.sleep(waitMs);
     return Effect.raceFirst(clock.sleep(waitMs), awaitBack());
   }
--- a/packages/table-client/src/row_follower_test.ts
+++ b/packages/table-client/src/row_follower_test.ts
@@ -22,15 +22,15 @@
   /** With it, a look without changes takes its time. */
   clock: Ports.Clock | null = null;
   /** Where pages behind the first were asked for. */
-  readonly begun: string[] = [];
+  readonly continuedFrom: string[] = [];
   /** Answers to the next looks for changes. */
   readonly changePages: (Page | "lost")[] = [];
   /** Positions that were asked for. */
-  readonly asked: number[] = [];
+  readonly polledPositions: number[] = [];
 
   override page(partition: string, { from }: Ports.PageAsk) {
     const page = this.pages.get(partition);
-    if (from !== null) this.begun.push(from);
+    if (from !== null) this.continuedFrom.push(from);
     // A test lays out one page at a time: the same page again is a failure.
     const isNext = from === null || page?.next === undefined;
     if (page === undefined || !isNext) return Effect.fail(DOWN);
@@ -40,11 +40,11 @@
 
   override changes(position: number, waitMs: number) {
     const wait = this.clock?.sleep(waitMs) ?? Effect.void;
-    return Effect.andThen(wait, Effect.suspend(() => this.#tell(position)));
+    return Effect.andThen(wait, Effect.suspend(() => this.#answer(position)));
   }
 
-  #tell(position: number) {
-    this.asked.push(position);
+  #answer(position: number) {
+    this.polledPositions.push(position);
     const page = this.changePages.shift() ?? { entries: [], position };
     if (page === "lost") {
       return Effect.fail(new Errors.HistoryLostError({ position }));
@@ -60,7 +60,7 @@
 function follow() {
   const clock = new TestUtils.FakeClock();
   const feed = new ScriptedFeed();
-  const told: string[] = [];
+  const reported: string[] = [];
   const follower = new followers.RowFollower<string>({
     feed,
     clock,
@@ -68,7 +68,7 @@
     waitMs: 1000,
     onChange: (entries) => {
       for (const { key, value } of entries) {
-        told.push(value === null ? `-${key}` : key);
+        reported.push(value === null ? `-${key}` : key);
       }
     },
   });
@@ -77,39 +77,39 @@
     await clock.advance(500);
     await done;
   };
-  return { feed, told, follower, step, clock };
+  return { feed, reported, follower, step, clock };
 }
 
 vitest.describe("RowFollower", () => {
   vitest.it("goes on from the oldest position of the partitions", async () => {
-    const { feed, told, step } = follow();
+    const { feed, reported, step } = follow();
     feed.pages.set("a", pageOf(7, "a/1"));
     feed.pages.set("b", pageOf(5, "b/1"));
     await step();
     await step();
-    vitest.expect(told).toEqual(["a/1", "b/1"]);
-    vitest.expect(feed.asked).toEqual([5]);
+    vitest.expect(reported).toEqual(["a/1", "b/1"]);
+    vitest.expect(feed.polledPositions).toEqual([5]);
   });
 
   vitest.it("tells changes while one partition can not be read", async () => {
-    const { feed, told, follower, step } = follow();
+    const { feed, reported, follower, step } = follow();
     feed.pages.set("a", pageOf(7, "a/1"));
     await step();
     vitest.expect(follower.hasRead("a")).toBe(true);
     vitest.expect(follower.hasSnapshot).toBe(false);
     feed.changePages.push(pageOf(8, "a/2"));
     await step();
-    vitest.expect(told).toEqual(["a/1", "a/2"]);
+    vitest.expect(reported).toEqual(["a/1", "a/2"]);
     feed.pages.set("b", pageOf(9, "b/1"));
     await step();
-    vitest.expect(told).toEqual(["a/1", "a/2", "b/1"]);
+    vitest.expect(reported).toEqual(["a/1", "a/2", "b/1"]);
     vitest.expect(follower.hasSnapshot).toBe(true);
     await step();
-    vitest.expect(feed.asked.at(-1)).toBe(8);
+    vitest.expect(feed.polledPositions.at(-1)).toBe(8);
   });
 
   vitest.it("looks less often at rows that change all the time", async () => {
-    const looksIn = async (gatherMs?: number) => {
+    const countPolls = async (gatherMs?: number) => {
       const clock = new TestUtils.FakeClock();
       const feed = new ScriptedFeed();
       feed.pages.set("a", pageOf(1)).set("b", pageOf(1));
@@ -129,14 +129,14 @@
       const fiber = Effect.runFork(follower.run());
       await clock.advance(2000);
       await Effect.runPromise(Fiber.interrupt(fiber));
-      return feed.asked.length;
+      return feed.polledPositions.length;
     };
-    vitest.expect(await looksIn()).toBeGreaterThan(150);
-    vitest.expect(await looksIn(100)).toBeLessThan(25);
+    vitest.expect(await countPolls()).toBeGreaterThan(150);
+    vitest.expect(await countPolls(100)).toBeLessThan(25);
   });
 
   vitest.it("tells what has gone once a lost history is read", async () => {
-    const { feed, told, step } = follow();
+    const { feed, reported, step } = follow();
     feed.pages.set("a", pageOf(7, "a/1"));
     feed.pages.set("b", pageOf(7, "b/1", "b/2"));
     await step();
@@ -145,29 +145,29 @@
     feed.pages.set("a", pageOf(30));
     feed.pages.delete("b");
     await step();
-    vitest.expect(told).toEqual(["a/1", "b/1", "b/2"]);
+    vitest.expect(reported).toEqual(["a/1", "b/1", "b/2"]);
     feed.pages.set("b", pageOf(31, "b/2"));
     await step();
-    vitest.expect(told.slice(3)).toEqual(["b/2", "-a/1", "-b/1"]);
+    vitest.expect(reported.slice(3)).toEqual(["b/2", "-a/1", "-b/1"]);
   });
 
   vitest.it(
     "keeps the pages of a partition whose next page fails",
     async () => {
-      const { feed, told, follower, clock } = follow();
+      const { feed, reported, follower, clock } = follow();
       feed.clock = clock;
       feed.pages.set("a", pageOf(7, "a/1"));
       feed.pages.set("b", { ...pageOf(5, "b/1"), next: "b/2" });
       const fiber = Effect.runFork(follower.run());
       await clock.advance(1000);
-      vitest.expect(told).toEqual(["a/1"]);
+      vitest.expect(reported).toEqual(["a/1"]);
       feed.pages.set("b", pageOf(9, "b/2"));
       await clock.advance(1000);
-      vitest.expect(told).toEqual(["a/1", "b/1", "b/2"]);
+      vitest.expect(reported).toEqual(["a/1", "b/1", "b/2"]);
       // Changes between the pages are told again.
       await clock.advance(1000);
-      vitest.expect(feed.asked).toContain(5);
-      vitest.expect(feed.begun.filter((from) => from === "b/2").length)
+      vitest.expect(feed.polledPositions).toContain(5);
+      vitest.expect(feed.continuedFrom.filter((from) => from === "b/2").length)
         .toBeGreaterThan(1);
       await Effect.runPromise(Fiber.interrupt(fiber));
     },
@@ -176,7 +176,7 @@
   vitest.it(
     "leaves out rows of pages that have changed meanwhile",
     async () => {
-      const { feed, told, follower, step } = follow();
+      const { feed, reported, follower, step } = follow();
       feed.pages.set("a", pageOf(5, "a/1"));
       await step();
       feed.changePages.push({
@@ -189,12 +189,12 @@
       feed.pages.set("b", pageOf(9, "b/3"));
       await step();
       await Effect.runPromise(Fiber.interrupt(fiber));
-      vitest.expect(told).toEqual(["a/1", "-b/1", "b/2", "b/3"]);
+      vitest.expect(reported).toEqual(["a/1", "-b/1", "b/2", "b/3"]);
     },
   );
 
   vitest.it("is caught up once changes since its pages are told", async () => {
-    const { feed, told, follower, step } = follow();
+    const { feed, reported, follower, step } = follow();
     feed.pages.set("a", pageOf(5, "a/1"));
     feed.pages.set("b", pageOf(9, "b/1"));
     await step();
@@ -204,7 +204,7 @@
     await step();
     vitest.expect(follower.isCaughtUp).toBe(false);
     await step();
-    vitest.expect(told).toEqual(["a/1", "b/1", "a/2", "a/3"]);
+    vitest.expect(reported).toEqual(["a/1", "b/1", "a/2", "a/3"]);
     vitest.expect(follower.isCaughtUp).toBe(true);
   });
 });
--- a/packages/table-client/src/store_client.ts
+++ b/packages/table-client/src/store_client.ts
@@ -61,7 +61,7 @@
 
   /** What a write usually takes, in ms; 0 before the first. */
   get usualWriteMs(): number {
-    return this.#health.usualWriteMs;
+    return this.#health.averageWriteMs;
   }
 
   /** Time after which a second try beside a call is worth its price. */
@@ -76,27 +76,27 @@
 
   /** The service answered a call, perhaps one made without this client. */
   noteAnswered(): void {
-    this.#health.noteAnswered();
+    this.#health.recordAnswer();
   }
 
   /** A call that was made without this client failed. */
   noteFailed(): void {
-    this.#health.noteFailed();
+    this.#health.recordFailure();
   }
 
   /** Time for which calls have failed; 0 while the last one was answered. */
   silentForMs(): number {
-    return this.#health.silentForMs();
+    return this.#health.failingForMs();
   }
 
   /** An answer took this long, in ms; perhaps one to a call made without us. */
   noteDelay(tookMs: number): void {
-    this.#health.noteDelay(tookMs);
+    this.#health.recordDelay(tookMs);
   }
 
   /** Ends when the service answers again after an outage. */
   awaitBack(): Effect.Effect<void> {
-    return this.#health.awaitBack();
+    return this.#health.awaitRecovery();
   }
 
   /** Reads rows; absent ones are left out. */
@@ -122,16 +122,16 @@
 
   /**
    * All rows under a prefix, page by page, however long that takes; fails where
-   * no page has come for `quietMs`.
+   * no page has come for `idleTimeoutMs`.
    */
   readAll(
     prefix: string,
-    quietMs = DEFAULT_DEADLINE_MS,
+    idleTimeoutMs = DEFAULT_DEADLINE_MS,
   ): Effect.Effect<readonly Ports.Row[], storeErrors.StoreFailure> {
     const { table, clock } = this.#options;
     const read = new pagedReads.PagedRead({
       clock,
-      read: (ask) => table.scanPage(prefix, ask),
+      read: (request) => table.scanPage(prefix, request),
     });
     const partition = keys.partitionIn(prefix);
     const target = { operation: "scan", partition };
@@ -139,8 +139,13 @@
       for (;;) {
         // The read itself bounds a page; the bound of other calls is shorter.
         const page = () => read.step();
-        const limitMs = pagedReads.PAGE_LIMIT_MS + healths.CALL_MS;
-        const isLast = yield* this.#retryRead(target, page, quietMs, limitMs);
+        const timeoutMs = pagedReads.PAGE_TIMEOUT_MS + healths.CALL_TIMEOUT_MS;
+        const isLast = yield* this.#retryRead(
+          target,
+          page,
+          idleTimeoutMs,
+          timeoutMs,
+        );
         if (isLast) return read.items;
       }
     });
@@ -175,7 +180,7 @@
     target: timedCalls.Target,
     call: () => Effect.Effect<A, Ports.StoreError>,
     deadlineMs: number,
-    callMs = healths.CALL_MS,
+    timeoutMs = healths.CALL_TIMEOUT_MS,
   ): Effect.Effect<A, storeErrors.StoreFailure> {
     const { clock, metrics } = this.#options;
     return Effect.gen({ self: this }, function* () {
@@ -183,11 +188,11 @@
       const backoff = this.#calls.backoffUntil(endMs);
       for (;;) {
         metrics.count("cairngate_store_reads_total");
-        const rows = yield* this.#calls.call(target, call(), callMs).pipe(
+        const rows = yield* this.#calls.call(target, call(), timeoutMs).pipe(
           Effect.catch(() => Effect.succeed(null)),
         );
         if (rows !== null) return rows;
-        if (backoff.isOver) {
+        if (backoff.isExhausted) {
           const cause = "no answer before the deadline";
           return yield* storeErrors.unavailable(target.operation, cause);
         }
--- a/packages/table-client/src/store_client_test.ts
+++ b/packages/table-client/src/store_client_test.ts
@@ -24,10 +24,10 @@
   clock: TestUtils.FakeClock,
   work: Effect.Effect<A, E>,
 ) {
-  let over = false;
+  let isDone = false;
   const pending = Effect.runPromise(Effect.result(work))
-    .finally(() => (over = true));
-  await clock.advanceUntil(() => over, 30_000);
+    .finally(() => (isDone = true));
+  await clock.advanceUntil(() => isDone, 30_000);
   return await pending;
 }
 
@@ -147,10 +147,10 @@
   test("gets no second tries soon, also where it refuses", async () => {
     const { clock, faults, client } = createStore();
     await run(clock, client.write(write));
-    const usualMs = client.hedgeMs;
+    const fastHedgeMs = client.hedgeMs;
     faults.set({ down: true, delayMs: SLOW_MS });
     await run(clock, client.write(write, 100));
-    expect(usualMs).toBeLessThan(SLOW_MS / 2);
+    expect(fastHedgeMs).toBeLessThan(SLOW_MS / 2);
     expect(client.hedgeMs).toBeGreaterThan(SLOW_MS * 3);
   });
 
@@ -180,12 +180,12 @@
     const { clock, faults, client } = createStore();
     const write = { conditions: [], writes: [{ key: "k", value: 1 }] };
     await run(clock, client.write(write));
-    const usualMs = client.hedgeMs;
+    const hedgeMs = client.hedgeMs;
     faults.set({ silent: true });
     // A call that is ended because another one was answered, and one that is lost.
     await run(clock, clock.within(200, client.write(write)));
-    expect(client.hedgeMs).toBe(usualMs);
+    expect(client.hedgeMs).toBe(hedgeMs);
     await run(clock, client.write(write, 100));
-    expect(client.hedgeMs).toBe(usualMs);
+    expect(client.hedgeMs).toBe(hedgeMs);
   });
 });
--- a/packages/table-client/src/timed_calls.ts
+++ b/packages/table-client/src/timed_calls.ts
@@ -22,8 +22,8 @@
 }
 
 /** First and longest pause between two tries, in ms. */
-const FIRST_BACKOFF_MS = 40;
-const LONGEST_BACKOFF_MS = 1000;
+const INITIAL_BACKOFF_MS = 40;
+const MAX_BACKOFF_MS = 1000;
 
 /** Calls of one client. */
 export class TimedCalls {
@@ -37,7 +37,7 @@
   call<A, E extends { readonly _tag: string }>(
     { operation, partition }: Target,
     call: Effect.Effect<A, E>,
-    limitMs = healths.CALL_MS,
+    timeoutMs = healths.CALL_TIMEOUT_MS,
   ): Effect.Effect<A, E | Errors.AnswerLostError | storeErrors.StoreFailure> {
     const { clock, metrics, health } = this.#options;
     return Effect.gen({ self: this }, function* () {
@@ -47,27 +47,27 @@
         return yield* storeErrors.unavailable(operation, cause);
       }
       const startMs = clock.monotonicMs();
-      const noteTime = () => {
+      const recordDelay = () => {
         const isWrite = operation === "write";
-        if (isWrite) health.noteDelay(clock.monotonicMs() - startMs);
+        if (isWrite) health.recordDelay(clock.monotonicMs() - startMs);
       };
-      const timed = yield* clock.within(limitMs, call).pipe(
+      const timed = yield* clock.within(timeoutMs, call).pipe(
         Effect.tapError((err) =>
           Effect.sync(() => {
-            noteTime();
-            if (!isAnswer(err._tag)) this.#failed(breaker);
+            recordDelay();
+            if (!isAnswer(err._tag)) this.#recordFailure(breaker);
           })
         ),
       );
       if (timed === null) {
-        this.#failed(breaker);
+        this.#recordFailure(breaker);
         return yield* new Errors.AnswerLostError({ operation });
       }
-      noteTime();
-      breaker.succeeded();
-      health.noteAnswered();
+      recordDelay();
+      breaker.recordSuccess();
+      health.recordAnswer();
       const tookMs = clock.monotonicMs() - startMs;
-      if (operation === "write") health.noteWrite(tookMs);
+      if (operation === "write") health.recordWrite(tookMs);
       metrics.observeMs(`cairngate_store_${operation}_seconds`, tookMs);
       return timed.value;
     });
@@ -78,9 +78,9 @@
     return new Backoff(this.#options, endMs);
   }
 
-  #failed(breaker: breakers.CircuitBreaker): void {
-    breaker.failed();
-    this.#options.health.noteFailed();
+  #recordFailure(breaker: breakers.CircuitBreaker): void {
+    breaker.recordFailure();
+    this.#options.health.recordFailure();
   }
 }
 
@@ -88,7 +88,7 @@
 export class Backoff {
   readonly #options: TimedCallsOptions;
   readonly #endMs: number;
-  #backoffMs = FIRST_BACKOFF_MS;
+  #backoffMs = INITIAL_BACKOFF_MS;
 
   constructor(options: TimedCallsOptions, endMs: number) {
     this.#options = options;
@@ -96,7 +96,7 @@
   }
 
   /** Whether the next try would come too late. */
-  get isOver(): boolean {
+  get isExhausted(): boolean {
     const { clock } = this.#options;
     return clock.monotonicMs() + this.#backoffMs > this.#endMs;
   }
@@ -104,9 +104,9 @@
   /** The pause before the next try; the end of an outage ends it. */
   pause(): Effect.Effect<void> {
     const { clock, random, health } = this.#options;
-    const slept = clock.sleep(random.jitter(this.#backoffMs));
-    this.#backoffMs = Math.min(this.#backoffMs * 2, LONGEST_BACKOFF_MS);
-    return Effect.raceFirst(slept, health.awaitBack());
+    const sleep = clock.sleep(random.jitter(this.#backoffMs));
+    this.#backoffMs = Math.min(this.#backoffMs * 2, MAX_BACKOFF_MS);
+    return Effect.raceFirst(sleep, health.awaitRecovery());
   }
 }
 
--- a/packages/table-client/src/write_budget.ts
+++ b/packages/table-client/src/write_budget.ts
@@ -11,22 +11,23 @@
   readonly #clock: Ports.Clock;
   readonly #writesPerSecond: number;
   #tokens: number;
-  #tokensAtMs: number;
+  #refilledAtMs: number;
 
   constructor(clock: Ports.Clock, writesPerSecond: number) {
     this.#clock = clock;
     this.#writesPerSecond = writesPerSecond;
     this.#tokens = writesPerSecond * BURST_SECONDS;
-    this.#tokensAtMs = clock.monotonicMs();
+    this.#refilledAtMs = clock.monotonicMs();
   }
 
   /** Waits for the write budget; fails when the wait passes the deadline. */
   take(endMs: number): Effect.Effect<void, storeErrors.StoreFailure> {
     const nowMs = this.#clock.monotonicMs();
-    const gained = (nowMs - this.#tokensAtMs) / 1000 * this.#writesPerSecond;
-    const most = this.#writesPerSecond * BURST_SECONDS;
-    this.#tokens = Math.min(most, this.#tokens + gained) - 1;
-    this.#tokensAtMs = nowMs;
+    const refilled = (nowMs - this.#refilledAtMs) / 1000 *
+      this.#writesPerSecond;
+    const maxTokens = this.#writesPerSecond * BURST_SECONDS;
+    this.#tokens = Math.min(maxTokens, this.#tokens + refilled) - 1;
+    this.#refilledAtMs = nowMs;
     if (this.#tokens >= 0) return Effect.void;
     const waitMs = -this.#tokens / this.#writesPerSecond * 1000;
     if (nowMs + waitMs <= endMs) return this.#clock.sleep(waitMs);
