--- a/packages/peers/mod.ts
+++ b/packages/peers/mod.ts
@@ -1,6 +1,9 @@
-/** Links between boxes: ws with msgpackr, one fiber for each peer. */
+/** Links between boxes: WebSocket with msgpackr, one fiber per peer. */
 export {
   WsStorePeers,
   type WsStorePeersOptions,
 } from "./src/ws_store_peers.ts";
-export { WsPeerNetwork, type WsPeerOptions } from "./src/ws_peer_network.ts";
+export {
+  WsPeerNetwork,
+  type WsPeerNetworkOptions,
+} from "./src/ws_peer_network.ts";
--- a/packages/peers/src/frames.ts
+++ b/packages/peers/src/frames.ts
@@ -10,7 +10,7 @@
   Notice = 4,
 }
 
-/** A request of the process that opened the link. */
+/** A request from the process that opened the link. */
 export interface RequestFrame {
   readonly kind: FrameKind.Request;
   readonly id: number;
@@ -32,7 +32,7 @@
   readonly value: unknown;
 }
 
-/** The typed failure of a request. */
+/** Typed failure of a request: tag and fields of the error. */
 export interface FailureFrame {
   readonly kind: FrameKind.Failure;
   readonly id: number;
@@ -44,9 +44,8 @@
 export type Frame = RequestFrame | ReplyFrame | FailureFrame | NoticeFrame;
 
 /**
- * Encodes and decodes the frames of one connection. The names of fields go
- * over the wire once for each connection and kind of frame; later frames of
- * the kind name them by a number.
+ * Encodes and decodes the frames of one connection. Field names are sent once per
+ * connection and kind of frame; later frames refer to them by a number.
  */
 export class FrameCodec {
   readonly #encoder = new MsgPack.Packr({ sequential: true });
@@ -58,7 +57,7 @@
     return Uint8Array.from(this.#encoder.pack(frame));
   }
 
-  /** Decodes a frame; anything else is an error. */
+  /** Decodes a frame; returns an error for any other bytes. */
   decode(
     bytes: Uint8Array,
     from: string,
--- a/packages/peers/src/peer_link.ts
+++ b/packages/peers/src/peer_link.ts
@@ -1,4 +1,4 @@
-/** The link that this process opens to one peer; kept open by one fiber. */
+/** Link from this process to one peer; a fiber keeps it open. */
 import * as Errors from "@cairngate/errors";
 import type * as Logger from "@cairngate/logger";
 import type * as Metrics from "@cairngate/metrics";
@@ -8,13 +8,13 @@
 import * as Ws from "ws";
 import * as frames from "./frames.ts";
 
-/** Failures that travel over a link. */
+/** Failures of a request over a link. */
 export type LinkError =
   | Errors.PeerUnreachableError
   | Errors.NotOwnerError
   | Errors.NotReadyError;
 
-/** What a link needs. */
+/** Dependencies and addresses of a link. */
 export interface PeerLinkOptions {
   readonly self: string;
   readonly peer: string;
@@ -25,35 +25,35 @@
   readonly metrics: Metrics.Metrics;
 }
 
-/** First and longest pause between two tries, in ms. */
+/** First and longest pause between two attempts, in ms. */
 const INITIAL_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 1000;
 const CONNECT_TIMEOUT_MS = 1000;
 const MAX_FRAME_BYTES = 16_000_000;
 /**
- * While a reply is due and nothing comes for this long, the peer is asked for a
- * sign of life, in ms: replies that take longer wait for the store.
+ * Idle time before a ping while a reply is pending, in ms. Replies take longer only
+ * while the peer waits for the store.
  */
 const REPLY_IDLE_MS = 300;
-/** The same while nothing but messages without a reply is sent, in ms. */
+/** Idle time before a ping while only notices were sent, in ms. */
 const NOTICE_IDLE_MS = 2000;
 /**
- * Time for the sign of life, in ms. Any live process gives it whatever its work
- * waits for; with the quiet time before and a new connection after it, a link
- * answers again within 3 s.
+ * Timeout of a ping, in ms. A live process answers pings whatever its requests wait
+ * for. Together with the idle time before and a new connection after it, a silent
+ * link works again within 3 s.
  */
 const PONG_TIMEOUT_MS = 700;
 
-/** Sends requests to one peer. */
+/** Sends requests and notices to one peer. */
 export class PeerLink {
   readonly #options: PeerLinkOptions;
   readonly #pending = new Map<number, Deferred.Deferred<unknown, LinkError>>();
   #socket: Ws.WebSocket | null = null;
   #codec = new frames.FrameCodec();
   #nextId = 1;
-  /** Counts what has come on the open connection, signs of life included. */
+  /** Number of received messages and pongs. */
   #received = 0;
-  /** Whether something was sent since anything came. */
+  /** Whether something was sent since the last message or pong arrived. */
   #isUnconfirmed = false;
   #isWatching = false;
 
@@ -61,7 +61,7 @@
     this.#options = options;
   }
 
-  /** Keeps the link open for ever, with backoff between attempts. */
+  /** Keeps the link open until interrupted, with backoff between attempts. */
   run(): Effect.Effect<never> {
     return Effect.gen({ self: this }, function* () {
       const { clock, random, log, peer } = this.#options;
@@ -85,7 +85,7 @@
     return this.#socket !== null;
   }
 
-  /** Sends a message that has no reply; lost where the link is closed. */
+  /** Sends a message without a reply; drops it while the link is closed. */
   notify(req: object): void {
     const socket = this.#socket;
     if (socket === null) return;
@@ -93,14 +93,14 @@
     this.#send(socket, { kind, from: this.#options.self, req });
   }
 
-  /** Sends a request and waits for its reply. */
+  /** Sends a request and waits for its reply, at most `timeoutMs`. */
   request(
     req: object,
     timeoutMs: number,
   ): Effect.Effect<unknown, LinkError> {
     return Effect.gen({ self: this }, function* () {
       const socket = this.#socket;
-      if (socket === null) return yield* this.#unreachable("no link");
+      if (socket === null) return yield* this.#unreachable("link not open");
       const id = this.#nextId++;
       const done = Deferred.makeUnsafe<unknown, LinkError>();
       this.#pending.set(id, done);
@@ -168,7 +168,7 @@
       frame.kind === frames.FrameKind.Failure;
     if (!isAnswer) return;
     const done = this.#pending.get(frame.id);
-    // A reply that comes after its time-out belongs to nobody.
+    // The request of a late reply has already failed with a timeout.
     if (done === undefined) {
       metrics.count("cairngate_peer_late_replies_total");
       return;
@@ -191,9 +191,9 @@
   }
 
   /**
-   * Watches the connection while something that was sent has had no effect yet.
-   * A connection can turn silent for good without being closed; a peer that is
-   * merely slow with its reply still gives a sign of life.
+   * Watches the connection while a reply is pending or a sent message is unconfirmed.
+   * A connection can go silent permanently without being closed; a peer that is only
+   * slow to reply still answers pings.
    */
   #watch(socket: Ws.WebSocket): Effect.Effect<void> {
     const { clock } = this.#options;
@@ -206,7 +206,7 @@
         if (this.#received !== received || this.#socket !== socket) continue;
         socket.ping();
         yield* clock.sleep(PONG_TIMEOUT_MS);
-        // What arrived while this process was held up is read first.
+        // Reads data that arrived while the event loop of this process was blocked.
         yield* nextEventLoopTurn;
         if (this.#received === received && this.#socket === socket) {
           this.#dropSilent(socket, idleMs + PONG_TIMEOUT_MS);
@@ -232,7 +232,7 @@
       lostCalls,
     );
     log.warn(
-      `Link to ${peer} is given up: silent for ${silentMs} ms, ` +
+      `Link to ${peer} is dropped after ${silentMs} ms of silence: ` +
         `${lostCalls} calls lost.`,
     );
     socket.terminate();
@@ -246,7 +246,7 @@
   }
 }
 
-/** Lets what has arrived on sockets be read. */
+/** Waits for the next event loop turn, so that pending socket data is read first. */
 const nextEventLoopTurn: Effect.Effect<void> = Effect.callback<void>(
   (resume) => {
     setImmediate(() => resume(Effect.void));
--- a/packages/peers/src/peer_server.ts
+++ b/packages/peers/src/peer_server.ts
@@ -1,4 +1,4 @@
-/** The server to which peers open their links. */
+/** Server that accepts links from peers. */
 import * as Errors from "@cairngate/errors";
 import type * as Logger from "@cairngate/logger";
 import type * as Metrics from "@cairngate/metrics";
@@ -8,13 +8,13 @@
 import * as Ws from "ws";
 import * as frames from "./frames.ts";
 
-/** Answers a request of a peer. A failure is sent back as it is. */
+/** Answers a request from a peer; failures are sent back with their tag and fields. */
 export type RequestHandler = (
   from: string,
   req: object,
 ) => Effect.Effect<unknown, Errors.NotOwnerError | Errors.NotReadyError>;
 
-/** What the server needs. */
+/** Dependencies of the server. */
 export interface PeerServerOptions {
   readonly log: Logger.Logger;
   readonly metrics: Metrics.Metrics;
@@ -22,31 +22,31 @@
 
 const MAX_FRAME_BYTES = 16_000_000;
 /**
- * Time between two looks at the links that peers opened, in ms. One on which
- * nothing came in this time is asked for a sign of life, and is closed where
- * none has come by the next look. One small frame each 10 s costs next to
- * nothing, and links that nobody uses are closed by their peer after 30 s.
+ * Interval between two checks of the accepted links, in ms. A link that received
+ * nothing in this time is pinged, and closed if nothing arrives before the next
+ * check. A ping every 10 s costs almost nothing, and peers close unused links after
+ * 30 s.
  */
 const CHECK_INTERVAL_MS = 10_000;
 /**
- * Replies that wait to be read by the peer, in bytes: beyond it the peer has
- * gone, or is too slow to be served. A page of rows is at most 1 MB.
+ * Limit of the replies that a peer has not read, in bytes. Beyond it the peer is gone
+ * or too slow to be served; a page of rows is at most 1 MB.
  */
 const MAX_UNREAD_BYTES = 8_000_000;
 
-/** Takes links and answers what comes over them. */
+/** Accepts links and answers the requests that arrive on them. */
 export class PeerServer {
   readonly #options: PeerServerOptions;
   readonly #checkIntervalMs: number;
   readonly #server = http.createServer();
   #sockets: Ws.WebSocketServer | null = null;
   #checkTimer: NodeJS.Timeout | null = null;
-  /** Links on which something came since the last look. */
+  /** Links that received something since the last check. */
   readonly #active = new WeakSet<Ws.WebSocket>();
-  /** Links that were asked for a sign of life. */
+  /** Links that were pinged and have not received anything since. */
   readonly #pinged = new WeakSet<Ws.WebSocket>();
 
-  /** @param options.lookMs time between two looks at the links, in ms */
+  /** @param options.checkIntervalMs interval between checks of the links, in ms */
   constructor(
     options: PeerServerOptions & { readonly checkIntervalMs?: number },
   ) {
@@ -54,7 +54,7 @@
     this.#checkIntervalMs = options.checkIntervalMs ?? CHECK_INTERVAL_MS;
   }
 
-  /** Opens the server. */
+  /** Listens on an address and answers requests with the handler. */
   listen(
     address: string,
     handler: RequestHandler,
@@ -67,7 +67,7 @@
         perMessageDeflate: false,
       });
       this.#sockets.on("connection", (socket) => this.#accept(socket, handler));
-      // What arrived while this process was held up is read before the look.
+      // Data that arrived while the event loop was blocked is read before the check.
       const check = () => setImmediate(() => this.#closeSilent());
       this.#checkTimer = setInterval(check, this.#checkIntervalMs);
     });
@@ -93,7 +93,7 @@
     });
   }
 
-  /** Closes links whose peer gives no sign of life; asks the quiet ones. */
+  /** Closes links that did not answer a ping; pings idle ones. */
   #closeSilent(): void {
     for (const socket of this.#sockets?.clients ?? []) {
       if (this.#active.delete(socket)) this.#pinged.delete(socket);
@@ -110,8 +110,8 @@
     const kind = "accepted";
     metrics.count("cairngate_connections_silent_total", { kind });
     log.warn(
-      `A link that a peer opened ${why} and is closed; ` +
-        `${socket.bufferedAmount} bytes were not read.`,
+      `A link opened by a peer ${why} and is closed; ` +
+        `${socket.bufferedAmount} bytes were left unread.`,
     );
     socket.terminate();
   }
--- a/packages/peers/src/silence_test.ts
+++ b/packages/peers/src/silence_test.ts
@@ -1,4 +1,8 @@
-/** Links that turn silent without being closed, over real sockets. */
+/**
+ * Guards against links that go silent without being closed, as when a network drops
+ * packets: requests would fail until the operating system closes the connection.
+ * Runs over real sockets.
+ */
 import * as Adapters from "@cairngate/adapters";
 import * as Logger from "@cairngate/logger";
 import * as Metrics from "@cairngate/metrics";
@@ -15,7 +19,7 @@
 const DONE: Ports.StoreReply = { outcome: Ports.StoreOutcome.Done, value: [] };
 const clock = new Adapters.SystemClock();
 
-/** What a test has opened, to be closed after it. */
+/** Cleanups of the current test, run in reverse order. */
 const cleanups: (() => unknown)[] = [];
 
 vitest.afterEach(async () => {
@@ -36,7 +40,7 @@
   return { peers, address };
 }
 
-/** A box that calls another one through a proxy. */
+/** Creates a box that calls another one through a proxy. */
 async function createPair(answer: () => Effect.Effect<Ports.StoreReply>) {
   const answering = await createPeers("box-2");
   await Effect.runPromise(answering.peers.listen(answer));
@@ -54,7 +58,7 @@
 
 const sleep = (ms: number) => Effect.runPromise(clock.sleep(ms));
 
-vitest.describe("a link that turns silent", () => {
+vitest.describe("a link that goes silent", () => {
   for (const direction of ["both", "to-server", "to-client"] as const) {
     vitest.it(`answers again within 3 s (silent: ${direction})`, async () => {
       const { proxy, call, metrics } = await createPair(() =>
@@ -74,7 +78,7 @@
     });
   }
 
-  vitest.it("is kept while the peer is merely slow", async () => {
+  vitest.it("is kept while the peer is only slow", async () => {
     const { proxy, call } = await createPair(() =>
       Effect.as(clock.sleep(1500), DONE)
     );
@@ -112,7 +116,7 @@
     return new Promise((resolve) => socket.once("open", () => resolve(socket)));
   }
 
-  vitest.it("is closed when the peer has gone in silence", async () => {
+  vitest.it("is closed when the peer is gone without closing it", async () => {
     const { address, silentCount } = await listen({});
     const proxy = new TestUtils.SilentProxy(address);
     cleanups.push(() => proxy.stop());
@@ -124,12 +128,12 @@
     vitest.expect(silentCount()).toBe(1);
   });
 
-  vitest.it("is closed when its replies pile up", async () => {
+  vitest.it("is closed when its replies are not read", async () => {
     const { address, silentCount } = await listen({
       text: "x".repeat(1_000_000),
     });
     const socket = await open(address);
-    // A client that asks and does not read.
+    // The client sends requests and reads no replies.
     socket.pause();
     const codec = new frames.FrameCodec();
     const closed = new Promise((resolve) => socket.once("close", resolve));
--- a/packages/peers/src/ws_peer_network.ts
+++ b/packages/peers/src/ws_peer_network.ts
@@ -1,4 +1,4 @@
-/** All links of a box: one opened to each peer, and those that peers open. */
+/** All links of a box: one to each peer, and those accepted from peers. */
 import * as Errors from "@cairngate/errors";
 import type * as Logger from "@cairngate/logger";
 import type * as Metrics from "@cairngate/metrics";
@@ -9,8 +9,8 @@
 import * as links from "./peer_link.ts";
 import * as servers from "./peer_server.ts";
 
-/** What the network needs. */
-export interface WsPeerOptions {
+/** Dependencies and addresses of the network. */
+export interface WsPeerNetworkOptions {
   readonly self: string;
   readonly address: string;
   readonly peers: readonly { name: string; address: string }[];
@@ -20,14 +20,14 @@
   readonly metrics: Metrics.Metrics;
 }
 
-/** Adapter of the peer network to ws. */
+/** Peer network over WebSocket. */
 export class WsPeerNetwork extends Ports.PeerNetwork {
-  readonly #options: WsPeerOptions;
+  readonly #options: WsPeerNetworkOptions;
   readonly #links = new Map<string, links.PeerLink>();
   readonly #fibers: Fiber.Fiber<never>[] = [];
   readonly #server: servers.PeerServer;
 
-  constructor(options: WsPeerOptions) {
+  constructor(options: WsPeerNetworkOptions) {
     super();
     this.#options = options;
     this.#server = new servers.PeerServer(options);
--- a/packages/peers/src/ws_peer_network_test.ts
+++ b/packages/peers/src/ws_peer_network_test.ts
@@ -39,7 +39,7 @@
   return { network, metrics };
 }
 
-/** Asks until the link is open. */
+/** Repeats a request until the link is open; returns its result. */
 async function ask(network: networks.WsPeerNetwork, box: string) {
   for (let i = 0; i < 100; i++) {
     const reply = await Effect.runPromise(
@@ -81,7 +81,7 @@
     expect(network.isOpen("nobody")).toBe(false);
   });
 
-  test("drop and count what is not a message", async () => {
+  test("drop and count malformed messages", async () => {
     const { metrics } = await createNetwork(0, () => Effect.succeed(null));
     const socket = new Ws.WebSocket(`ws://${PEERS[0].address}`);
     await new Promise((resolve) => socket.once("open", resolve));
--- a/packages/peers/src/ws_store_peers.ts
+++ b/packages/peers/src/ws_store_peers.ts
@@ -1,4 +1,4 @@
-/** Links for calls to the store: opened when needed, closed when idle. */
+/** Links for relayed calls to the store; opened on demand and closed when idle. */
 import type * as Errors from "@cairngate/errors";
 import type * as Logger from "@cairngate/logger";
 import type * as Metrics from "@cairngate/metrics";
@@ -8,10 +8,10 @@
 import * as links from "./peer_link.ts";
 import * as servers from "./peer_server.ts";
 
-/** What the links need. */
+/** Dependencies and addresses of the links. */
 export interface WsStorePeersOptions {
   readonly self: string;
-  /** Where peers open their links, as host:port. */
+  /** Address on which links from peers are accepted, as host:port. */
   readonly address: string;
   readonly clock: Ports.Clock;
   readonly random: Ports.RandomSource;
@@ -29,11 +29,11 @@
 const IDLE_TIMEOUT_MS = 30_000;
 const IDLE_CHECK_INTERVAL_MS = 5000;
 
-/** Adapter of the links between nodes to ws. */
+/** Links between boxes over WebSocket. */
 export class WsStorePeers extends Ports.StorePeers {
   readonly #options: WsStorePeersOptions;
   readonly #server: servers.PeerServer;
-  /** Links by address. */
+  /** Open links by the peer's address. */
   readonly #links = new Map<string, OpenLink>();
   #sweeper: Fiber.Fiber<never> | null = null;
 
@@ -74,7 +74,7 @@
       const leftMs = Math.max(1, endMs - clock.monotonicMs());
       return (yield* link.request(call, leftMs)) as Ports.StoreReply;
     }).pipe(
-      // A peer of another version may answer otherwise.
+      // A peer of another version may reply with these failures.
       Effect.catchTags({
         NotOwnerError: () => Effect.succeed(REFUSED),
         NotReadyError: () => Effect.succeed(REFUSED),
--- a/packages/peers/src/ws_store_peers_test.ts
+++ b/packages/peers/src/ws_store_peers_test.ts
@@ -1,4 +1,4 @@
-/** Links for calls to the store, over real sockets. */
+/** Relayed calls to the store over real sockets. */
 import * as Adapters from "@cairngate/adapters";
 import * as Logger from "@cairngate/logger";
 import * as Metrics from "@cairngate/metrics";
@@ -51,7 +51,7 @@
     vitest.expect(calls).toEqual([READ, READ]);
   });
 
-  vitest.it("give up in time where nobody listens", async () => {
+  vitest.it("time out where no peer listens", async () => {
     const caller = await createPeers("node-1");
     const member = {
       node: "node-2",
--- a/packages/store-relay/src/relay_server.ts
+++ b/packages/store-relay/src/relay_server.ts
@@ -1,21 +1,21 @@
-/** Carries out calls to the store for peers that the store turns away. */
+/** Carries out calls to the store for peers that the store does not answer. */
 import * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
 import * as replies from "./replies.ts";
 import type * as routes from "./store_route.ts";
 
-/** What the server needs. */
+/** Dependencies of the relay server. */
 export interface RelayServerOptions {
-  /** This node's own way to the store. */
+  /** Direct access of this box to the store. */
   readonly table: Ports.TableService;
   readonly feeds: ReadonlyMap<string, Ports.RowFeed<unknown>>;
   readonly route: routes.StoreRoute;
 }
 
-/** Calls of peers that are carried out at once. */
+/** Largest number of concurrent calls from peers. */
 const MAX_CALLS = 64;
 
-/** Answers the calls of peers. */
+/** Carries out the calls of peers while this box has a direct route. */
 export class RelayServer {
   readonly #options: RelayServerOptions;
   #running = 0;
@@ -24,11 +24,11 @@
     this.#options = options;
   }
 
-  /** Carries out one call; never passes it on to a third node. */
+  /** Carries out one call; never relays it to a third box. */
   answer(call: Ports.StoreCall): Effect.Effect<Ports.StoreReply> {
     return Effect.suspend(() => {
-      if (!this.#options.route.isDirect) return refuse("it is turned away too");
-      if (this.#running >= MAX_CALLS) return refuse("it has too many calls");
+      if (!this.#options.route.isDirect) return refuse("no direct store route");
+      if (this.#running >= MAX_CALLS) return refuse("too many calls");
       this.#running++;
       const done = Effect.sync(() => {
         this.#running--;
@@ -52,16 +52,16 @@
         return replies.toReply(table.transact(call.tx));
       case Ports.StoreCallKind.Snapshot: {
         const feed = feeds.get(call.feed);
-        if (feed === undefined) return refuse(`no feed ${call.feed}`);
+        if (feed === undefined) return refuse(`unknown feed ${call.feed}`);
         return replies.toReply(feed.page(call.partition, call.ask));
       }
       case Ports.StoreCallKind.Changes: {
         const feed = feeds.get(call.feed);
-        if (feed === undefined) return refuse(`no feed ${call.feed}`);
+        if (feed === undefined) return refuse(`unknown feed ${call.feed}`);
         return replies.toReply(feed.changes(call.position, call.waitMs));
       }
       default:
-        return refuse("it does not know this call");
+        return refuse("unknown kind of call");
     }
   }
 }
--- a/packages/store-relay/src/relayed_feed.ts
+++ b/packages/store-relay/src/relayed_feed.ts
@@ -1,22 +1,22 @@
-/** A feed over a route that may lead through a peer. */
+/** A feed whose calls may be relayed through a peer. */
 import type * as Errors from "@cairngate/errors";
 import * as Ports from "@cairngate/ports";
 import type * as Effect from "effect/Effect";
 import type * as routes from "./store_route.ts";
 
-/** A page of a snapshot takes no longer than this, in ms. */
+/** Timeout of a relayed page of a snapshot, in ms. */
 const SNAPSHOT_TIMEOUT_MS = 1500;
-/** Time for the answer beside the wait that was asked for. */
+/** Time for the answer beyond the requested wait, in ms. */
 const ANSWER_MARGIN_MS = 400;
 
-/** Passes looks on. */
+/** Reads a feed directly or through a peer, as the route decides. */
 export class RelayedFeed<T> extends Ports.RowFeed<T> {
   override readonly partitions: readonly string[];
   readonly #name: string;
   readonly #direct: Ports.RowFeed<T>;
   readonly #route: routes.StoreRoute;
 
-  /** @param name under which peers know the feed */
+  /** @param name name of the feed in calls to peers */
   constructor(
     name: string,
     direct: Ports.RowFeed<T>,
--- a/packages/store-relay/src/relayed_table.ts
+++ b/packages/store-relay/src/relayed_table.ts
@@ -1,14 +1,14 @@
-/** The table service over a route that may lead through a peer. */
+/** A table service whose calls may be relayed through a peer. */
 import * as Ports from "@cairngate/ports";
 import type * as Effect from "effect/Effect";
 import type * as routes from "./store_route.ts";
 
-/** A call through a peer takes no longer than this, in ms. */
+/** Timeout of a relayed call, in ms. */
 const CALL_TIMEOUT_MS = 1000;
-/** The same for a page of many rows. */
+/** Timeout of a relayed page of rows, in ms. */
 const PAGE_TIMEOUT_MS = 1500;
 
-/** Passes calls on. */
+/** Calls the table service directly or through a peer, as the route decides. */
 export class RelayedTable extends Ports.TableService {
   readonly #direct: Ports.TableService;
   readonly #route: routes.StoreRoute;
--- a/packages/store-relay/src/replies.ts
+++ b/packages/store-relay/src/replies.ts
@@ -1,4 +1,4 @@
-/** Results of calls to the store as replies to a peer, and back. */
+/** Converts results of calls to the store to replies for a peer, and back. */
 import * as Errors from "@cairngate/errors";
 import * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
@@ -10,7 +10,7 @@
   | Errors.WriteRefusedError
   | Errors.HistoryLostError;
 
-/** Turns the result of a call into a reply. */
+/** Converts the result of a call into a reply. */
 export function toReply<A>(
   call: Effect.Effect<A, CallError>,
 ): Effect.Effect<Ports.StoreReply> {
@@ -46,7 +46,7 @@
   }
 }
 
-/** Turns a reply into the result that the call has here. */
+/** Converts a reply into the result of the relayed call. */
 export function fromReply<A>(
   operation: string,
   { outcome, value }: Ports.StoreReply,
@@ -72,7 +72,7 @@
       return Effect.fail(new Errors.ConditionFailedError(fields));
     }
     default: {
-      const cause = `a peer says: ${String(value)}`;
+      const cause = `the peer answered: ${String(value)}`;
       return Effect.fail(
         new Errors.StoreUnavailableError({ operation, cause }),
       );
--- a/packages/store-relay/src/store_route.ts
+++ b/packages/store-relay/src/store_route.ts
@@ -1,8 +1,8 @@
 /**
- * Decides whether this node's calls go to the store directly or through a peer.
- * A node alone cannot tell a store that is down from one that turns it away, so
- * the node and two peers probe the store at the same time: calls go through a
- * peer only while the store answers that peer and not this node.
+ * Decides whether calls of this box go to the store directly or through a peer.
+ * A box alone cannot tell a store that is down from one that does not answer this
+ * box, so the box and two peers probe the store at the same time: calls go through
+ * a peer only while the store answers that peer and not this box.
  */
 import * as Errors from "@cairngate/errors";
 import type * as Logger from "@cairngate/logger";
@@ -12,12 +12,12 @@
 import * as Effect from "effect/Effect";
 import * as replies from "./replies.ts";
 
-/** What the route needs. */
+/** Dependencies of the route. */
 export interface StoreRouteOptions {
-  /** The direct way to the store. */
+  /** Direct access to the store. */
   readonly table: Ports.TableService;
   readonly peers: Ports.StorePeers;
-  /** Other nodes, as known now. */
+  /** Returns the other boxes that are members now. */
   readonly members: () => readonly Ports.StorePeer[];
   readonly clock: Ports.Clock;
   readonly random: Ports.RandomSource;
@@ -25,33 +25,38 @@
   readonly metrics: Metrics.Metrics;
 }
 
-/** A call, both ways. */
+/** A call in its direct and its relayed form. */
 export interface RoutedCall<A, E> {
   readonly direct: Effect.Effect<A, E>;
   readonly relayed: Ports.StoreCall;
-  /** Time after which the peer's reply is given up. */
+  /** Timeout of the relayed call, in ms. */
   readonly relayTimeoutMs: number;
-  /** Time for which a call that is well may go without an answer. */
+  /** Time that a direct call may take by its nature, as a long poll does, in ms. */
   readonly expectedWaitMs: number;
-  /** What a direct call that hangs becomes when the route changes. */
+  /** Whether a pending direct call is repeated or fails when the route changes. */
   readonly onRouteChange: "again" | "lost";
 }
 
-/** A direct call without an answer for this long raises suspicion. */
+/** Time without an answer after which the routes are compared, in ms. */
 const UNANSWERED_CALL_MS = 250;
-/** Longest wait for a probe; beyond it the store is as good as away. */
+/** Timeout of a probe, in ms; the store then counts as unavailable. */
 const PROBE_TIMEOUT_MS = 700;
-/** A store that answers a peer this many times faster turns this node away. */
+/**
+ * After a peer's answer, the direct probe may take this multiple of the peer's time
+ * before calls are relayed.
+ */
 const PROBE_GRACE_FACTOR = 5;
 const MIN_PROBE_GRACE_MS = 100;
+/** Shortest time between two comparisons, in ms. */
 const CHECK_PAUSE_MS = 250;
-/** Time between probes of the direct way while calls go through a peer. */
+/** Interval between direct probes while calls go through a peer, in ms. */
 const PROBE_INTERVAL_MS = 300;
+/** Number of peers that probe the store in a comparison. */
 const PROBING_PEERS = 2;
-/** A row that nobody writes. */
+/** Key of a row that is never written. */
 const PROBE_KEY = "election/probe";
 
-/** The way to the store. */
+/** Route of this box to the store. */
 export class StoreRoute {
   readonly #options: StoreRouteOptions;
   #peer: Ports.StorePeer | null = null;
@@ -68,18 +73,18 @@
     return this.#peer === null;
   }
 
-  /** The peer through which calls go; null for none. */
+  /** Box through which calls are relayed; null while they go directly. */
   get through(): string | null {
     return this.#peer?.node ?? null;
   }
 
-  /** Asks the store directly for next to nothing. */
+  /** Probes the store directly with a minimal read. */
   probe(): Effect.Effect<void, Ports.StoreError> {
     const { table, clock } = this.#options;
     const read = clock.within(PROBE_TIMEOUT_MS, table.probe(PROBE_KEY));
     return Effect.flatMap(read, (timed) => {
       if (timed !== null) return Effect.void;
-      const cause = "no answer to a probe";
+      const cause = "the probe timed out";
       const operation = "probe";
       return Effect.fail(
         new Errors.StoreUnavailableError({ operation, cause }),
@@ -87,7 +92,7 @@
     });
   }
 
-  /** Makes a call on the way that is open. */
+  /** Makes a call on the current route. */
   call<A, E extends { readonly _tag: string }>(
     call: RoutedCall<A, E>,
   ): Effect.Effect<A, E | replies.CallError> {
@@ -132,7 +137,7 @@
     return peers.call(peer, relayed, relayTimeoutMs).pipe(
       Effect.catch((err): Effect.Effect<never, replies.CallError> => {
         this.#abandon(peer, err.cause);
-        // A call that was on its way may have been carried out.
+        // The peer may have carried out a call that it did not reply to.
         return Effect.fail(
           operation === Ports.StoreCallKind.Transact
             ? new Errors.AnswerLostError({ operation })
@@ -148,7 +153,7 @@
     );
   }
 
-  /** The store does not answer: find out whom it turns away. */
+  /** Starts a comparison of the routes, unless one is running or recent. */
   #check(): void {
     const nowMs = this.#options.clock.monotonicMs();
     if (this.#isChecking || nowMs < this.#checkedAtMs + CHECK_PAUSE_MS) return;
@@ -187,7 +192,7 @@
     });
   }
 
-  /** The first of a few peers whom the store answers; null for none. */
+  /** The first of a few random peers that reaches the store; null for none. */
   #probePeers(): Effect.Effect<Ports.StorePeer | null> {
     const { peers, random, members } = this.#options;
     const others = [...members()];
@@ -218,7 +223,9 @@
     if (this.#peer?.address === peer.address) return;
     const wasDirect = this.#peer === null;
     this.#peer = peer;
-    log.warn(`The store turns this node away; calls go through ${peer.node}.`);
+    log.warn(
+      `The store does not answer this box; calls go through ${peer.node}.`,
+    );
     if (!wasDirect) return;
     Deferred.doneUnsafe(this.#routeChanged, Effect.void);
     this.#routeChanged = Deferred.makeUnsafe<void>();
@@ -235,13 +242,17 @@
   #restoreDirect(): void {
     if (this.#peer === null) return;
     this.#peer = null;
-    this.#options.log.info("The store answers this node again.");
+    this.#options.log.info(
+      "The store answers this box again; calls go to it directly.",
+    );
   }
 
-  /** A peer that cannot be reached is no way any more. */
+  /** Stops using a peer that cannot be reached and compares the routes again. */
   #abandon(peer: Ports.StorePeer, cause: string): void {
     if (this.#peer?.address !== peer.address) return;
-    this.#options.log.warn(`No calls through ${peer.node} any more: ${cause}.`);
+    this.#options.log.warn(
+      `Calls no longer go through ${peer.node}: ${cause}.`,
+    );
     this.#peer = null;
     this.#checkedAtMs = Number.NEGATIVE_INFINITY;
     this.#check();
--- a/packages/table-client/mod.ts
+++ b/packages/table-client/mod.ts
@@ -1,4 +1,4 @@
-/** Resilient client of the table service: retries, lost answers, grouping. */
+/** Client of the table service: retries, lost answers and grouped writes. */
 export { StoreClient, type StoreClientOptions } from "./src/store_client.ts";
 export { type GroupedWrite, GroupedWriter } from "./src/grouped_writer.ts";
 export { PagedRead } from "./src/paged_read.ts";
--- a/packages/table-client/src/catch_up_test.ts
+++ b/packages/table-client/src/catch_up_test.ts
@@ -1,4 +1,8 @@
-/** Much has changed while a follower could not look, and its link is slow. */
+/**
+ * A follower has to catch up after an outage over a slow link. Answers with many
+ * changes take longer than the usual timeout, so repeating the poll with the same
+ * timeout would never succeed.
+ */
 import * as Ports from "@cairngate/ports";
 import * as TestUtils from "@cairngate/test-utils";
 import * as Effect from "effect/Effect";
@@ -6,16 +10,16 @@
 import * as vitest from "vitest";
 import * as followers from "./row_follower.ts";
 
-/** Size of one row, in KB: a usual workflow with its steps. */
+/** Size of one row, in KB: a typical workflow with its steps. */
 const ROW_KB = 5;
-/** Rows that change while the follower hears nothing. */
+/** Rows that change while the follower gets no answers. */
 const BACKLOG_ROWS = 400;
-/** What the stores that we know give at once. */
+/** Largest answer of a store, in KB. */
 const MAX_ANSWER_KB = 1000;
-/** Time that a kilobyte takes, in ms: 10 Mbit/s, half of that, and 4 Mbit/s. */
+/** Transfer time of a kilobyte, in ms: 10 Mbit/s, half of that, and 4 Mbit/s. */
 const LINKS_MS_PER_KB: readonly number[] = [0.8, 1.6, 2];
 
-/** Answers with all that has changed, up to a limit, over a slow link. */
+/** Returns all changes up to a size limit over a slow link. */
 class SlowFeed extends Ports.RowFeed<string> {
   override readonly partitions = ["a"];
   readonly #clock: Ports.Clock;
@@ -49,9 +53,9 @@
   }
 }
 
-vitest.describe("a follower that is far behind", () => {
+vitest.describe("a follower with a large backlog", () => {
   for (const msPerKb of LINKS_MS_PER_KB) {
-    vitest.it(`catches up at ${msPerKb} ms a KB`, async () => {
+    vitest.it(`catches up at ${msPerKb} ms per KB`, async () => {
       const clock = new TestUtils.FakeClock();
       const feed = new SlowFeed(clock, msPerKb);
       let reportedCount = 0;
--- a/packages/table-client/src/circuit_breaker.ts
+++ b/packages/table-client/src/circuit_breaker.ts
@@ -1,10 +1,10 @@
-/** Stops asking a service that has failed several times in a row. */
+/** Circuit breaker for a service that fails several times in a row. */
 import type * as Ports from "@cairngate/ports";
 
 const FAILURES_TO_OPEN = 5;
 const OPEN_MS = 500;
 
-/** Counts failures; open means: fail at once, do not ask. */
+/** Counts failures in a row; while it is open, calls fail without being sent. */
 export class CircuitBreaker {
   readonly #clock: Ports.Clock;
   #failures = 0;
@@ -19,17 +19,17 @@
     return this.#clock.monotonicMs() < this.#openUntilMs;
   }
 
-  /** The service has answered. */
+  /** Resets the count after an answer. */
   recordSuccess(): void {
     this.#failures = 0;
   }
 
-  /** Another call was answered: the next call here is a trial. */
+  /** Closes the breaker for a trial call, after an answer to another call. */
   allowTrial(): void {
     this.#openUntilMs = 0;
   }
 
-  /** The service has not answered; one trial follows each open time. */
+  /** Counts a call without an answer; after each open period a trial is allowed. */
   recordFailure(): void {
     this.#failures++;
     if (this.#failures < FAILURES_TO_OPEN) return;
--- a/packages/table-client/src/grouped_writer.ts
+++ b/packages/table-client/src/grouped_writer.ts
@@ -1,7 +1,7 @@
 /**
  * Groups independent writes into one transaction, because the table service
- * takes a limited number of writes a second. A group whose conditions fail
- * is written again one by one, so that one bad write does not fail others.
+ * accepts a limited number of writes per second. A group whose conditions fail
+ * is written again one by one, so that one write does not fail the others.
  */
 import type * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
@@ -23,7 +23,7 @@
 const MAX_GROUP_WRITES = 100;
 const DEADLINE_MS = 3000;
 
-/** Collects writes while an earlier group is on its way. */
+/** Collects writes while the previous group is being written. */
 export class GroupedWriter {
   readonly #client: clients.StoreClient;
   readonly #clock: Ports.Clock;
@@ -31,7 +31,7 @@
   #pending: Pending[] = [];
   #isRunning = false;
 
-  /** @param options.windowMs how long a first write waits for company */
+  /** @param options.windowMs how long the first write waits for others, in ms */
   constructor(
     options: {
       client: clients.StoreClient;
@@ -44,7 +44,7 @@
     this.#windowMs = options.windowMs;
   }
 
-  /** Writes together with others; returns the revision. */
+  /** Writes together with other pending writes; returns the revision. */
   write(write: GroupedWrite): Effect.Effect<number, Failure> {
     return Effect.gen({ self: this }, function* () {
       const done = Deferred.makeUnsafe<number, Failure>();
@@ -64,13 +64,16 @@
         const group = this.#takeGroup();
         yield* this.#writeGroup(group);
       }
-      // No step lies between the last look and this line, so that a write
-      // that comes later starts a new run.
+      // Nothing yields between the check of the loop and this line, so a write
+      // that arrives later starts a new loop.
       this.#isRunning = false;
     });
   }
 
-  /** Writes of different rows, oldest first; the rest stays for later. */
+  /**
+   * Takes the oldest writes that share no row with an earlier one; the rest stays
+   * pending.
+   */
   #takeGroup(): Pending[] {
     const keys = new Set<string>();
     const group: Pending[] = [];
--- a/packages/table-client/src/keys.ts
+++ b/packages/table-client/src/keys.ts
@@ -1,22 +1,22 @@
-/** Keys of the rows that cairngate keeps in the table service. */
+/** Keys of the rows in the table service. */
 import * as crypto from "node:crypto";
 
-/** Owner row of a cell: epoch and holder; changes on takeover only. */
+/** Key of a cell's owner row (epoch and holder), which changes on takeover only. */
 export function ownerKey(cell: string): string {
   return `owners/${cell}`;
 }
 
-/** Lease row of a cell; renewed by its owner. */
+/** Key of a cell's lease row, which its owner renews. */
 export function leaseKey(cell: string): string {
   return `leases/${cell}`;
 }
 
-/** Version of a deployment's configuration in force. */
+/** Key of the row with the configuration version in force. */
 export function configKey(deployment: string): string {
   return `config/${deployment}/current`;
 }
 
-/** One version of a deployment's configuration. */
+/** Key of one version of a deployment's configuration. */
 export function configVersionKey(
   deployment: string,
   version: number,
@@ -26,37 +26,37 @@
   }`;
 }
 
-/** Start of the keys of all versions of a deployment's configuration. */
+/** Key prefix of all versions of a deployment's configuration. */
 export function configHistoryPrefix(deployment: string): string {
   return `config/${deployment}/versions/`;
 }
 
-/** Start of the keys of a cell's stored jobs that have not ended. */
+/** Key prefix of a cell's stored jobs that have not ended. */
 export function jobPrefix(cell: string): string {
   return `jobs/${cell}/`;
 }
 
-/** Start of the keys of a cell's ended jobs. */
+/** Key prefix of a cell's ended jobs. */
 export function endedPrefix(cell: string): string {
   return `ended/${cell}/`;
 }
 
-/** Record of a stored job that has ended. */
+/** Key of a stored job that has ended. */
 export function endedKey(cell: string, jobId: string): string {
   return `${endedPrefix(cell)}${jobId}`;
 }
 
-/** Record of a stored job that has not ended. */
+/** Key of a stored job that has not ended. */
 export function jobKey(cell: string, jobId: string): string {
   return `${jobPrefix(cell)}${jobId}`;
 }
 
-/** Start of the keys of a cell's intents. */
+/** Key prefix of a cell's intents. */
 export function intentPrefix(cell: string): string {
   return `intents/${cell}/`;
 }
 
-/** Intent and outcome of an unrepeatable short job. */
+/** Key of the intent and the outcome of an unrepeatable short job. */
 export function intentKey(cell: string, jobId: string): string {
   return `${intentPrefix(cell)}${jobId}`;
 }
@@ -67,9 +67,9 @@
 }
 
 /**
- * All rows of a workflow lie in one of several partitions, so that an outage of
- * some of them leaves the workflows of the others untouched. A partition is
- * named behind the table, as in `intake:3/...`; a transaction stays within one.
+ * Partitions of the store. All rows of a workflow lie in one, so that an outage of
+ * some partitions does not affect the workflows of the others. The partition follows
+ * the name of the table, as in `intake:3/...`; a transaction never spans several.
  */
 export const PARTITIONS: readonly string[] = [
   "0",
@@ -85,60 +85,60 @@
 /** Table of accepted workflows and cancels. */
 export const INTAKE_TABLE = "intake";
 
-/** Partition in which a workflow is looked for first. */
+/** Partition in which a workflow is searched for first. */
 export function homePartition(id: string): string {
   const [first] = crypto.createHash("sha1").update(id).digest();
   return PARTITIONS[first % PARTITIONS.length];
 }
 
-/** Partition that a key or prefix names; empty where it names none. */
+/** Partition of a key or prefix; empty where it has none. */
 export function partitionIn(key: string): string {
   const [table] = key.split("/", 1);
   const colon = table.indexOf(":");
   return colon < 0 ? "" : table.slice(colon + 1);
 }
 
-/** Start of the keys of what callers wrote about one workflow. */
+/** Key prefix of the rows that callers write about one workflow. */
 export function intakePrefix(partition: string, id: string): string {
   return `${INTAKE_TABLE}:${partition}/${id}/`;
 }
 
-/** Row of an accepted workflow; never changes. */
+/** Key of an accepted workflow, whose row never changes. */
 export function workflowKey(partition: string, id: string): string {
   return `${intakePrefix(partition, id)}spec`;
 }
 
-/** Row that says: a caller has cancelled this workflow. */
+/** Key of the row by which a caller cancels a workflow. */
 export function cancelKey(partition: string, id: string): string {
   return `${intakePrefix(partition, id)}cancel`;
 }
 
-/** Start of the keys of the progress of a partition's workflows. */
+/** Key prefix of the progress of a partition's workflows. */
 export function progressPrefix(partition: string): string {
   return `progress:${partition}/`;
 }
 
-/** Progress of one workflow; written by the coordinator. */
+/** Key of the progress of one workflow, written by the coordinator. */
 export function progressKey(partition: string, id: string): string {
   return `${progressPrefix(partition)}${id}`;
 }
 
-/** Token of the only coordinator that may write progress in a partition. */
+/** Key of the fencing token required to write progress in a partition. */
 export function fenceKey(partition: string): string {
   return `fence:${partition}/token`;
 }
 
-/** Start of the keys of a partition's workflows that have not begun. */
+/** Key prefix of a partition's workflows that have not started. */
 export function waitingPrefix(partition: string): string {
   return `waiting:${partition}/`;
 }
 
-/** Queue that the key of a waiting workflow names. */
+/** Queue in the key of a waiting workflow. */
 export function queueOfWaitingKey(key: string): string {
   return key.slice(key.indexOf("/") + 1, key.lastIndexOf("/"));
 }
 
-/** Marks a workflow that has not begun. */
+/** Key of the row that marks a workflow as not started. */
 export function waitingKey(
   partition: string,
   queue: string,
@@ -147,25 +147,25 @@
   return `${waitingPrefix(partition)}${queue}/${id}`;
 }
 
-/** Rows by which the nodes find each other. */
+/** Key prefix of the rows by which boxes discover each other. */
 export const MEMBER_PREFIX = "members/";
 
-/** Row of one node. */
+/** Key of the member row of one box. */
 export function memberKey(box: string): string {
   return `${MEMBER_PREFIX}${box}`;
 }
 
-/** Rows by which the nodes elect a coordinator. */
+/** Key prefix of the rows by which boxes elect a coordinator. */
 export const ELECTION_PREFIX = "election/";
 
-/** Who coordinates, under which fencing token; changes on takeover only. */
+/** Key of the current coordinator and its fencing token; changes on takeover only. */
 export const COORDINATOR_KEY = `${ELECTION_PREFIX}coordinator`;
 
-/** Renewed by the coordinator. */
+/** Key of the lease that the coordinator renews. */
 export const COORDINATOR_LEASE_KEY = `${ELECTION_PREFIX}lease`;
 
 /**
- * What each team has lately had; written by the coordinator. It lies in the partition
- * of the election's rows, so that a write can name the term as its condition.
+ * Key of the recent use of each team, written by the coordinator. It lies in the
+ * partition of the election rows, so that a write can be conditional on the term.
  */
 export const TEAM_SHARES_KEY = "shares/teams";
--- a/packages/table-client/src/paged_read.ts
+++ b/packages/table-client/src/paged_read.ts
@@ -1,44 +1,44 @@
 /**
- * Reads many rows page by page. What has come is kept: however slow the link or
- * the store is, each page brings the read nearer to its end. A page that does
- * not come in time is asked for again with fewer rows.
+ * Reads many rows page by page. Pages that have arrived are kept, so that the read
+ * makes progress however slow the link or the store is. A page that times out is
+ * requested again with fewer rows.
  */
 import * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
 
-/** A page as the reader needs it. */
+/** One page of rows. */
 export interface Page {
   readonly items: readonly unknown[];
-  /** Where the next page begins; null after the last one. */
+  /** Start of the next page; null after the last one. */
   readonly next: string | null;
 }
 
-/** How pages are read. */
+/** Clock and source of the pages. */
 export interface PagedReadOptions<P extends Page, E> {
   readonly clock: Ports.Clock;
   readonly read: (request: Ports.PageAsk) => Effect.Effect<P, E>;
 }
 
-/** Rows of a first page: 150 KB of workflows, 0.12 s at 10 Mbit/s. */
+/** Rows of the first page: 150 KB of workflows, which take 0.12 s at 10 Mbit/s. */
 const FIRST_PAGE_ROWS = 50;
-/** A row may be as large as the store allows: one has to come in any case. */
+/** A single row may be as large as the store allows, so a page may shrink to one. */
 const MIN_PAGE_ROWS = 1;
-/** The stores that we know give no more rows at once. */
+/** Stores return no more rows at once. */
 const MAX_PAGE_ROWS = 500;
-/** A page that was late is cut to this share. */
+/** Factor by which the page shrinks after a timeout. */
 const SHRINK_FACTOR = 4;
-/** After a page that was quick the next one is larger by this factor. */
+/** Factor by which the page grows after a fast one. */
 const GROWTH_FACTOR = 2;
-/** A page is quick below this share of its limit. */
+/** A page is fast below this share of its timeout. */
 const FAST_PAGE_SHARE = 0.25;
 /**
- * A page is late after this time, in ms: a store that answers 75 times more
- * slowly than usual (0.3 s) and a link that eight reads share leave room.
+ * Timeout of a page, in ms. Leaves room for a store that answers 75 times more
+ * slowly than usual (0.3 s) and for a link shared by eight reads.
  */
 export const PAGE_TIMEOUT_MS = 1500;
 
-/** One read of many rows, under way. */
+/** One read of many rows and the pages that it has received. */
 export class PagedRead<P extends Page, E> {
   readonly #options: PagedReadOptions<P, E>;
   readonly #items: P["items"][number][] = [];
@@ -50,17 +50,20 @@
     this.#options = options;
   }
 
-  /** What has come so far. */
+  /** Rows received so far. */
   get items(): P["items"] {
     return this.#items;
   }
 
-  /** The first page; null before it has come. */
+  /** The first page; null before it has arrived. */
   get first(): P | null {
     return this.#first;
   }
 
-  /** Reads one more page; true once the last one has come. */
+  /**
+   * Reads one more page; returns whether it was the last. Fails where the page
+   * times out; the next call requests it again with fewer rows.
+   */
   step(): Effect.Effect<boolean, E | Errors.StoreUnavailableError> {
     const { clock, read } = this.#options;
     return Effect.gen({ self: this }, function* () {
@@ -72,7 +75,7 @@
           MIN_PAGE_ROWS,
           Math.floor(this.#maxRows / SHRINK_FACTOR),
         );
-        const cause = `no page in time; the next has ${this.#maxRows} rows`;
+        const cause = `page timed out; the next has ${this.#maxRows} rows`;
         const operation = "scan";
         return yield* new Errors.StoreUnavailableError({ operation, cause });
       }
@@ -85,7 +88,7 @@
     });
   }
 
-  /** Where pages are quick, fewer and larger ones do. */
+  /** Requests larger pages, and so fewer of them, while they are fast. */
   #growIfFast(tookMs: number): void {
     if (tookMs > PAGE_TIMEOUT_MS * FAST_PAGE_SHARE) return;
     this.#maxRows = Math.min(MAX_PAGE_ROWS, this.#maxRows * GROWTH_FACTOR);
--- a/packages/table-client/src/paged_read_test.ts
+++ b/packages/table-client/src/paged_read_test.ts
@@ -1,11 +1,11 @@
-/** Many rows are read page by page, and what has come is kept. */
+/** Paged reads adapt the size of pages and keep the pages that have arrived. */
 import type * as Ports from "@cairngate/ports";
 import * as TestUtils from "@cairngate/test-utils";
 import * as Effect from "effect/Effect";
 import * as vitest from "vitest";
 import * as pagedReads from "./paged_read.ts";
 
-/** Reads numbers below `count`; a number takes `rowMs` on its way. */
+/** Reads the numbers below `count`, each of which takes `rowMs` to arrive. */
 function readNumbers(count: number, rowMs: number) {
   const clock = new TestUtils.FakeClock();
   const requests: Ports.PageAsk[] = [];
@@ -41,7 +41,7 @@
 }
 
 vitest.describe("PagedRead", () => {
-  vitest.it("reads larger pages while they are quick", async () => {
+  vitest.it("reads larger pages while they are fast", async () => {
     const numbers = readNumbers(1000, 0);
     vitest.expect(await readAll(numbers, 6)).toBe(5);
     const all = Array.from({ length: 1000 }, (_, i) => i);
@@ -50,7 +50,7 @@
       .toEqual([50, 100, 200, 400, 500]);
   });
 
-  vitest.it("asks for fewer rows after a page that was late", async () => {
+  vitest.it("requests fewer rows after a page timed out", async () => {
     const numbers = readNumbers(40, 100);
     const first = await numbers.step();
     vitest.expect(first._tag).toBe("Failure");
@@ -60,7 +60,7 @@
     vitest.expect(numbers.read.items.length).toBe(40);
   });
 
-  vitest.it("keeps what has come when a page fails", async () => {
+  vitest.it("keeps earlier pages when a page fails", async () => {
     const numbers = readNumbers(120, 12);
     const readCount = () => numbers.read.items.length;
     await numbers.step();
--- a/packages/table-client/src/partition_read.ts
+++ b/packages/table-client/src/partition_read.ts
@@ -1,11 +1,11 @@
-/** The read of one partition, page by page, beside other work of its reader. */
+/** Reads one partition page by page, concurrently with other work of the caller. */
 import type * as Ports from "@cairngate/ports";
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
 import * as pagedReads from "./paged_read.ts";
 
-/** What the read of a partition needs. */
+/** Dependencies of the read and the partition to read. */
 export interface PartitionReadOptions<T> {
   readonly feed: Ports.RowFeed<T>;
   readonly clock: Ports.Clock;
@@ -13,17 +13,17 @@
   readonly partition: string;
 }
 
-/** Usual pause after a page that failed, in ms; a store may be away. */
+/** Pause after a failed page before jitter, in ms; the store may be unavailable. */
 const RETRY_DELAY_MS = 100;
 
-/** One read. Its pages stay while their successors fail. */
+/** One read. Pages that have arrived are kept when a later one fails. */
 export class PartitionRead<T> {
   readonly #options: PartitionReadOptions<T>;
   readonly #pages: pagedReads.PagedRead<
     Ports.SnapshotPage<T>,
     Ports.StoreError
   >;
-  /** Keys that changed since the read began: its rows may be older. */
+  /** Keys that changed since the read began; the rows of its pages may be older. */
   readonly #changed = new Set<string>();
   #fiber: Fiber.Fiber<void> | null = null;
   #isReading = false;
@@ -31,7 +31,7 @@
   #isFirstPositionTaken = false;
   #newestPosition = 0;
   #result: readonly Ports.FeedEntry<T>[] | null = null;
-  /** Done when all pages have come, or a page has failed. */
+  /** Completed when all pages have arrived or a page has failed. */
   #settled = Deferred.makeUnsafe<void>();
 
   constructor(options: PartitionReadOptions<T>) {
@@ -50,24 +50,25 @@
     });
   }
 
-  /** The partition that is read. */
+  /** The partition being read. */
   get partition(): string {
     return this.#options.partition;
   }
 
-  /** All rows that have not changed meanwhile; null before the end. */
+  /** Rows that have not changed during the read; null until it is complete. */
   get result(): readonly Ports.FeedEntry<T>[] | null {
     return this.#result?.filter(({ key }) => !this.#changed.has(key)) ?? null;
   }
 
-  /** Newest position that a page told. */
+  /** Newest position of all pages. */
   get newestPosition(): number {
     return this.#newestPosition;
   }
 
   /**
-   * Position of the first page, once: changes have to be followed from there on
-   * while the other pages come. Null before it has come, and ever after.
+   * Returns the position of the first page once; null before it has arrived and on
+   * every later call. Changes have to be followed from this position while the
+   * other pages are read.
    */
   takeFirstPosition(): number | null {
     const position = this.#pages.first?.position ?? null;
@@ -76,22 +77,22 @@
     return position;
   }
 
-  /** A row has changed, as the feed tells. */
+  /** Excludes a row from the result after the feed has reported a change of it. */
   markChanged(key: string): void {
     this.#changed.add(key);
   }
 
-  /** Whether the last page failed and is not asked for again yet. */
+  /** Whether the last page failed and has not been requested again yet. */
   get isFailing(): boolean {
     return this.#isFailing;
   }
 
-  /** Ends when all pages have come, or a page has failed. */
+  /** Completes when all pages have arrived or a page has failed. */
   awaitSettled(): Effect.Effect<void> {
     return Effect.suspend(() => Deferred.await(this.#settled));
   }
 
-  /** Reads on in a fiber of its own, unless one does so already. */
+  /** Continues the read in a child fiber unless one is running. */
   resume(): Effect.Effect<void> {
     return Effect.suspend(() => {
       if (this.#isReading || this.#result !== null) return Effect.void;
@@ -108,7 +109,7 @@
     });
   }
 
-  /** Gives the read up: its pages are of no use any more. */
+  /** Stops the read. */
   cancel(): Effect.Effect<void> {
     const fiber = this.#fiber;
     return fiber === null ? Effect.void : Fiber.interrupt(fiber);
@@ -124,7 +125,7 @@
       Effect.catch(() => {
         this.#isFailing = true;
         Deferred.doneUnsafe(this.#settled, Effect.void);
-        // The next try of this partition waits; the follower does not.
+        // Delays the next attempt for this partition only; the follower continues.
         return clock.sleep(random.jitter(RETRY_DELAY_MS));
       }),
     );
--- a/packages/table-client/src/resolved_writes.ts
+++ b/packages/table-client/src/resolved_writes.ts
@@ -1,7 +1,7 @@
 /**
- * Writes whose outcome is learned. A transaction whose answer is lost is resolved by
- * reading its rows back: each row names the transaction that wrote it. A retry is
- * the same transaction, and its conditions keep it from taking effect twice.
+ * Writes that resolve lost answers. A transaction whose answer is lost is resolved by
+ * reading its rows back: each row names the transaction that wrote it. A retry sends
+ * the same transaction; its conditions keep it from taking effect twice.
  */
 import * as Errors from "@cairngate/errors";
 import type * as Metrics from "@cairngate/metrics";
@@ -13,7 +13,7 @@
 import type * as timedCalls from "./timed_calls.ts";
 import type * as budgets from "./write_budget.ts";
 
-/** What the writes work with. */
+/** Dependencies of `ResolvedWrites`. */
 export interface ResolvedWritesOptions {
   readonly table: Ports.TableService;
   readonly clock: Ports.Clock;
@@ -32,7 +32,7 @@
   | { readonly kind: "lost" }
   | { readonly kind: "down" };
 
-/** Writes of one client. */
+/** Carries out the writes of one client. */
 export class ResolvedWrites {
   readonly #options: ResolvedWritesOptions;
 
@@ -40,7 +40,7 @@
     this.#options = options;
   }
 
-  /** Writes until it is done, refused, or the deadline has passed. */
+  /** Retries a write until it is done, refused, or the deadline has passed. */
   write(
     tx: Ports.Transaction,
     deadlineMs: number,
@@ -85,7 +85,7 @@
     );
   }
 
-  /** Revision of the transaction if its rows show that it took effect. */
+  /** Revision of a transaction that took effect; null where no row shows it. */
   #readBack(tx: Ports.Transaction): Effect.Effect<number | null> {
     const { table, metrics, calls } = this.#options;
     const puts = tx.writes.filter((w) => w.value !== null);
@@ -110,7 +110,7 @@
   });
 }
 
-/** A transaction stays within one partition. */
+/** Partition of a transaction, which never spans several. */
 function partitionOf({ writes, conditions }: Ports.Transaction): string {
   return keys.partitionIn((writes[0] ?? conditions[0])?.key ?? "");
 }
--- a/packages/table-client/src/row_follower.ts
+++ b/packages/table-client/src/row_follower.ts
@@ -1,76 +1,77 @@
 /**
- * Follows rows for ever: reads all partitions, each page by page, and waits for
- * changes; reads all again when the history is lost. Reads go on beside the
- * looks for changes, so that a partition that is slow or away holds up no other.
+ * Follows rows indefinitely: reads all partitions page by page, then polls for
+ * changes, and reads everything again when the history is lost. Reads run
+ * concurrently with the polls, so that a slow or unavailable partition does not
+ * delay the others.
  */
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
 import * as partitionReads from "./partition_read.ts";
 
-/** What a follower needs. */
+/** Dependencies and settings of a follower. */
 export interface RowFollowerOptions<T> {
   readonly feed: Ports.RowFeed<T>;
   readonly clock: Ports.Clock;
   readonly random: Ports.RandomSource;
-  /** Told of every change; a snapshot also tells what has gone. */
+  /** Called with every change; a complete snapshot also reports deleted rows. */
   readonly onChange: (entries: readonly Ports.FeedEntry<T>[]) => void;
-  /** Told after each successful look, also where nothing changed. */
+  /** Called after each successful read or poll, also where nothing changed. */
   readonly onHeard?: () => void;
-  /** Told how much longer than it was asked to wait an answer took, in ms. */
+  /** Called with the time of an answer beyond the requested wait, in ms. */
   readonly onDelay?: (ms: number) => void;
-  /** Told after each look that failed. */
+  /** Called after each failure. */
   readonly onFailed?: () => void;
-  /** Whether a partition may be read now; left out: always. */
+  /** Whether a partition may be read now; always true if omitted. */
   readonly mayRead?: (partition: string) => boolean;
   /**
-   * Ends when the store is back after an outage: a pause ends with it, and a look
-   * is made again. With it the looks become rare while they fail; left out: they
-   * have to find out.
+   * Completes when the store answers again after an outage; ends a pause and repeats
+   * a pending poll. With it, failing polls back off further; if omitted, only
+   * frequent polls can detect the end of an outage.
    */
   readonly awaitBack?: () => Effect.Effect<void>;
-  /** Longest pause between looks that fail, in ms. */
+  /** Longest pause after a failure, in ms. */
   readonly longestPauseMs?: number;
-  /** Longest wait of one look. */
+  /** Longest wait for changes in one poll, in ms. */
   readonly waitMs: number;
   /**
-   * After a look that told of changes the next one begins this much later, in ms:
-   * rows that change all the time are told together. Left out: at once.
+   * Pause after a poll that returned changes, in ms, so that rows which change
+   * constantly are reported in batches; no pause if omitted.
    */
   readonly gatherMs?: number;
 }
 
-/** A step waits for the first partitions for the longest usual answer, in ms. */
+/** Wait for the first partitions in one step, in ms: the longest usual answer. */
 const INITIAL_READ_WAIT_MS = 400;
-/** The same while some partition is read: changes are due meanwhile, in ms. */
+/** Wait in later steps, in ms; short, as the poll for changes follows it. */
 const LATER_READ_WAIT_MS = 100;
-/** An answer takes no longer than this beyond the wait, in ms, as a rule. */
+/** Timeout of an answer beyond the wait of the poll, in ms. */
 const ANSWER_TIMEOUT_MS = 500;
-/** The same for large answers: 1 MB, which the stores give, at 1.5 Mbit/s. */
+/** Longest such timeout, in ms: the largest answer, 1 MB, at 1.5 Mbit/s. */
 const MAX_ANSWER_TIMEOUT_MS = 6000;
-/** First and longest pause between two tries, in ms. */
+/** First and longest pause after a failure, in ms. */
 const INITIAL_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 250;
-/** Longest pause where somebody else notices the end of an outage, in ms. */
+/** Longest pause where the end of an outage is reported, in ms. */
 const MAX_BACKOFF_WITH_RECOVERY_MS = 1000;
-/** Longest wait of one look while some partition is still to be read. */
+/** Longest wait of a poll while a partition is still unread, in ms. */
 const UNREAD_POLL_WAIT_MS = 200;
 
-/** Keeps the keys that it has told of, to notice what has gone. */
+/** Reports changed rows; keeps the reported keys to detect deleted rows. */
 export class RowFollower<T> {
   readonly #options: RowFollowerOptions<T>;
   readonly #reportedKeys = new Set<string>();
-  /** Keys found since the reading of all partitions began. */
+  /** Keys found since the last read of all partitions began. */
   readonly #foundKeys = new Set<string>();
   readonly #unread: Set<string>;
-  /** Reads of partitions that are under way. */
+  /** Reads in progress, by partition. */
   readonly #reads = new Map<string, partitionReads.PartitionRead<T>>();
   #position: number | null = null;
-  /** Newest position that a page has told. */
+  /** Newest position of all pages. */
   #newestPosition = 0;
-  /** Whether the changes since the reading of all partitions are told. */
+  /** Whether the changes made during the read of all partitions are reported. */
   #isCaughtUp = false;
   #lastPollAtMs = Number.NEGATIVE_INFINITY;
-  /** Whether the last look failed. */
+  /** Whether the last poll failed. */
   #hasFailed = false;
   #backoffMs = INITIAL_BACKOFF_MS;
   #answerTimeoutMs = ANSWER_TIMEOUT_MS;
@@ -80,7 +81,7 @@
     this.#unread = new Set(options.feed.partitions);
   }
 
-  /** Monotonic time of the last successful look. */
+  /** Monotonic time of the last successful read or poll, in ms. */
   get lastPollAtMs(): number {
     return this.#lastPollAtMs;
   }
@@ -91,8 +92,8 @@
   }
 
   /**
-   * Whether all partitions have been read and the changes that came meanwhile
-   * have been told.
+   * Whether all partitions have been read and the changes made during the read
+   * have been reported.
    */
   get isCaughtUp(): boolean {
     return this.hasSnapshot && this.#isCaughtUp;
@@ -103,12 +104,12 @@
     return this.#position !== null && !this.#unread.has(partition);
   }
 
-  /** Follows for ever. */
+  /** Follows the rows until it is interrupted. */
   run(): Effect.Effect<never> {
     return Effect.forever(this.step());
   }
 
-  /** One look: at partitions that are still to be read, or for changes. */
+  /** Reads unread partitions or polls for changes once. */
   step(): Effect.Effect<void> {
     const poll = Effect.gen({ self: this }, function* () {
       if (yield* this.#readMissing()) return;
@@ -118,7 +119,7 @@
     return Effect.catch(poll, () => this.#pause());
   }
 
-  /** Goes on with partitions that are to be read; tells whether one was. */
+  /** Continues the reads of unread partitions; returns whether one completed. */
   #readMissing(): Effect.Effect<boolean> {
     const { mayRead, clock } = this.#options;
     return Effect.gen({ self: this }, function* () {
@@ -141,7 +142,7 @@
     });
   }
 
-  /** Whether no partition that is read makes progress. */
+  /** Whether every read in progress is failing. */
   get #isFailing(): boolean {
     return [...this.#reads.values()].every(({ isFailing }) => isFailing);
   }
@@ -157,14 +158,14 @@
     return created;
   }
 
-  /** Changes are followed from the oldest of the first pages on. */
+  /** Starts following changes from the oldest position of the first pages. */
   #followFrom(read: partitionReads.PartitionRead<T>): void {
     const first = read.takeFirstPosition();
     if (first === null) return;
     this.#position = Math.min(this.#position ?? first, first);
   }
 
-  /** Takes in a partition if all of its pages have come. */
+  /** Reports the rows of a partition once all of its pages have arrived. */
   #finishRead(read: partitionReads.PartitionRead<T>): boolean {
     const { result, partition } = read;
     if (result === null) return false;
@@ -187,7 +188,7 @@
       const poll = this.#retryOnRecovery(feed.changes(position, waitMs));
       const timed = yield* clock.within(timeoutMs, poll);
       if (timed === null) {
-        // An answer may be large; it is not asked for again in less time.
+        // The answer may be large, so the next poll gets more time.
         this.#answerTimeoutMs = Math.min(
           MAX_ANSWER_TIMEOUT_MS,
           this.#answerTimeoutMs * 2,
@@ -223,9 +224,9 @@
   }
 
   /**
-   * What was asked during an outage is answered late, if ever: it is asked again
-   * when the outage ends. The first answer counts, so that a slow store, whose
-   * outages seem to end often, holds up no look.
+   * Repeats a poll when an outage ends, because a poll sent during the outage may
+   * never be answered. The first answer counts, so that a slow store, whose outages
+   * seem to end often, does not delay the poll.
    */
   #retryOnRecovery<A, E>(poll: Effect.Effect<A, E>): Effect.Effect<A, E> {
     const { awaitBack } = this.#options;
@@ -233,7 +234,7 @@
     return Effect.raceFirst(poll, Effect.andThen(awaitBack(), poll));
   }
 
-  /** After a failure a look asks for an answer at once: is the store back? */
+  /** Wait of the next poll; 0 after a failure, to detect at once that it is over. */
   #waitMs(): number {
     if (this.#hasFailed || (this.hasSnapshot && !this.#isCaughtUp)) return 0;
     return this.#unread.size === 0 ? this.#options.waitMs : UNREAD_POLL_WAIT_MS;
@@ -247,7 +248,7 @@
       for (const partition of this.#options.feed.partitions) {
         this.#unread.add(partition);
       }
-      // Pages of a history that is lost are of no use.
+      // Pages read before the history was lost are obsolete.
       const reads = [...this.#reads.values()];
       this.#reads.clear();
       return Effect.forEach(reads, (read) => read.cancel(), { discard: true });
@@ -267,7 +268,7 @@
     this.#options.onHeard?.();
   }
 
-  /** Once all partitions are read: what is known and was not found is gone. */
+  /** Once all partitions are read, reports keys that were not found as deleted. */
   #reportDeleted(): void {
     if (this.#unread.size > 0) return;
     const deleted = [...this.#reportedKeys].filter((key) =>
--- a/packages/table-client/src/row_follower_test.ts
+++ b/packages/table-client/src/row_follower_test.ts
@@ -1,4 +1,4 @@
-/** Rows are followed partition by partition. */
+/** Follows rows by partition while single partitions fail or change. */
 import * as Errors from "@cairngate/errors";
 import * as Ports from "@cairngate/ports";
 import * as TestUtils from "@cairngate/test-utils";
@@ -14,24 +14,24 @@
   cause: "outage",
 });
 
-/** A feed that answers what a test has laid out. */
+/** A feed that returns the pages set by a test. */
 class ScriptedFeed extends Ports.RowFeed<string> {
   override readonly partitions = ["a", "b"];
-  /** Rows of each partition that can be read. */
+  /** Pages of the readable partitions. */
   readonly pages = new Map<string, Page & { readonly next?: string }>();
-  /** With it, a look without changes takes its time. */
+  /** If set, polls last for the requested wait. */
   clock: Ports.Clock | null = null;
-  /** Where pages behind the first were asked for. */
+  /** Start of each requested page after the first. */
   readonly continuedFrom: string[] = [];
-  /** Answers to the next looks for changes. */
+  /** Answers to the next polls for changes. */
   readonly changePages: (Page | "lost")[] = [];
-  /** Positions that were asked for. */
+  /** Positions of the polls. */
   readonly polledPositions: number[] = [];
 
   override page(partition: string, { from }: Ports.PageAsk) {
     const page = this.pages.get(partition);
     if (from !== null) this.continuedFrom.push(from);
-    // A test lays out one page at a time: the same page again is a failure.
+    // A test sets one page at a time; requesting the same page again fails.
     const isNext = from === null || page?.next === undefined;
     if (page === undefined || !isNext) return Effect.fail(DOWN);
     const { entries: items, position, next = null } = page;
@@ -81,17 +81,20 @@
 }
 
 vitest.describe("RowFollower", () => {
-  vitest.it("goes on from the oldest position of the partitions", async () => {
-    const { feed, reported, step } = follow();
-    feed.pages.set("a", pageOf(7, "a/1"));
-    feed.pages.set("b", pageOf(5, "b/1"));
-    await step();
-    await step();
-    vitest.expect(reported).toEqual(["a/1", "b/1"]);
-    vitest.expect(feed.polledPositions).toEqual([5]);
-  });
+  vitest.it(
+    "follows changes from the oldest position of the partitions",
+    async () => {
+      const { feed, reported, step } = follow();
+      feed.pages.set("a", pageOf(7, "a/1"));
+      feed.pages.set("b", pageOf(5, "b/1"));
+      await step();
+      await step();
+      vitest.expect(reported).toEqual(["a/1", "b/1"]);
+      vitest.expect(feed.polledPositions).toEqual([5]);
+    },
+  );
 
-  vitest.it("tells changes while one partition can not be read", async () => {
+  vitest.it("reports changes while one partition cannot be read", async () => {
     const { feed, reported, follower, step } = follow();
     feed.pages.set("a", pageOf(7, "a/1"));
     await step();
@@ -108,12 +111,12 @@
     vitest.expect(feed.polledPositions.at(-1)).toBe(8);
   });
 
-  vitest.it("looks less often at rows that change all the time", async () => {
+  vitest.it("polls less often for rows that change constantly", async () => {
     const countPolls = async (gatherMs?: number) => {
       const clock = new TestUtils.FakeClock();
       const feed = new ScriptedFeed();
       feed.pages.set("a", pageOf(1)).set("b", pageOf(1));
-      // Each look takes 10 ms and finds a change.
+      // Each poll takes 10 ms and returns a change.
       for (let i = 2; i < 500; i++) {
         feed.changePages.push(pageOf(i, `row-${i}`));
       }
@@ -135,21 +138,24 @@
     vitest.expect(await countPolls(100)).toBeLessThan(25);
   });
 
-  vitest.it("tells what has gone once a lost history is read", async () => {
-    const { feed, reported, step } = follow();
-    feed.pages.set("a", pageOf(7, "a/1"));
-    feed.pages.set("b", pageOf(7, "b/1", "b/2"));
-    await step();
-    feed.changePages.push("lost");
-    await step();
-    feed.pages.set("a", pageOf(30));
-    feed.pages.delete("b");
-    await step();
-    vitest.expect(reported).toEqual(["a/1", "b/1", "b/2"]);
-    feed.pages.set("b", pageOf(31, "b/2"));
-    await step();
-    vitest.expect(reported.slice(3)).toEqual(["b/2", "-a/1", "-b/1"]);
-  });
+  vitest.it(
+    "reports deleted rows after a lost history is read again",
+    async () => {
+      const { feed, reported, step } = follow();
+      feed.pages.set("a", pageOf(7, "a/1"));
+      feed.pages.set("b", pageOf(7, "b/1", "b/2"));
+      await step();
+      feed.changePages.push("lost");
+      await step();
+      feed.pages.set("a", pageOf(30));
+      feed.pages.delete("b");
+      await step();
+      vitest.expect(reported).toEqual(["a/1", "b/1", "b/2"]);
+      feed.pages.set("b", pageOf(31, "b/2"));
+      await step();
+      vitest.expect(reported.slice(3)).toEqual(["b/2", "-a/1", "-b/1"]);
+    },
+  );
 
   vitest.it(
     "keeps the pages of a partition whose next page fails",
@@ -164,7 +170,7 @@
       feed.pages.set("b", pageOf(9, "b/2"));
       await clock.advance(1000);
       vitest.expect(reported).toEqual(["a/1", "b/1", "b/2"]);
-      // Changes between the pages are told again.
+      // Changes made between the pages are reported again.
       await clock.advance(1000);
       vitest.expect(feed.polledPositions).toContain(5);
       vitest.expect(feed.continuedFrom.filter((from) => from === "b/2").length)
@@ -174,7 +180,7 @@
   );
 
   vitest.it(
-    "leaves out rows of pages that have changed meanwhile",
+    "leaves out rows that changed after their page was read",
     async () => {
       const { feed, reported, follower, step } = follow();
       feed.pages.set("a", pageOf(5, "a/1"));
@@ -193,18 +199,21 @@
     },
   );
 
-  vitest.it("is caught up once changes since its pages are told", async () => {
-    const { feed, reported, follower, step } = follow();
-    feed.pages.set("a", pageOf(5, "a/1"));
-    feed.pages.set("b", pageOf(9, "b/1"));
-    await step();
-    vitest.expect(follower.hasSnapshot).toBe(true);
-    vitest.expect(follower.isCaughtUp).toBe(false);
-    feed.changePages.push(pageOf(8, "a/2"), pageOf(9, "a/3"));
-    await step();
-    vitest.expect(follower.isCaughtUp).toBe(false);
-    await step();
-    vitest.expect(reported).toEqual(["a/1", "b/1", "a/2", "a/3"]);
-    vitest.expect(follower.isCaughtUp).toBe(true);
-  });
+  vitest.it(
+    "is caught up once changes since its pages are reported",
+    async () => {
+      const { feed, reported, follower, step } = follow();
+      feed.pages.set("a", pageOf(5, "a/1"));
+      feed.pages.set("b", pageOf(9, "b/1"));
+      await step();
+      vitest.expect(follower.hasSnapshot).toBe(true);
+      vitest.expect(follower.isCaughtUp).toBe(false);
+      feed.changePages.push(pageOf(8, "a/2"), pageOf(9, "a/3"));
+      await step();
+      vitest.expect(follower.isCaughtUp).toBe(false);
+      await step();
+      vitest.expect(reported).toEqual(["a/1", "b/1", "a/2", "a/3"]);
+      vitest.expect(follower.isCaughtUp).toBe(true);
+    },
+  );
 });
--- a/packages/table-client/src/store_client.ts
+++ b/packages/table-client/src/store_client.ts
@@ -14,28 +14,28 @@
 import * as timedCalls from "./timed_calls.ts";
 import * as budgets from "./write_budget.ts";
 
-/** What a store client needs. */
+/** Dependencies and settings of a store client. */
 export interface StoreClientOptions {
   readonly table: Ports.TableService;
   readonly clock: Ports.Clock;
   readonly random: Ports.RandomSource;
   readonly metrics: Metrics.Metrics;
-  /** Budget of this box; writes beyond it wait. */
+  /** Write budget of this box; writes beyond it wait. */
   readonly writesPerSecond: number;
 }
 
-/** A transaction without its id; the client gives it one. */
+/** A transaction; the client adds an id where the caller gives none. */
 export interface Write {
   readonly conditions: readonly Ports.RowCondition[];
   readonly writes: readonly Ports.RowWrite[];
-  /** Given by the caller where a later attempt must be the same write. */
+  /** Given where a later attempt has to count as the same write. */
   readonly writeId?: string;
 }
 
-/** Time after which a call gives up, unless the caller says otherwise. */
+/** Default time after which a call fails, in ms. */
 const DEFAULT_DEADLINE_MS = 3000;
 
-/** Reads and writes rows; fails with one error after its deadline. */
+/** Reads and writes rows; fails with `StoreUnavailableError` at the deadline. */
 export class StoreClient {
   readonly #options: StoreClientOptions;
   readonly #health: healths.StoreHealth;
@@ -54,52 +54,52 @@
     this.#writes = new resolvedWrites.ResolvedWrites({ ...shared, budget });
   }
 
-  /** Whether all partitions that are used answered lately. */
+  /** Whether the circuit breakers of all used partitions are closed. */
   isReachable(): boolean {
     return this.#health.isReachable();
   }
 
-  /** What a write usually takes, in ms; 0 before the first. */
+  /** Moving average of the time of a write, in ms; 0 before the first. */
   get usualWriteMs(): number {
     return this.#health.averageWriteMs;
   }
 
-  /** Time after which a second try beside a call is worth its price. */
+  /** Time after which a call is hedged with a second attempt, in ms. */
   get hedgeMs(): number {
     return this.#health.hedgeMs;
   }
 
-  /** Whether calls to a partition have failed and are not tried now. */
+  /** Whether calls to a partition fail at once after repeated failures. */
   isShut(partition: string): boolean {
     return this.#health.breaker(partition).isOpen();
   }
 
-  /** The service answered a call, perhaps one made without this client. */
+  /** Records an answer of the service to a call made without this client. */
   noteAnswered(): void {
     this.#health.recordAnswer();
   }
 
-  /** A call that was made without this client failed. */
+  /** Records the failure of a call made without this client. */
   noteFailed(): void {
     this.#health.recordFailure();
   }
 
-  /** Time for which calls have failed; 0 while the last one was answered. */
+  /** Time for which all calls have failed, in ms; 0 if the last one was answered. */
   silentForMs(): number {
     return this.#health.failingForMs();
   }
 
-  /** An answer took this long, in ms; perhaps one to a call made without us. */
+  /** Records the time of an answer to a call made without this client, in ms. */
   noteDelay(tookMs: number): void {
     this.#health.recordDelay(tookMs);
   }
 
-  /** Ends when the service answers again after an outage. */
+  /** Completes when the service answers again after an outage. */
   awaitBack(): Effect.Effect<void> {
     return this.#health.awaitRecovery();
   }
 
-  /** Reads rows; absent ones are left out. */
+  /** Reads rows by key; absent ones are left out. */
   read(
     rowKeys: readonly string[],
     deadlineMs = DEFAULT_DEADLINE_MS,
@@ -109,7 +109,7 @@
     return this.#retryRead({ operation: "read", partition }, call, deadlineMs);
   }
 
-  /** Rows under a prefix that are newer than a revision. */
+  /** Reads the rows under a prefix that are newer than a revision. */
   scan(
     prefix: string,
     afterRevision = 0,
@@ -121,8 +121,8 @@
   }
 
   /**
-   * All rows under a prefix, page by page, however long that takes; fails where
-   * no page has come for `idleTimeoutMs`.
+   * Reads all rows under a prefix page by page, without a deadline for the whole
+   * read; fails where no page arrives for `idleTimeoutMs`.
    */
   readAll(
     prefix: string,
@@ -137,7 +137,7 @@
     const target = { operation: "scan", partition };
     return Effect.gen({ self: this }, function* () {
       for (;;) {
-        // The read itself bounds a page; the bound of other calls is shorter.
+        // `PagedRead` has its own timeout for a page, which has to end first.
         const page = () => read.step();
         const timeoutMs = pagedReads.PAGE_TIMEOUT_MS + healths.CALL_TIMEOUT_MS;
         const isLast = yield* this.#retryRead(
@@ -151,7 +151,10 @@
     });
   }
 
-  /** Writes; returns the revision. Unavailable means: perhaps written. */
+  /**
+   * Writes and returns the revision. After `StoreUnavailableError` the write may
+   * still have taken effect.
+   */
   write(
     write: Write,
     deadlineMs = DEFAULT_DEADLINE_MS,
@@ -166,7 +169,7 @@
     );
   }
 
-  /** The same for whoever can do something about a write that is refused. */
+  /** Like `write`, but fails with `WriteRefusedError` where the store refuses it. */
   writeOrLearn(
     write: Write,
     deadlineMs = DEFAULT_DEADLINE_MS,
--- a/packages/table-client/src/store_client_test.ts
+++ b/packages/table-client/src/store_client_test.ts
@@ -32,7 +32,7 @@
 }
 
 describe("a write whose answer is lost", () => {
-  test("is found by reading and not written twice", async () => {
+  test("is resolved by reading back and not written twice", async () => {
     const { clock, faults, table, client } = createStore();
     faults.set({ loseAnswers: 1 });
     const write = {
@@ -44,7 +44,7 @@
     expect(table.counts.writes).toBe(1);
   });
 
-  test("that lost the race fails with the condition", async () => {
+  test("fails with the condition if it lost the race", async () => {
     const { clock, client } = createStore();
     const write = (value: number) => ({
       conditions: [{ key: "k", revision: 0 }],
@@ -71,7 +71,7 @@
     expect(clock.monotonicMs() - startMs).toBeLessThanOrEqual(2100);
   });
 
-  test("is not asked while the circuit breaker is open", async () => {
+  test("is not called while the circuit breaker is open", async () => {
     const { clock, faults, client } = createStore();
     faults.set({ down: true });
     await run(clock, client.read(["k"], 2000));
@@ -98,7 +98,7 @@
     expect(table.counts.writes).toBe(1);
   });
 
-  test("of which one fails do not fail the others", async () => {
+  test("do not fail together when one of them fails", async () => {
     const { clock, client } = createStore();
     const writer = new writers.GroupedWriter({ client, clock, windowMs: 10 });
     const writes = [0, 0, 7].map((revision, i) =>
@@ -131,7 +131,7 @@
   });
 });
 
-test("errors name the row and what to do", () => {
+test("error messages name the row and the remedy", () => {
   const err = new Errors.ConditionFailedError({
     key: "k",
     expected: 1,
@@ -144,7 +144,7 @@
   const SLOW_MS = 300;
   const write = { conditions: [], writes: [{ key: "k", value: 1 }] };
 
-  test("gets no second tries soon, also where it refuses", async () => {
+  test("is not hedged early, also where it refuses writes", async () => {
     const { clock, faults, client } = createStore();
     await run(clock, client.write(write));
     const fastHedgeMs = client.hedgeMs;
@@ -154,7 +154,7 @@
     expect(client.hedgeMs).toBeGreaterThan(SLOW_MS * 3);
   });
 
-  test("is not remembered for long", async () => {
+  test("affects hedging for a short time only", async () => {
     const { clock, client } = createStore();
     client.noteDelay(SLOW_MS);
     expect(client.hedgeMs).toBeGreaterThan(SLOW_MS * 3);
@@ -162,7 +162,7 @@
     expect(client.hedgeMs).toBeLessThan(SLOW_MS / 2);
   });
 
-  test("is waited for instead of being sent the same again", async () => {
+  test("is waited for instead of being sent the write again", async () => {
     const { clock, faults, table, client } = createStore();
     faults.set({ delayMs: 400 });
     await run(clock, client.write(write));
@@ -175,14 +175,14 @@
   });
 });
 
-describe("a partition that answers nothing", () => {
-  test("does not put off second tries in the others", async () => {
+describe("a partition that does not answer", () => {
+  test("does not delay hedging in the others", async () => {
     const { clock, faults, client } = createStore();
     const write = { conditions: [], writes: [{ key: "k", value: 1 }] };
     await run(clock, client.write(write));
     const hedgeMs = client.hedgeMs;
     faults.set({ silent: true });
-    // A call that is ended because another one was answered, and one that is lost.
+    // One call is interrupted, as when its hedge was answered; one times out.
     await run(clock, clock.within(200, client.write(write)));
     expect(client.hedgeMs).toBe(hedgeMs);
     await run(clock, client.write(write, 100));
--- a/packages/table-client/src/store_errors.ts
+++ b/packages/table-client/src/store_errors.ts
@@ -1,17 +1,17 @@
-/** How calls to the store give up. */
+/** Failures of calls to the store. */
 import * as Errors from "@cairngate/errors";
 import * as Effect from "effect/Effect";
 
-/** Why a call gave up. */
+/** Failure of a call that got no answer before its deadline. */
 export type StoreFailure = Errors.StoreUnavailableError;
 
-/** Why a write was not carried out. */
+/** Failures of a write. */
 export type WriteFailure =
   | StoreFailure
   | Errors.ConditionFailedError
   | Errors.WriteRefusedError;
 
-/** A call that gives up for this cause. */
+/** Fails with `StoreUnavailableError` for the given cause. */
 export function unavailable(
   operation: string,
   cause: string,
--- a/packages/table-client/src/timed_calls.ts
+++ b/packages/table-client/src/timed_calls.ts
@@ -1,4 +1,4 @@
-/** Single calls to the store, and the pauses between them. */
+/** Single calls to the store with a timeout, and the backoff between attempts. */
 import * as Errors from "@cairngate/errors";
 import type * as Metrics from "@cairngate/metrics";
 import type * as Ports from "@cairngate/ports";
@@ -7,7 +7,7 @@
 import * as storeErrors from "./store_errors.ts";
 import * as healths from "./store_health.ts";
 
-/** What the calls work with. */
+/** Dependencies of `TimedCalls`. */
 export interface TimedCallsOptions {
   readonly clock: Ports.Clock;
   readonly random: Ports.RandomSource;
@@ -15,17 +15,17 @@
   readonly health: healths.StoreHealth;
 }
 
-/** What a call does, and to which partition. */
+/** Operation of a call and the partition that it goes to. */
 export interface Target {
   readonly operation: string;
   readonly partition: string;
 }
 
-/** First and longest pause between two tries, in ms. */
+/** First and longest pause between two attempts, in ms. */
 const INITIAL_BACKOFF_MS = 40;
 const MAX_BACKOFF_MS = 1000;
 
-/** Calls of one client. */
+/** Makes the calls of one client. */
 export class TimedCalls {
   readonly #options: TimedCallsOptions;
 
@@ -33,7 +33,7 @@
     this.#options = options;
   }
 
-  /** One call with a deadline, counted and watched by the circuit breaker. */
+  /** Makes one call with a timeout; feeds the circuit breaker and the metrics. */
   call<A, E extends { readonly _tag: string }>(
     { operation, partition }: Target,
     call: Effect.Effect<A, E>,
@@ -43,7 +43,7 @@
     return Effect.gen({ self: this }, function* () {
       const breaker = health.breaker(partition);
       if (breaker.isOpen()) {
-        const cause = "it failed several times lately";
+        const cause = "the circuit breaker is open after repeated failures";
         return yield* storeErrors.unavailable(operation, cause);
       }
       const startMs = clock.monotonicMs();
@@ -73,7 +73,7 @@
     });
   }
 
-  /** Pauses between the tries of one call that gives up at a time of ours. */
+  /** Backoff for a call that fails at `endMs` of the monotonic clock. */
   backoffUntil(endMs: number): Backoff {
     return new Backoff(this.#options, endMs);
   }
@@ -84,7 +84,7 @@
   }
 }
 
-/** Pauses between the tries of one call; each is twice as long as the one before. */
+/** Exponential backoff between the attempts of one call. */
 export class Backoff {
   readonly #options: TimedCallsOptions;
   readonly #endMs: number;
@@ -95,13 +95,13 @@
     this.#endMs = endMs;
   }
 
-  /** Whether the next try would come too late. */
+  /** Whether the next attempt would start after the deadline. */
   get isExhausted(): boolean {
     const { clock } = this.#options;
     return clock.monotonicMs() + this.#backoffMs > this.#endMs;
   }
 
-  /** The pause before the next try; the end of an outage ends it. */
+  /** Waits before the next attempt; the end of an outage ends the wait early. */
   pause(): Effect.Effect<void> {
     const { clock, random, health } = this.#options;
     const sleep = clock.sleep(random.jitter(this.#backoffMs));
@@ -110,7 +110,7 @@
   }
 }
 
-/** Errors that the service itself has answered with. */
+/** Whether an error is an answer of the service rather than a missing answer. */
 function isAnswer(tag: string): boolean {
   return tag === "ConditionFailedError" || tag === "WriteRefusedError";
 }
--- a/packages/table-client/src/write_budget.ts
+++ b/packages/table-client/src/write_budget.ts
@@ -1,12 +1,12 @@
-/** The writes that one box may make; those beyond it wait. */
+/** Token bucket that limits the writes of one box; further writes wait. */
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
 import * as storeErrors from "./store_errors.ts";
 
-/** Writes of so many seconds may go out at once. */
+/** Size of the largest burst, in seconds of the budget. */
 const BURST_SECONDS = 1;
 
-/** Budget of one box. */
+/** Write budget of one box. */
 export class WriteBudget {
   readonly #clock: Ports.Clock;
   readonly #writesPerSecond: number;
@@ -20,7 +20,7 @@
     this.#refilledAtMs = clock.monotonicMs();
   }
 
-  /** Waits for the write budget; fails when the wait passes the deadline. */
+  /** Waits for a token; fails at once where the wait would pass `endMs`. */
   take(endMs: number): Effect.Effect<void, storeErrors.StoreFailure> {
     const nowMs = this.#clock.monotonicMs();
     const refilled = (nowMs - this.#refilledAtMs) / 1000 *
@@ -32,7 +32,7 @@
     const waitMs = -this.#tokens / this.#writesPerSecond * 1000;
     if (nowMs + waitMs <= endMs) return this.#clock.sleep(waitMs);
     this.#tokens++;
-    const cause = "the write budget of this box is used up";
+    const cause = "the write budget of this box is exhausted";
     return storeErrors.unavailable("write", cause);
   }
 }
