--- a/packages/admission/mod.ts
+++ b/packages/admission/mod.ts
@@ -1,30 +1,30 @@
 /** Admission control: rejects work that can not be useful under hard load. */
 export {
   type Decision,
-  Doubt,
   type JobShape,
-  type Known,
-  shapeOf,
+  type KnownForecast,
   type TeamState,
+  toJobShape,
+  UncheckedReason,
   Verdict,
 } from "./src/job_shape.ts";
-export { needOf } from "./src/amounts.ts";
+export { reservedResources } from "./src/amounts.ts";
 export { decideAdmission } from "./src/decide.ts";
 export {
   type Forecast,
-  POINTS_MS,
-  type RoomAhead,
+  MIN_ESTIMATE_FACTOR,
+  type PriorityCapacity,
   type ServiceForecast,
+  SPAN_STARTS_MS,
   STALE_MS,
-  SURE_SHARE,
 } from "./src/forecast.ts";
-export { readForecast, writeForecast } from "./src/forecast_text.ts";
+export { readForecast, writeForecast } from "./src/forecast_codec.ts";
 export {
   type EndpointSize,
   type Load,
-  type Run,
-  type Wait,
+  type RunningTask,
+  type WaitingTasks,
 } from "./src/load.ts";
 export { makeForecast } from "./src/make_forecast.ts";
-export { ReturnBook } from "./src/return_book.ts";
-export { ShareBook } from "./src/share_book.ts";
+export { RetrySchedule } from "./src/retry_schedule.ts";
+export { CapacityReservations } from "./src/capacity_reservations.ts";
--- a/packages/admission/src/amounts.ts
+++ b/packages/admission/src/amounts.ts
@@ -76,7 +76,7 @@
  * Resources that a task takes from an endpoint. A task with `fills` set uses only
  * processor time that others leave, so it reserves none.
  */
-export function needOf(
+export function reservedResources(
   step: Resources & { readonly fills: boolean },
 ): Resources {
   const { memoryMb, accelerators } = step;
--- a/packages/admission/src/room_pool.ts
+++ b/packages/admission/src/capacity_pool.ts
@@ -19,7 +19,7 @@
   readonly #freedBySlot: Workflow.Resources[];
 
   /** @param runs runs that keep their capacity until they end */
-  constructor(total: Workflow.Resources, runs: readonly loads.Run[]) {
+  constructor(total: Workflow.Resources, runs: readonly loads.RunningTask[]) {
     const used = runs.reduce(
       (sum, { need }) => amounts.add(sum, need),
       amounts.ZERO,
@@ -45,7 +45,7 @@
   }
 
   /** Gives capacity to waiting work as soon as some is free. */
-  place(wait: loads.Wait): void {
+  place(wait: loads.WaitingTasks): void {
     this.#place(wait, Number.POSITIVE_INFINITY);
   }
 
@@ -53,14 +53,14 @@
    * Gives capacity only to waiting work that can still meet its objective: new work
    * may overtake any other. Returns whether all of it can.
    */
-  placeInTime(wait: loads.Wait): boolean {
+  placeInTime(wait: loads.WaitingTasks): boolean {
     return this.#place(wait, wait.dueInMs);
   }
 
   /** The highest free capacity in each span of a forecast. */
   curve(): forecasts.CapacityCurve {
-    return forecasts.POINTS_MS.map((beginMs, i) => {
-      const endMs = forecasts.POINTS_MS[i + 1] ?? forecasts.HORIZON_MS;
+    return forecasts.SPAN_STARTS_MS.map((beginMs, i) => {
+      const endMs = forecasts.SPAN_STARTS_MS[i + 1] ?? forecasts.HORIZON_MS;
       const maxFreed = this.#freedBySlot.slice(
         beginMs / SLOT_MS,
         endMs / SLOT_MS,
@@ -70,7 +70,7 @@
     });
   }
 
-  #place(wait: loads.Wait, dueInMs: number): boolean {
+  #place(wait: loads.WaitingTasks, dueInMs: number): boolean {
     const { runMs, gang, need } = wait;
     const slotLength = Math.max(1, Math.floor(runMs / SLOT_MS));
     let remaining = wait.count;
--- a/packages/admission/src/share_book.ts
+++ b/packages/admission/src/capacity_reservations.ts
@@ -8,14 +8,14 @@
  * Reservations of one box. A new forecast already includes the earlier ones, so
  * they are reset with it.
  */
-export class ShareBook {
+export class CapacityReservations {
   /** Number of the current forecast. */
   #forecastNumber: number | null = null;
   readonly #reserved = new Map<string, Workflow.Resources>();
   #reservedJobs = 0;
 
   /** Jobs with a reservation in the current forecast. */
-  get jobs(): number {
+  get reservedJobs(): number {
     return this.#reservedJobs;
   }
 
@@ -23,7 +23,7 @@
    * Reserves the initial demand of a job in this box's share. Returns whether the
    * share is large enough; a job without a reservation may still find capacity.
    */
-  promise(job: shapes.JobShape, knownForecast: shapes.Known): boolean {
+  reserve(job: shapes.JobShape, knownForecast: shapes.KnownForecast): boolean {
     const { forecast, ageMs } = knownForecast;
     if (forecast === null || ageMs > forecasts.STALE_MS) return false;
     this.#resetForNewForecast(forecast);
@@ -59,7 +59,7 @@
   if (last === undefined) return null;
   // Capacity of earlier spans may be taken by now, so the minimum counts.
   const startedSpans =
-    forecasts.POINTS_MS.filter((atMs) => atMs <= ageMs).length;
+    forecasts.SPAN_STARTS_MS.filter((atMs) => atMs <= ageMs).length;
   const minimum = last.slice(0, startedSpans).reduce(amounts.minOf, last[0]);
   return amounts.scale(minimum, 1 / forecast.boxes);
 }
@@ -68,6 +68,6 @@
 function initialDemand({ steps }: shapes.JobShape): Workflow.Resources {
   return steps
     .filter(({ after }) => after.length === 0)
-    .map((step) => amounts.scale(amounts.needOf(step), step.count))
+    .map((step) => amounts.scale(amounts.reservedResources(step), step.count))
     .reduce(amounts.add, amounts.ZERO);
 }
--- a/packages/admission/src/share_book_test.ts
+++ b/packages/admission/src/capacity_reservations_test.ts
@@ -4,7 +4,7 @@
 import * as vitest from "vitest";
 import type * as forecasts from "./forecast.ts";
 import type * as shapes from "./job_shape.ts";
-import * as reservations from "./share_book.ts";
+import * as reservations from "./capacity_reservations.ts";
 
 function capacity(accelerators: number): Workflow.Resources {
   return { cpuMillis: 1e6, memoryMb: 1e6, accelerators };
@@ -47,28 +47,28 @@
     fc.assert(fc.property(calls, free, (requests, accelerators) => {
       const boxes = Array.from(
         { length: 6 },
-        () => new reservations.ShareBook(),
+        () => new reservations.CapacityReservations(),
       );
       const forecast = forecastOf(accelerators, boxes.length);
       let reserved = 0;
       for (const { box, wants, ageMs } of requests) {
         const known = { forecast, ageMs };
-        if (boxes[box].promise(jobOf(wants), known)) reserved += wants;
+        if (boxes[box].reserve(jobOf(wants), known)) reserved += wants;
       }
       vitest.expect(reserved).toBeLessThanOrEqual(accelerators);
     }));
   });
 
   vitest.it("are reset by each forecast and refused with a stale one", () => {
-    const boxReservations = new reservations.ShareBook();
+    const boxReservations = new reservations.CapacityReservations();
     const first = { forecast: forecastOf(12, 3), ageMs: 0 };
-    vitest.expect(boxReservations.promise(jobOf(4), first)).toBe(true);
-    vitest.expect(boxReservations.promise(jobOf(1), first)).toBe(false);
+    vitest.expect(boxReservations.reserve(jobOf(4), first)).toBe(true);
+    vitest.expect(boxReservations.reserve(jobOf(1), first)).toBe(false);
     const again = { forecast: { ...first.forecast }, ageMs: 350 };
-    vitest.expect(boxReservations.promise(jobOf(1), again)).toBe(false);
+    vitest.expect(boxReservations.reserve(jobOf(1), again)).toBe(false);
     const next = { forecast: forecastOf(12, 3), ageMs: 0 };
-    vitest.expect(boxReservations.promise(jobOf(4), next)).toBe(true);
+    vitest.expect(boxReservations.reserve(jobOf(4), next)).toBe(true);
     const stale = { forecast: forecastOf(12, 3), ageMs: 3001 };
-    vitest.expect(boxReservations.promise(jobOf(1), stale)).toBe(false);
+    vitest.expect(boxReservations.reserve(jobOf(1), stale)).toBe(false);
   });
 });
--- a/packages/admission/src/decide.ts
+++ b/packages/admission/src/decide.ts
@@ -20,25 +20,25 @@
 /** The inputs of an admission decision. */
 export interface AdmissionRequest {
   readonly job: shapes.JobShape;
-  readonly known: shapes.Known;
+  readonly knownForecast: shapes.KnownForecast;
   readonly team: shapes.TeamState;
 }
 
 /** Decides whether one job is accepted. */
 export function decideAdmission(request: AdmissionRequest): shapes.Decision {
-  const { job, known: { forecast, ageMs } } = request;
-  if (forecast === null) return accept(shapes.Doubt.Unknown);
-  if (ageMs > forecasts.STALE_MS) return accept(shapes.Doubt.Stale);
+  const { job, knownForecast: { forecast, ageMs } } = request;
+  if (forecast === null) return accept(shapes.UncheckedReason.Unknown);
+  if (ageMs > forecasts.STALE_MS) return accept(shapes.UncheckedReason.Stale);
   if (isGuaranteed(request, forecast)) {
-    return accept(shapes.Doubt.Guaranteed);
+    return accept(shapes.UncheckedReason.Guaranteed);
   }
   const service = forecast.services.find((candidate) =>
     candidate.service === job.service
   );
-  if (service === undefined) return accept(shapes.Doubt.Unknown);
+  if (service === undefined) return accept(shapes.UncheckedReason.Unknown);
   const mismatch = findCapacityMismatch(job, service);
   if (mismatch !== null) return reject(mismatch, FLEET_CHANGE_MS);
-  if (job.hasNoDeadline) return accept(shapes.Doubt.NoDeadline);
+  if (job.hasNoDeadline) return accept(shapes.UncheckedReason.NoDeadline);
   return decideByEndTime(request, { forecast, service });
 }
 
@@ -47,15 +47,17 @@
   readonly service: forecasts.ServiceForecast;
 }
 
-function accept(doubt: shapes.Doubt | null): shapes.Decision {
-  return { verdict: shapes.Verdict.Accepted, doubt };
+function accept(
+  uncheckedReason: shapes.UncheckedReason | null,
+): shapes.Decision {
+  return { verdict: shapes.Verdict.Accepted, uncheckedReason };
 }
 
 function reject(
   reason: Errors.RejectReason,
-  returnInMs: number,
+  retryAfterMs: number,
 ): shapes.Decision {
-  return { verdict: shapes.Verdict.Rejected, reason, returnInMs };
+  return { verdict: shapes.Verdict.Rejected, reason, retryAfterMs };
 }
 
 /**
@@ -80,7 +82,7 @@
   { largest, total }: forecasts.ServiceForecast,
 ): Errors.RejectReason | null {
   for (const step of steps) {
-    const demand = amounts.needOf(step);
+    const demand = amounts.reservedResources(step);
     if (!amounts.isWithin(demand, largest)) return RejectReason.NoEndpoint;
     const members = step.gang ? step.count : 1;
     const gangDemand = amounts.scale(demand, members);
@@ -93,15 +95,15 @@
   request: AdmissionRequest,
   context: ServiceContext,
 ): shapes.Decision {
-  const { job, known: { ageMs } } = request;
+  const { job, knownForecast: { ageMs } } = request;
   const curve = curveFor(request, context.service);
-  if (curve === null) return accept(shapes.Doubt.Unknown);
+  if (curve === null) return accept(shapes.UncheckedReason.Unknown);
   const { steps } = job;
   const limitMs = ageMs + job.deadlineInMs;
   const endMsFor = (runTimeOf: ends.EndQuery["runTimeOf"]) =>
     ends.earliestEnd({ steps, curve, fromMs: ageMs, runTimeOf });
   const { fastest } = context.service;
-  const minRunFactor = forecasts.SURE_SHARE / fastest;
+  const minRunFactor = forecasts.MIN_ESTIMATE_FACTOR / fastest;
   const endMs = endMsFor((step) => step.estimateMs * minRunFactor);
   if (endMs > limitMs) return reject(RejectReason.TooLate, endMs - limitMs);
   const slowEndMs = endMsFor((step) =>
@@ -116,20 +118,21 @@
  */
 function rackPenalty(step: Workflow.StepSpec, context: ServiceContext): number {
   if (!step.gang || !step.sameRack) return 1;
-  const gangDemand = amounts.scale(amounts.needOf(step), step.count);
+  const gangDemand = amounts.scale(amounts.reservedResources(step), step.count);
   const fitsOneRack = amounts.isWithin(gangDemand, context.service.largestRack);
   return fitsOneRack ? 1 : context.forecast.remotePenalty;
 }
 
 /** Capacity curve for the position in the queue that the job would take. */
 function curveFor(
-  { job, known }: AdmissionRequest,
+  { job, knownForecast }: AdmissionRequest,
   { room }: forecasts.ServiceForecast,
 ): forecasts.CapacityCurve | null {
   const priorityCapacity = room.find(({ priority }) =>
     priority === job.priority
   );
   if (priorityCapacity === undefined) return null;
-  const isLastInLine = known.ageMs + job.dueInMs >= priorityCapacity.lastDueMs;
+  const isLastInLine =
+    knownForecast.ageMs + job.dueInMs >= priorityCapacity.lastDueMs;
   return isLastInLine ? priorityCapacity.last : priorityCapacity.first;
 }
--- a/packages/admission/src/decide_test.ts
+++ b/packages/admission/src/decide_test.ts
@@ -60,7 +60,11 @@
   ageMs = 0,
   team = TEAM,
 ): shapes.Decision {
-  return decide.decideAdmission({ job, known: { forecast, ageMs }, team });
+  return decide.decideAdmission({
+    job,
+    knownForecast: { forecast, ageMs },
+    team,
+  });
 }
 
 const FULL_FOR_8_SECONDS = [0, 0, 0, 0, 0, 0, 16, 16, 16, 16, 16];
@@ -73,7 +77,7 @@
     vitest.expect(decideFor(lateJob, null).verdict).toBe(Verdict.Accepted);
     vitest.expect(decideFor(lateJob, forecast, 3001)).toEqual({
       verdict: Verdict.Accepted,
-      doubt: shapes.Doubt.Stale,
+      uncheckedReason: shapes.UncheckedReason.Stale,
     });
     const unknownService = { ...lateJob, service: "other" };
     vitest.expect(decideFor(unknownService, forecast).verdict).toBe(
@@ -123,7 +127,7 @@
         latencyMs: 500,
         advice: null,
       };
-      const shape = shapes.shapeOf({
+      const shape = shapes.toJobShape({
         id: "a",
         tenant: "hana",
         policy,
@@ -149,7 +153,7 @@
       vitest.expect(decision).toEqual({
         verdict: Verdict.Rejected,
         reason: RejectReason.TooLate,
-        returnInMs: 1000,
+        retryAfterMs: 1000,
       });
     },
   );
--- a/packages/admission/src/earliest_end.ts
+++ b/packages/admission/src/earliest_end.ts
@@ -32,7 +32,7 @@
 
 /** Spans of a curve. A curve may omit trailing spans that repeat its last value. */
 function toSpans(curve: forecasts.CapacityCurve): readonly Span[] {
-  const { POINTS_MS: SPAN_STARTS_MS, HORIZON_MS } = forecasts;
+  const { SPAN_STARTS_MS, HORIZON_MS } = forecasts;
   return SPAN_STARTS_MS.map((beginMs, i) => ({
     beginMs,
     endMs: SPAN_STARTS_MS[i + 1] ?? HORIZON_MS,
@@ -49,7 +49,7 @@
 function stepEndMs(step: Workflow.StepSpec, query: StepQuery): number {
   const { runMs } = query;
   if (step.gang) return gangStartMs(step, query) + runMs;
-  const demand = amounts.needOf(step);
+  const demand = amounts.reservedResources(step);
   let firstStartMs: number | null = null;
   // Remaining run time of all tasks of the step, added up over concurrent tasks.
   let remainingMs = step.count * runMs;
@@ -77,7 +77,7 @@
 
 /** All members of a gang start together. */
 function gangStartMs(step: Workflow.StepSpec, query: StepQuery): number {
-  const gangDemand = amounts.scale(amounts.needOf(step), step.count);
+  const gangDemand = amounts.scale(amounts.reservedResources(step), step.count);
   const firstFit = query.spans.find(({ endMs, capacity: room }) =>
     endMs > query.fromMs && amounts.isWithin(gangDemand, room)
   );
--- a/packages/admission/src/forecast.ts
+++ b/packages/admission/src/forecast.ts
@@ -7,7 +7,7 @@
  * caller retries when a span begins that has free capacity, so long spans cause a
  * few failed retries.
  */
-export const POINTS_MS: readonly number[] = [
+export const SPAN_STARTS_MS: readonly number[] = [
   0,
   1000,
   2000,
@@ -28,7 +28,7 @@
  * Fraction of an estimate that work certainly takes: users report that the
  * estimates of callers are off by half.
  */
-export const SURE_SHARE = 0.5;
+export const MIN_ESTIMATE_FACTOR = 0.5;
 
 /**
  * Age in ms above which a forecast is ignored: six due updates are missing by then.
@@ -39,7 +39,7 @@
 export type CapacityCurve = readonly Workflow.Resources[];
 
 /** Capacity for new work of one priority. */
-export interface RoomAhead {
+export interface PriorityCapacity {
   readonly priority: number;
   /** Capacity if the work comes before all waiting work of its priority. */
   readonly first: CapacityCurve;
@@ -60,7 +60,7 @@
   readonly total: Workflow.Resources;
   /** Speed of the fastest endpoint, where 1 is normal. */
   readonly fastest: number;
-  readonly room: readonly RoomAhead[];
+  readonly room: readonly PriorityCapacity[];
 }
 
 /** A forecast of one coordinator for all services. */
--- a/packages/admission/src/forecast_test.ts
+++ b/packages/admission/src/forecast_test.ts
@@ -1,7 +1,7 @@
 /** A forecast is conservative, and its text is short and survives a round trip. */
 import * as fc from "fast-check";
 import * as vitest from "vitest";
-import * as texts from "./forecast_text.ts";
+import * as codecs from "./forecast_codec.ts";
 import type * as loads from "./load.ts";
 import * as forecastMaker from "./make_forecast.ts";
 
@@ -28,11 +28,15 @@
   };
 }
 
-function runOf(accelerators: number, leftMs: number, rank = 2): loads.Run {
+function runOf(
+  accelerators: number,
+  leftMs: number,
+  rank = 2,
+): loads.RunningTask {
   return { service: "analysis", rank, need: need(accelerators), leftMs };
 }
 
-function waitOf(changes: Partial<loads.Wait>): loads.Wait {
+function waitOf(changes: Partial<loads.WaitingTasks>): loads.WaitingTasks {
   const base = { service: "analysis", rank: 2, need: need(1), count: 1 };
   return { ...base, gang: false, runMs: 2000, dueInMs: 60_000, ...changes };
 }
@@ -134,11 +138,11 @@
   vitest.it("survives a round trip and is short", () => {
     fc.assert(fc.property(arbitraryLoads, (load) => {
       const forecast = forecastMaker.makeForecast(loadOf(load));
-      const text = texts.writeForecast(forecast);
+      const text = codecs.writeForecast(forecast);
       vitest.expect(Buffer.byteLength(text)).toBeLessThanOrEqual(900);
-      const read = texts.readForecast(text);
+      const read = codecs.readForecast(text);
       vitest.expect(read).not.toBe(null);
-      vitest.expect(texts.writeForecast(read ?? forecast)).toBe(text);
+      vitest.expect(codecs.writeForecast(read ?? forecast)).toBe(text);
       for (const [i, readService] of (read?.services ?? []).entries()) {
         const { room } = forecast.services[i];
         vitest.expect(readService.room.length).toBeGreaterThan(0);
@@ -159,9 +163,9 @@
     const forecast = forecastMaker.makeForecast(
       loadOf({ urgentUse, priorities }),
     );
-    const text = texts.writeForecast(forecast);
+    const text = codecs.writeForecast(forecast);
     vitest.expect(Buffer.byteLength(text)).toBeLessThanOrEqual(900);
-    const read = texts.readForecast(text);
+    const read = codecs.readForecast(text);
     vitest.expect(read?.services[0].service).toBe("analysis");
     vitest.expect(read?.urgentUse[0]).toEqual(["team-199", 200]);
   });
@@ -169,16 +173,16 @@
   vitest.it("handles any amount that callers request", () => {
     const urgentUse = new Map([["hana", 0.5], ["ivo", Infinity], ["jo", 1.5]]);
     const forecast = forecastMaker.makeForecast(loadOf({ urgentUse }));
-    const read = texts.readForecast(texts.writeForecast(forecast));
+    const read = codecs.readForecast(codecs.writeForecast(forecast));
     vitest.expect(read?.urgentUse)
       .toEqual([["ivo", Number.MAX_SAFE_INTEGER], ["jo", 1], ["hana", 0]]);
   });
 
   vitest.it("is rejected if it is not a forecast", () => {
     const bad = ["", "{", "3", "null", "[]", '{"boxes":0}', "{}"];
-    for (const text of bad) vitest.expect(texts.readForecast(text)).toBe(null);
+    for (const text of bad) vitest.expect(codecs.readForecast(text)).toBe(null);
     fc.assert(fc.property(fc.json(), (text) => {
-      vitest.expect(texts.readForecast(text)).toBe(null);
+      vitest.expect(codecs.readForecast(text)).toBe(null);
     }));
   });
 });
--- a/packages/admission/src/job_shape.ts
+++ b/packages/admission/src/job_shape.ts
@@ -17,7 +17,7 @@
 }
 
 /** The newest forecast and its age. */
-export interface Known {
+export interface KnownForecast {
   /** Null if there is no forecast or no hard load. */
   readonly forecast: forecasts.Forecast | null;
   readonly ageMs: number;
@@ -37,7 +37,7 @@
 }
 
 /** Why a job is accepted without a check of the free capacity. */
-export enum Doubt {
+export enum UncheckedReason {
   /** There is no forecast, or it does not cover this service or priority. */
   Unknown = "unknown",
   Stale = "stale",
@@ -52,13 +52,13 @@
   | {
     readonly verdict: Verdict.Accepted;
     /** Null if the free capacity was checked. */
-    readonly doubt: Doubt | null;
+    readonly uncheckedReason: UncheckedReason | null;
   }
   | {
     readonly verdict: Verdict.Rejected;
     readonly reason: Errors.RejectReason;
     /** Time after which the job may be accepted, in ms. */
-    readonly returnInMs: number;
+    readonly retryAfterMs: number;
   };
 
 /**
@@ -67,7 +67,7 @@
 const MAX_ESTIMATE_FACTOR = 1.5;
 
 /** Derives the shape of a workflow that is submitted now. */
-export function shapeOf(spec: Workflow.WorkflowSpec): JobShape {
+export function toJobShape(spec: Workflow.WorkflowSpec): JobShape {
   const dueInMs = Workflow.objectiveAtMs(spec, 0) - Workflow.dueAtMs(spec, 0);
   return {
     service: spec.policy.service,
@@ -85,6 +85,6 @@
  * objective by the actual run time.
  */
 function maxObjectiveMs({ steps, policy }: Workflow.WorkflowSpec): number {
-  const workMs = Workflow.longestChainMs(steps) * MAX_ESTIMATE_FACTOR;
+  const workMs = Workflow.criticalPathMs(steps) * MAX_ESTIMATE_FACTOR;
   return policy.stretch * workMs + policy.latencyMs;
 }
--- a/packages/admission/src/load.ts
+++ b/packages/admission/src/load.ts
@@ -11,7 +11,7 @@
 }
 
 /** One run on an endpoint. */
-export interface Run {
+export interface RunningTask {
   readonly service: string;
   /** 0 for urgent work within its guarantee, otherwise the priority plus one. */
   readonly rank: number;
@@ -21,7 +21,7 @@
 }
 
 /** The waiting tasks of one step. */
-export interface Wait {
+export interface WaitingTasks {
   readonly service: string;
   readonly rank: number;
   readonly need: Workflow.Resources;
@@ -40,8 +40,8 @@
   readonly boxes: number;
   readonly remotePenalty: number;
   readonly endpoints: readonly EndpointSize[];
-  readonly runs: readonly Run[];
-  readonly waits: readonly Wait[];
+  readonly runs: readonly RunningTask[];
+  readonly waits: readonly WaitingTasks[];
   /** Priorities of the queues of each service. */
   readonly priorities: ReadonlyMap<string, readonly number[]>;
   readonly urgentUse: ReadonlyMap<string, number>;
--- a/packages/admission/src/make_forecast.ts
+++ b/packages/admission/src/make_forecast.ts
@@ -8,7 +8,7 @@
 import * as amounts from "./amounts.ts";
 import * as forecasts from "./forecast.ts";
 import type * as loads from "./load.ts";
-import * as capacityPools from "./room_pool.ts";
+import * as capacityPools from "./capacity_pool.ts";
 
 /** Makes a forecast for all services. */
 export function makeForecast(load: loads.Load): forecasts.Forecast {
@@ -45,7 +45,7 @@
   return { service, ...sizes, room };
 }
 
-function byRankAndDue(a: loads.Wait, b: loads.Wait): number {
+function byRankAndDue(a: loads.WaitingTasks, b: loads.WaitingTasks): number {
   return a.rank - b.rank || a.dueInMs - b.dueInMs;
 }
 
@@ -77,8 +77,8 @@
 
 interface ServiceLoad {
   readonly total: Workflow.Resources;
-  readonly runs: readonly loads.Run[];
-  readonly waits: readonly loads.Wait[];
+  readonly runs: readonly loads.RunningTask[];
+  readonly waits: readonly loads.WaitingTasks[];
   readonly isInOrder: boolean;
 }
 
@@ -88,7 +88,7 @@
 function forecastPriority(
   { total, runs, waits, isInOrder }: ServiceLoad,
   priority: number,
-): forecasts.RoomAhead {
+): forecasts.PriorityCapacity {
   const rank = priority + 1;
   const keptRuns = rank === URGENT_RANK
     ? runs.filter((run) => run.rank <= URGENT_RANK)
--- a/packages/admission/src/return_book.ts
+++ b/packages/admission/src/retry_schedule.ts
@@ -13,7 +13,7 @@
 const MAX_RETRY_DELAY_MS = 30_000;
 
 /** The retry schedule of one box. */
-export class ReturnBook {
+export class RetrySchedule {
   /** Assigned retry times by job id. */
   readonly #retryAtMs = new Map<string, number>();
   /** The latest assigned retry time, by service and priority. */
@@ -22,18 +22,18 @@
   /**
    * Assigns the time in ms after which a rejected job may retry. A job that retries
    * early keeps its assigned time.
-   * @param returnInMs earliest time at which the job could be useful, in ms from
+   * @param earliestInMs earliest time at which the job could be useful, in ms from
    * now
    */
-  note(
+  assignRetry(
     rejected: { readonly id: string; readonly job: shapes.JobShape },
-    returnInMs: number,
+    earliestInMs: number,
     context: { readonly nowMs: number; readonly forecast: forecasts.Forecast },
   ): number {
     const { id, job } = rejected;
     const { nowMs } = context;
     const assignedMs = this.#retryAtMs.get(id);
-    const earliestMs = nowMs + Math.min(MAX_RETRY_DELAY_MS, returnInMs);
+    const earliestMs = nowMs + Math.min(MAX_RETRY_DELAY_MS, earliestInMs);
     const queue = queueKey(job);
     const lastMs = this.#lastRetryAtMs.get(queue) ?? Number.NEGATIVE_INFINITY;
     const scheduledMs = assignedMs ??
@@ -54,7 +54,7 @@
    * Time in ms that an acceptable job still has to wait. Without it a caller that
    * retries before its assigned time would overtake those that wait as instructed.
    */
-  waitOf(id: string, nowMs: number): number {
+  remainingWaitMs(id: string, nowMs: number): number {
     return Math.max(0, (this.#retryAtMs.get(id) ?? nowMs) - nowMs);
   }
 
@@ -92,5 +92,8 @@
 }
 
 function resourceTimeOf(step: Workflow.StepSpec): Workflow.Resources {
-  return amounts.scale(amounts.needOf(step), step.count * step.estimateMs);
+  return amounts.scale(
+    amounts.reservedResources(step),
+    step.count * step.estimateMs,
+  );
 }
--- a/packages/admission/src/return_book_test.ts
+++ b/packages/admission/src/retry_schedule_test.ts
@@ -4,7 +4,7 @@
 import * as vitest from "vitest";
 import type * as forecasts from "./forecast.ts";
 import type * as shapes from "./job_shape.ts";
-import * as retrySchedules from "./return_book.ts";
+import * as retrySchedules from "./retry_schedule.ts";
 
 const TOTAL = { cpuMillis: 1e6, memoryMb: 1e6, accelerators: 30 };
 const FORECAST: forecasts.Forecast = {
@@ -35,12 +35,12 @@
 };
 
 function reject(
-  schedule: retrySchedules.ReturnBook,
+  schedule: retrySchedules.RetrySchedule,
   id: string,
-  returnInMs: number,
+  retryAfterMs: number,
   nowMs = 0,
 ): number {
-  return schedule.note({ id, job: JOB }, returnInMs, {
+  return schedule.assignRetry({ id, job: JOB }, retryAfterMs, {
     nowMs,
     forecast: FORECAST,
   });
@@ -50,7 +50,7 @@
   vitest.it(
     "spreads retries over the time in which capacity becomes free",
     () => {
-      const schedule = new retrySchedules.ReturnBook();
+      const schedule = new retrySchedules.RetrySchedule();
       const times = ["a", "b", "c"].map((id) => reject(schedule, id, 2000));
       vitest.expect(times).toEqual([2000, 2500, 3000]);
       vitest.expect(reject(schedule, "a", 1000, 500)).toBe(1500);
@@ -58,20 +58,20 @@
   );
 
   vitest.it("makes an early caller wait for its assigned time", () => {
-    const schedule = new retrySchedules.ReturnBook();
+    const schedule = new retrySchedules.RetrySchedule();
     for (const id of ["a", "b"]) reject(schedule, id, 2000);
-    vitest.expect(schedule.waitOf("a", 1000)).toBe(1000);
-    vitest.expect(schedule.waitOf("b", 1000)).toBe(1500);
-    vitest.expect(schedule.waitOf("b", 2500)).toBe(0);
-    vitest.expect(schedule.waitOf("new", 1000)).toBe(0);
+    vitest.expect(schedule.remainingWaitMs("a", 1000)).toBe(1000);
+    vitest.expect(schedule.remainingWaitMs("b", 1000)).toBe(1500);
+    vitest.expect(schedule.remainingWaitMs("b", 2500)).toBe(0);
+    vitest.expect(schedule.remainingWaitMs("new", 1000)).toBe(0);
     schedule.forget("b");
-    vitest.expect(schedule.waitOf("b", 1000)).toBe(0);
+    vitest.expect(schedule.remainingWaitMs("b", 1000)).toBe(0);
   });
 
   vitest.it(
     "delays no caller for longer than the objective of its work",
     () => {
-      const schedule = new retrySchedules.ReturnBook();
+      const schedule = new retrySchedules.RetrySchedule();
       const ids = Array.from({ length: 50 }, (_, i) => `job-${i}`);
       const times = ids.map((id) => reject(schedule, id, 2000));
       vitest.expect(Math.max(...times)).toBe(2000 + JOB.dueInMs);
@@ -114,7 +114,7 @@
   freeAtMs: number,
   pauseMs: number,
 ): readonly number[] {
-  const schedule = new retrySchedules.ReturnBook();
+  const schedule = new retrySchedules.RetrySchedule();
   const acceptedAtMs = earlyRetries.map(() => Number.POSITIVE_INFINITY);
   const next = earlyRetries.map((isEarly, i) => {
     const inMs = reject(schedule, `job-${i}`, freeAtMs);
@@ -128,7 +128,7 @@
     const leftMs = Math.max(0, freeAtMs - nowMs);
     const inMs = leftMs > 0
       ? reject(schedule, id, leftMs, nowMs)
-      : schedule.waitOf(id, nowMs);
+      : schedule.remainingWaitMs(id, nowMs);
     if (inMs <= 0) {
       acceptedAtMs[i] = nowMs;
       next[i] = Number.POSITIVE_INFINITY;
--- a/packages/coordinator/mod.ts
+++ b/packages/coordinator/mod.ts
@@ -11,16 +11,16 @@
   type GuaranteeDump,
   type RunDump,
   type WorkflowDump,
-  type WorkflowStory,
+  type WorkflowReport,
 } from "./src/work/describe.ts";
 export {
   type Evacuation,
-  EvacuationBook,
-  type EvacuationBookOptions,
-} from "./src/endpoints/evacuation_book.ts";
+  EvacuationTracker,
+  type EvacuationTrackerOptions,
+} from "./src/endpoints/evacuation_tracker.ts";
 export { Election } from "./src/election/election.ts";
 export { type CoordinatorRow, Term } from "./src/election/term.ts";
-export { restartOnDefect, type RestartParts } from "./src/restart.ts";
-export { OutageWord } from "./src/election/outage_word.ts";
+export { restartOnDefect, type RestartOptions } from "./src/restart.ts";
+export { OutageReports } from "./src/election/outage_reports.ts";
 export { Fitness } from "./src/election/fitness.ts";
 export type { CoordinatorPorts, EndpointBounds } from "./src/ports.ts";
--- a/packages/coordinator/src/election/election.ts
+++ b/packages/coordinator/src/election/election.ts
@@ -41,7 +41,7 @@
   }
 
   /** Forecast of the holder, as last seen. */
-  get forecast(): Admission.Known {
+  get forecast(): Admission.KnownForecast {
     return this.#watch.forecast;
   }
 
@@ -86,7 +86,7 @@
    */
   #takeOver(observedToken: number): Effect.Effect<terms.Term | null> {
     return Effect.gen({ self: this }, function* () {
-      const { store, node, incarnation, log } = this.#ports;
+      const { store, box, incarnation, log } = this.#ports;
       // Read first: the watch may see the write below before it is answered.
       const { forecast: inherited } = this.#watch.forecast;
       const key = TableClient.Keys.COORDINATOR_KEY;
@@ -101,7 +101,7 @@
         return null;
       }
       const token = (found?.token ?? 0) + 1;
-      const value: terms.CoordinatorRow = { token, holder: node, incarnation };
+      const value: terms.CoordinatorRow = { token, holder: box, incarnation };
       const revision = yield* store.write({
         conditions: [
           { key, revision: row?.revision ?? 0 },
@@ -109,7 +109,7 @@
         ],
         writes: [{ key, value }, { key: leaseKey, value: token }],
       }, TAKEOVER_TIMEOUT_MS);
-      log.info(`Box ${node} coordinates under token ${token}.`);
+      log.info(`Box ${box} coordinates under token ${token}.`);
       return new terms.Term(token, revision, inherited);
     }).pipe(Effect.catch((err) => {
       this.#ports.log.info(`Taking over failed: ${err.message}`);
--- a/packages/coordinator/src/election/fitness.ts
+++ b/packages/coordinator/src/election/fitness.ts
@@ -6,14 +6,14 @@
   /** Whether calls reach the store without a relaying peer. */
   abstract reachesStore(): boolean;
   /** Whether other boxes are known that have clearly more processor cores. */
-  abstract hasFitter(): boolean;
+  abstract hasFitterBox(): boolean;
   /** Whether this box is among the few that follow each renewal of a term. */
   abstract isCloseWatcher(): boolean;
   /**
    * Finds a box with clearly more cores that answers now and reaches the store; null
    * for none.
    */
-  abstract findFitter(): Effect.Effect<string | null>;
+  abstract findFitterBox(): Effect.Effect<string | null>;
   /** Finds the box that should take over when this one leaves; null for none. */
   abstract findSuccessor(): Effect.Effect<string | null>;
 }
@@ -31,6 +31,6 @@
 
 /** Delay of this box's claims relative to the fittest box, in ms. */
 export function claimDelayMs(fitness: Fitness): number {
-  const fitterMs = fitness.hasFitter() ? LESS_FIT_DELAY_MS : 0;
+  const fitterMs = fitness.hasFitterBox() ? LESS_FIT_DELAY_MS : 0;
   return fitness.reachesStore() ? fitterMs : fitterMs + RELAYED_DELAY_MS;
 }
--- a/packages/coordinator/src/election/forecast_sight.ts
+++ b/packages/coordinator/src/election/forecast_observer.ts
@@ -21,7 +21,7 @@
    * The newest forecast and its age. Decoded on access, because few renewals are
    * accessed.
    */
-  get latest(): Admission.Known {
+  get latest(): Admission.KnownForecast {
     if (this.#decoded === undefined) {
       this.#decoded = leases.readLease(this.#renewal);
     }
--- a/packages/coordinator/src/election/forecast_sight_test.ts
+++ b/packages/coordinator/src/election/forecast_observer_test.ts
@@ -2,7 +2,7 @@
 import * as Admission from "@cairngate/admission";
 import * as TestUtils from "@cairngate/test-utils";
 import * as vitest from "vitest";
-import * as observers from "./forecast_sight.ts";
+import * as observers from "./forecast_observer.ts";
 import * as leases from "./lease_value.ts";
 
 const FORECAST: Admission.Forecast = {
--- a/packages/coordinator/src/election/row_watch.ts
+++ b/packages/coordinator/src/election/row_watch.ts
@@ -8,7 +8,7 @@
 import * as Effect from "effect/Effect";
 import type * as ports from "../ports.ts";
 import * as fitnesses from "./fitness.ts";
-import * as observers from "./forecast_sight.ts";
+import * as observers from "./forecast_observer.ts";
 import * as leases from "./lease_value.ts";
 import * as paces from "./renewal_pace.ts";
 import type * as terms from "./term.ts";
@@ -81,7 +81,7 @@
   }
 
   /** The newest forecast of the holder. */
-  get forecast(): Admission.Known {
+  get forecast(): Admission.KnownForecast {
     return this.#forecastObserver.latest;
   }
 
@@ -113,9 +113,9 @@
   /** Whether the rows have not changed for too long, or there is no holder. */
   mayTakeOver(): boolean {
     if (!this.#follower.hasSnapshot) return false;
-    const { node, incarnation, clock } = this.#ports;
+    const { box, incarnation, clock } = this.#ports;
     if (this.#row === null || this.#row.holder === "") return this.#mayClaim();
-    const isFormerSelf = this.#row.holder === node &&
+    const isFormerSelf = this.#row.holder === box &&
       this.#row.incarnation !== incarnation;
     if (isFormerSelf) return true;
     const nowMs = clock.monotonicMs();
@@ -135,7 +135,7 @@
    */
   hasRenewed(found: terms.CoordinatorRow | undefined, lease: unknown): boolean {
     const isHeld = found !== undefined && found.holder !== "" &&
-      found.holder !== this.#ports.node;
+      found.holder !== this.#ports.box;
     if (!isHeld || lease === found.token) return false;
     if (!this.#isNewer(lease)) return false;
     this.#recordLease(lease);
@@ -247,9 +247,9 @@
    * Whether this box may claim a row without a holder; the fittest box claims it first.
    */
   #mayClaim(): boolean {
-    const { node, clock, fitness } = this.#ports;
+    const { box, clock, fitness } = this.#ports;
     const successor = this.#row?.successor;
-    if (successor === node) return true;
+    if (successor === box) return true;
     const firstMs = this.#row === null ? FIRST_START_WAIT_MS : 0;
     const waitMs = successor === undefined ? firstMs : SUCCESSOR_WAIT_MS;
     const firstAnswerMs = this.#firstAnswerAtMs ?? Number.POSITIVE_INFINITY;
--- a/packages/coordinator/src/election/term_keeper.ts
+++ b/packages/coordinator/src/election/term_keeper.ts
@@ -1,7 +1,7 @@
 /** Renews the election's lease while a term lasts, and hands the term over. */
 import * as Effect from "effect/Effect";
 import type * as ports from "../ports.ts";
-import * as renewals from "./renewal_pulse.ts";
+import * as renewals from "./term_renewal.ts";
 import type * as terms from "./term.ts";
 
 /** Interval of renewals, in ms: a loss is noticed after three of them. */
@@ -34,8 +34,8 @@
     return Effect.gen({ self: this }, function* () {
       for (;;) {
         yield* clock.sleep(FITTER_CHECK_MS);
-        if (!fitness.hasFitter()) continue;
-        const fitter = yield* fitness.findFitter();
+        if (!fitness.hasFitterBox()) continue;
+        const fitter = yield* fitness.findFitterBox();
         if (fitter === null || term.isLost) continue;
         yield* this.#writeRelease(term, fitter);
         term.lose(`handed to ${fitter}`);
--- a/packages/coordinator/src/endpoints/listing_book.ts
+++ b/packages/coordinator/src/endpoints/accepted_listings.ts
@@ -1,6 +1,6 @@
 /** Accepted listings of endpoints, and the addresses that they name. */
 import type * as Ports from "@cairngate/ports";
-import * as addresses from "./address_book.ts";
+import * as addresses from "./address_index.ts";
 
 /** Accepted listings by endpoint. */
 export class AcceptedListings {
--- a/packages/coordinator/src/endpoints/address_book_test.ts
+++ b/packages/coordinator/src/endpoints/address_index_test.ts
@@ -1,5 +1,5 @@
 import * as vitest from "vitest";
-import * as addresses from "./address_book.ts";
+import * as addresses from "./address_index.ts";
 
 vitest.describe("AddressIndex", () => {
   vitest.it("returns the other endpoints at an address", () => {
--- a/packages/coordinator/src/endpoints/doubted_listings.ts
+++ b/packages/coordinator/src/endpoints/conflicting_listings.ts
@@ -7,7 +7,7 @@
 import * as Effect from "effect/Effect";
 import type * as directoryOptions from "./directory_options.ts";
 import type * as endpointSessions from "./endpoint_sessions.ts";
-import type * as acceptedListings from "./listing_book.ts";
+import type * as acceptedListings from "./accepted_listings.ts";
 
 /** Collaborators of the conflicting listings. */
 export interface ConflictingListingsOptions {
@@ -37,7 +37,7 @@
   isConflicting({ id, bornMs }: Ports.EndpointListing): boolean {
     const { sessions, listings } = this.#parts;
     const session = sessions.get(id);
-    if (session === undefined || session.isOver || !session.wasHeard) {
+    if (session === undefined || session.isOver || !session.hasAnswered) {
       return false;
     }
     return bornMs !== session.bornMs &&
@@ -76,7 +76,7 @@
   #verify(listing: Ports.EndpointListing): void {
     const session = this.#parts.sessions.get(listing.id);
     if (session === undefined) return;
-    Effect.runFork(session.ask());
+    Effect.runFork(session.pollNow());
     const hasMoved = session.ref.address !== listing.address;
     if (hasMoved) Effect.runFork(this.#probe(listing));
   }
@@ -85,8 +85,8 @@
    * Moves the session to the listed address if the listed incarnation answers there.
    */
   #probe(listing: Ports.EndpointListing): Effect.Effect<void> {
-    const { ports: { workers, clock }, term } = this.#parts.options;
-    const renewal = workers.renew(listing, {
+    const { ports: { endpoints, clock }, term } = this.#parts.options;
+    const renewal = endpoints.renew(listing, {
       fencingToken: term.token,
       leaseUntilMs: null,
       recordedEnds: 0,
--- a/packages/coordinator/src/endpoints/endpoint_directory.ts
+++ b/packages/coordinator/src/endpoints/endpoint_directory.ts
@@ -2,16 +2,16 @@
 import type * as Ports from "@cairngate/ports";
 import type * as Scheduler from "@cairngate/workflow-scheduler";
 import type * as Effect from "effect/Effect";
-import type * as occupants from "../sessions/occupant.ts";
+import type * as assignments from "../sessions/assignment.ts";
 import type * as sessions from "../sessions/endpoint_session.ts";
 import type * as directoryOptions from "./directory_options.ts";
 import * as endpointSessions from "./endpoint_sessions.ts";
-import * as acceptedListings from "./listing_book.ts";
+import * as acceptedListings from "./accepted_listings.ts";
 import * as listingChanges from "./listing_changes.ts";
 import * as listingTimes from "./listing_times.ts";
-import * as planStates from "./plan_states.ts";
-import * as silences from "./silence_log.ts";
-import * as speedLearners from "./speed_lessons.ts";
+import * as snapshots from "./endpoint_snapshots.ts";
+import * as failureLogs from "./endpoint_failure_log.ts";
+import * as speedLearners from "./speed_learner.ts";
 import * as uneven from "./uneven_speeds.ts";
 import * as speeds from "./endpoint_speeds.ts";
 
@@ -28,33 +28,34 @@
   /** Times derived from listings: arrival, end of the cold start, departure. */
   readonly times: listingTimes.ListingTimes;
   /** Endpoints that stopped answering or crashed recently. */
-  readonly silences: silences.SilenceLog;
+  readonly failureLog: failureLogs.EndpointFailureLog;
   readonly #sessions: endpointSessions.EndpointSessions;
   readonly #changes: listingChanges.ListingChanges;
-  readonly #states: planStates.EndpointStates;
+  readonly #snapshots: snapshots.EndpointSnapshots;
 
   constructor(options: directoryOptions.DirectoryOptions) {
     const { listener, ports: { clock, evacuations } } = options;
     this.times = new listingTimes.ListingTimes(clock);
-    this.silences = new silences.SilenceLog({
+    this.failureLog = new failureLogs.EndpointFailureLog({
       clock,
-      onExcused: (victims, fellows) => listener.crashExcused(victims, fellows),
+      onExcused: (affectedRuns, scale) =>
+        listener.crashExcused(affectedRuns, scale),
     });
     const listings = new acceptedListings.AcceptedListings(clock);
     this.#sessions = new endpointSessions.EndpointSessions({
       options,
       listings,
-      silences: this.silences,
+      failureLog: this.failureLog,
     });
     const { times, speeds, unevenSpeeds } = this;
     const sessions = this.#sessions;
     const parts = { listings, sessions, times, speeds, unevenSpeeds };
     this.#changes = new listingChanges.ListingChanges({ ...parts, options });
-    this.#states = new planStates.EndpointStates({
+    this.#snapshots = new snapshots.EndpointSnapshots({
       ...parts,
       clock,
       evacuations,
-      silences: this.silences,
+      failureLog: this.failureLog,
       doEndpointsDiffer: options.doEndpointsDiffer,
     });
   }
@@ -76,7 +77,7 @@
    * Handles another incarnation answering under this id; its pending listing, if any,
    * takes effect.
    */
-  lifeBegan(id: string): void {
+  noteNewIncarnation(id: string): void {
     this.#changes.noteNewIncarnation(id);
   }
 
@@ -93,7 +94,7 @@
   /** Whether the endpoint's incarnation has answered and has ended since. */
   hasEnded(id: string): boolean {
     const session = this.#sessions.get(id);
-    return session !== undefined && session.isOver && session.wasHeard;
+    return session !== undefined && session.isOver && session.hasAnswered;
   }
 
   /**
@@ -102,32 +103,32 @@
    */
   open(
     id: string,
-    recorded: endpointSessions.RecordedPlace | null = null,
+    recorded: endpointSessions.RecordedEndpoint | null = null,
   ): sessions.EndpointSession | null {
     return this.#sessions.open(id, recorded);
   }
 
-  /** Endpoint states for the scheduler. */
-  states(): Scheduler.WorkerState[] {
-    return this.#states.all();
+  /** Endpoint snapshots for the scheduler. */
+  states(): Scheduler.EndpointSnapshot[] {
+    return this.#snapshots.all();
   }
 
   /** Speeds of all listed endpoints; 1 where there are too few samples. */
-  sureSpeeds(): readonly number[] {
-    return this.#states.all().map(({ id }) =>
+  confidentSpeeds(): readonly number[] {
+    return this.#snapshots.all().map(({ id }) =>
       this.unevenSpeeds.confidentOf(id)
     );
   }
 
   /** Learns speeds from a single (non-gang) task that completed. */
   learnFrom(
-    { task, compared, wasCold }: occupants.Occupant,
+    { task, isCompared, wasCold }: assignments.Assignment,
     tookMs: number,
   ): void {
-    const { worker } = task;
-    if (worker === null || wasCold || tookMs <= 0) return;
-    const run = { endpoint: worker, rate: DONE_PERCENT / tookMs };
-    this.speedLearner.noteEnd({ task, run, isFresh: !compared });
+    const { endpoint } = task;
+    if (endpoint === null || wasCold || tookMs <= 0) return;
+    const run = { endpoint, rate: DONE_PERCENT / tookMs };
+    this.speedLearner.noteEnd({ task, run, isFresh: !isCompared });
   }
 
   /**
@@ -135,29 +136,29 @@
    * differ.
    */
   comparisonSpeed(id: string): number {
-    return this.#states.comparisonSpeed(id);
+    return this.#snapshots.comparisonSpeed(id);
   }
 
   /** Rack and speed of an endpoint; null where it is not listed. */
   siteOf(id: string): { rack: string; speed: number } | null {
-    return this.#states.siteOf(id);
+    return this.#snapshots.siteOf(id);
   }
 
   /** Accelerators of endpoints that are listed, not draining and not evacuated. */
-  get openAccelerators(): number {
-    return this.#states.schedulableAccelerators;
+  get schedulableAccelerators(): number {
+    return this.#snapshots.schedulableAccelerators;
   }
 
   /** Number of runs that endpoints of a data centre hold or may hold. */
   runsIn(dataCentre: string): number {
     return [...this.#sessions.all]
       .filter((session) => session.dataCentre === dataCentre)
-      .reduce((sum, { occupants }) => sum + occupants.length, 0);
+      .reduce((sum, { assignments }) => sum + assignments.length, 0);
   }
 
   /** Delay of this box's own processing, in ms. */
-  get lateMs(): number {
-    return this.#sessions.lateMs;
+  get delayMs(): number {
+    return this.#sessions.delayMs;
   }
 
   /** Closes sessions with endpoints that are unlisted and hold no runs. */
--- a/packages/coordinator/src/endpoints/silence_log.ts
+++ b/packages/coordinator/src/endpoints/endpoint_failure_log.ts
@@ -30,36 +30,36 @@
   /** When another incarnation was seen; null while it is only silent. */
   crashedAtMs: number | null;
   /** Runs that it had, or may have had, when it crashed. */
-  victims: readonly Victim[];
+  affectedRuns: readonly AffectedRun[];
   /** Whether one of its tasks had crashed another endpoint before. */
   hasSuspectTask: boolean;
-  /** Number of correlated failures last reported for its victims. */
-  fellows: Workflow.CrashFellows;
+  /** Number of correlated failures last reported for its affected runs. */
+  scale: Workflow.CrashScale;
 }
 
 /** A task that ran, or may have run, on an endpoint that crashed. */
-export interface Victim {
+export interface AffectedRun {
   readonly task: Workflow.Task;
   readonly run: number;
   readonly presence: Workflow.Presence;
 }
 
-/** Options of the silence log. */
-export interface SilenceLogOptions {
+/** Options of the failure log. */
+export interface EndpointFailureLogOptions {
   readonly clock: Ports.Clock;
   /** Called when more correlated failures are found after a crash was counted. */
   readonly onExcused: (
-    victims: readonly Victim[],
-    fellows: Workflow.CrashFellows,
+    affectedRuns: readonly AffectedRun[],
+    scale: Workflow.CrashScale,
   ) => void;
 }
 
 /** Failures of the last seconds, by address. */
-export class SilenceLog {
-  readonly #options: SilenceLogOptions;
+export class EndpointFailureLog {
+  readonly #options: EndpointFailureLogOptions;
   readonly #failures = new Map<string, EndpointFailure>();
 
-  constructor(options: SilenceLogOptions) {
+  constructor(options: EndpointFailureLogOptions) {
     this.#options = options;
   }
 
@@ -69,7 +69,7 @@
   }
 
   /** Notes that an endpoint answers again in the same incarnation. */
-  noteHeard({ address }: Ports.EndpointRef): void {
+  noteAnswered({ address }: Ports.EndpointRef): void {
     if (this.#failures.get(address)?.crashedAtMs === null) {
       this.#failures.delete(address);
     }
@@ -81,22 +81,22 @@
    */
   noteCrash(
     { address }: Ports.EndpointRef,
-    victims: readonly Victim[],
-  ): Workflow.CrashFellows {
+    affectedRuns: readonly AffectedRun[],
+  ): Workflow.CrashScale {
     const failure = this.#note(address);
     failure.crashedAtMs = this.#options.clock.monotonicMs();
-    failure.victims = victims;
-    failure.hasSuspectTask = victims.some(({ task }) => task.isSuspect);
+    failure.affectedRuns = affectedRuns;
+    failure.hasSuspectTask = affectedRuns.some(({ task }) => task.isSuspect);
     const correlated = [...this.#failures.values()].filter((other) =>
       areCorrelated(failure, other)
     );
     const otherCount = correlated.filter((one) => !one.hasSuspectTask).length;
-    const fellows = classifyFellows(otherCount);
+    const scale = classifyScale(otherCount);
     for (const one of correlated) {
-      if (one !== failure) this.#raiseFellows(one, fellows);
+      if (one !== failure) this.#raiseScale(one, scale);
     }
-    failure.fellows = fellowsFor(failure, fellows);
-    return failure.fellows;
+    failure.scale = scaleFor(failure, scale);
+    return failure.scale;
   }
 
   /**
@@ -123,39 +123,39 @@
     const failure: EndpointFailure = {
       silentAtMs: nowMs,
       crashedAtMs: null,
-      victims: [],
+      affectedRuns: [],
       hasSuspectTask: false,
-      fellows: Workflow.CrashFellows.Few,
+      scale: Workflow.CrashScale.Few,
     };
     this.#failures.set(address, failure);
     return failure;
   }
 
-  #raiseFellows(failure: EndpointFailure, found: Workflow.CrashFellows): void {
-    const fellows = fellowsFor(failure, found);
-    if (failure.crashedAtMs === null || fellows <= failure.fellows) return;
-    failure.fellows = fellows;
-    this.#options.onExcused(failure.victims, fellows);
+  #raiseScale(failure: EndpointFailure, found: Workflow.CrashScale): void {
+    const scale = scaleFor(failure, found);
+    if (failure.crashedAtMs === null || scale <= failure.scale) return;
+    failure.scale = scale;
+    this.#options.onExcused(failure.affectedRuns, scale);
   }
 }
 
-function classifyFellows(otherCount: number): Workflow.CrashFellows {
-  if (otherCount >= MIN_POWER_LOSS) return Workflow.CrashFellows.Many;
+function classifyScale(otherCount: number): Workflow.CrashScale {
+  if (otherCount >= MIN_POWER_LOSS) return Workflow.CrashScale.Many;
   return otherCount > MAX_TASK_CRASHES
-    ? Workflow.CrashFellows.Several
-    : Workflow.CrashFellows.Few;
+    ? Workflow.CrashScale.Several
+    : Workflow.CrashScale.Few;
 }
 
 /**
  * A suspect task explains the failure of its endpoint, unless very many failed with it.
  */
-function fellowsFor(
+function scaleFor(
   { hasSuspectTask }: EndpointFailure,
-  fellows: Workflow.CrashFellows,
-): Workflow.CrashFellows {
-  return hasSuspectTask && fellows < Workflow.CrashFellows.Many
-    ? Workflow.CrashFellows.Few
-    : fellows;
+  scale: Workflow.CrashScale,
+): Workflow.CrashScale {
+  return hasSuspectTask && scale < Workflow.CrashScale.Many
+    ? Workflow.CrashScale.Few
+    : scale;
 }
 
 function areCorrelated(one: EndpointFailure, other: EndpointFailure): boolean {
--- a/packages/coordinator/src/endpoints/endpoint_health.ts
+++ b/packages/coordinator/src/endpoints/endpoint_health.ts
@@ -43,19 +43,19 @@
   #provenUntilMs = Number.NEGATIVE_INFINITY;
 
   /** Whether the endpoint is in backoff and receives no work. */
-  isAside(nowMs: number): boolean {
+  isInBackoff(nowMs: number): boolean {
     return nowMs < this.#backoffUntilMs;
   }
 
   /** Whether the endpoint may still fail whatever it starts. */
-  isDoubted(nowMs: number): boolean {
+  isUnreliable(nowMs: number): boolean {
     if (nowMs < this.#suspectUntilMs) return true;
-    return !this.isAside(nowMs) && nowMs < this.#throttledUntilMs;
+    return !this.isInBackoff(nowMs) && nowMs < this.#throttledUntilMs;
   }
 
   /** Whether a run has recently gone well on this endpoint. */
   isProven(nowMs: number): boolean {
-    return nowMs < this.#provenUntilMs && !this.isDoubted(nowMs);
+    return nowMs < this.#provenUntilMs && !this.isUnreliable(nowMs);
   }
 
   /** Notes a run that has been running for `ranMs`. */
@@ -67,13 +67,13 @@
   }
 
   /** Notes a run that failed after `ranMs`. */
-  ranAndFailed(nowMs: number, ranMs: number): void {
-    this.failed(nowMs);
+  noteRunFailure(nowMs: number, ranMs: number): void {
+    this.noteFailure(nowMs);
     if (ranMs < EARLY_FAILURE_MS) this.#suspectUntilMs = nowMs + SUSPECT_MS;
   }
 
   /** Notes a run that completed successfully. */
-  succeeded(nowMs: number): void {
+  noteSuccess(nowMs: number): void {
     this.#provenUntilMs = nowMs + PROVEN_MS;
     this.#consecutiveFailures = 0;
     this.#backoffUntilMs = Number.NEGATIVE_INFINITY;
@@ -81,7 +81,7 @@
   }
 
   /** Notes a start that was refused although there should be free capacity. */
-  refused(nowMs: number): void {
+  noteRefusal(nowMs: number): void {
     this.#backoffUntilMs = Math.max(
       this.#backoffUntilMs,
       nowMs + REFUSED_BACKOFF_MS,
@@ -97,7 +97,7 @@
   }
 
   /** Notes a failed run or an unanswered order. */
-  failed(nowMs: number): void {
+  noteFailure(nowMs: number): void {
     const scaledMs = (factor: number) =>
       INITIAL_BACKOFF_MS * factor ** this.#consecutiveFailures;
     const backoffMs = Math.min(scaledMs(BACKOFF_FACTOR), MAX_BACKOFF_MS);
--- a/packages/coordinator/src/endpoints/endpoint_sessions.ts
+++ b/packages/coordinator/src/endpoints/endpoint_sessions.ts
@@ -7,21 +7,21 @@
 import * as restart from "../restart.ts";
 import * as loads from "../sessions/box_load.ts";
 import * as leaseClocks from "../sessions/lease_clock.ts";
-import * as looses from "../sessions/loose_starts.ts";
+import * as unansweredStarts from "../sessions/unanswered_starts.ts";
 import * as sessions from "../sessions/endpoint_session.ts";
 import type * as directoryOptions from "./directory_options.ts";
-import type * as acceptedListings from "./listing_book.ts";
-import type * as silences from "./silence_log.ts";
+import type * as acceptedListings from "./accepted_listings.ts";
+import type * as failureLogs from "./endpoint_failure_log.ts";
 
 /** Collaborators of the sessions. */
 export interface EndpointSessionsOptions {
   readonly options: directoryOptions.DirectoryOptions;
   readonly listings: acceptedListings.AcceptedListings;
-  readonly silences: silences.SilenceLog;
+  readonly failureLog: failureLogs.EndpointFailureLog;
 }
 
 /** Address and birth time under which the records name an endpoint. */
-export interface RecordedPlace {
+export interface RecordedEndpoint {
   readonly bornMs: number | null;
   readonly address?: string | null;
 }
@@ -56,7 +56,10 @@
   readonly #sessions = new Map<string, sessions.EndpointSession>();
   readonly #fibers = new Map<string, Fiber.Fiber<void>>();
   /** Unanswered starts by endpoint; they may be delivered after its session ends. */
-  readonly #looseStarts = new Map<string, looses.LooseStarts>();
+  readonly #unansweredStarts = new Map<
+    string,
+    unansweredStarts.UnansweredStarts
+  >();
   readonly #load: loads.BoxLoad;
   /**
    * Monotonic time, in ms, by which the leases given by earlier coordinators have
@@ -69,7 +72,7 @@
     this.#parts = parts;
     const { ports, ports: { clock, bounds } } = parts.options;
     this.#load = new loads.BoxLoad(ports);
-    this.#earlierLeaseExpiryMs = leaseClocks.foreignLapseMs(
+    this.#earlierLeaseExpiryMs = leaseClocks.foreignLeaseEndMs(
       clock.monotonicMs(),
       bounds.longestLeaseMs,
     );
@@ -86,8 +89,8 @@
   }
 
   /** Delay of this box's own processing, in ms. */
-  get lateMs(): number {
-    return this.#load.lateMs;
+  get delayMs(): number {
+    return this.#load.delayMs;
   }
 
   /**
@@ -97,7 +100,7 @@
   begin(): void {
     const { options: { recovery, ports: { clock, bounds } }, listings } =
       this.#parts;
-    this.#earlierLeaseExpiryMs = leaseClocks.foreignLapseMs(
+    this.#earlierLeaseExpiryMs = leaseClocks.foreignLeaseEndMs(
       clock.monotonicMs(),
       bounds.longestLeaseMs,
     );
@@ -118,7 +121,7 @@
    */
   open(
     id: string,
-    recorded: RecordedPlace | null = null,
+    recorded: RecordedEndpoint | null = null,
   ): sessions.EndpointSession | null {
     const existing = this.#sessions.get(id);
     if (existing !== undefined) return existing.isOver ? null : existing;
@@ -140,7 +143,7 @@
   reopen(former: sessions.EndpointSession): void {
     const session = this.open(former.ref.id);
     if (session !== null && !former.isOver) session.takeOver(former);
-    former.retire();
+    former.close();
   }
 
   /** Closes a session and interrupts its fiber. */
@@ -162,15 +165,15 @@
     const { listings } = this.#parts;
     for (const [id, session] of this.#sessions) {
       if (listings.get(id) !== undefined || !session.isIdle) continue;
-      if (session.hasUnheard) {
+      if (session.hasUnreported) {
         if (listings.unlistedForMs(id) >= GONE_AFTER_MS) session.suspectGone();
-        if (session.isAwaited) continue;
+        if (session.hasAwaitedEnds) continue;
       }
-      if (session.isOver || !session.hasLooseStarts) this.drop(session);
+      if (session.isOver || !session.hasUnansweredStarts) this.drop(session);
     }
-    for (const [id, { all }] of this.#looseStarts) {
+    for (const [id, { all }] of this.#unansweredStarts) {
       if (all.length === 0 && !this.#sessions.has(id)) {
-        this.#looseStarts.delete(id);
+        this.#unansweredStarts.delete(id);
       }
     }
   }
@@ -178,28 +181,28 @@
   /** Interrupts all session fibers and the orders that they retry. */
   close(): Effect.Effect<void> {
     return Effect.suspend(() => {
-      for (const session of this.#sessions.values()) session.retire();
+      for (const session of this.#sessions.values()) session.close();
       return Fiber.interruptAll(this.#fibers.values());
     });
   }
 
   #open(listing: SessionTarget): sessions.EndpointSession {
-    const { options, listings, silences } = this.#parts;
+    const { options, listings, failureLog } = this.#parts;
     const { id, address, bornMs, dataCentre } = listing;
     const ref = { id, address };
     const session = new sessions.EndpointSession({
       ...options,
       ref,
       listedBornMs: bornMs,
-      loose: this.#looseStartsOf(id),
+      unansweredStarts: this.#unansweredStartsOf(id),
       lapsesAtMs: this.#earlierLeaseExpiryMs,
       load: this.#load,
       progressWaitMs: () => this.#pollIntervalMs(),
-      silences,
+      failureLog,
       mayHold: (tasks) => this.#mayHold(id, tasks),
       dataCentre,
       isContested: listings.othersAt(ref).length > 0,
-      onHeard: (heard) => this.#endOthersAt(heard),
+      onAnswered: (heard) => this.#endOthersAt(heard),
     });
     session.noteListed(listing);
     this.#sessions.set(id, session);
@@ -207,11 +210,13 @@
     return session;
   }
 
-  #looseStartsOf(id: string): looses.LooseStarts {
-    const existing = this.#looseStarts.get(id);
+  #unansweredStartsOf(id: string): unansweredStarts.UnansweredStarts {
+    const existing = this.#unansweredStarts.get(id);
     if (existing !== undefined) return existing;
-    const created = new looses.LooseStarts(this.#parts.options.ports.clock);
-    this.#looseStarts.set(id, created);
+    const created = new unansweredStarts.UnansweredStarts(
+      this.#parts.options.ports.clock,
+    );
+    this.#unansweredStarts.set(id, created);
     return created;
   }
 
@@ -260,7 +265,7 @@
     const count = this.#sessions.size;
     const fleetIntervalMs = count / POLLS_PER_SECOND * 1000;
     const cappedIntervalMs = Math.min(MAX_POLL_INTERVAL_MS, fleetIntervalMs);
-    const loadIntervalMs = count * this.#load.spacingMs;
+    const loadIntervalMs = count * this.#load.pollSpacingMs;
     return Math.max(MIN_POLL_INTERVAL_MS, cappedIntervalMs, loadIntervalMs);
   }
 }
--- a/packages/coordinator/src/endpoints/plan_states.ts
+++ b/packages/coordinator/src/endpoints/endpoint_snapshots.ts
@@ -1,18 +1,18 @@
-/** Endpoint states for the scheduler. */
+/** Endpoint snapshots for the scheduler. */
 import type * as Ports from "@cairngate/ports";
 import type * as Scheduler from "@cairngate/workflow-scheduler";
-import type * as evacuations from "./evacuation_book.ts";
+import type * as evacuations from "./evacuation_tracker.ts";
 import type * as endpointSessions from "./endpoint_sessions.ts";
-import type * as acceptedListings from "./listing_book.ts";
+import type * as acceptedListings from "./accepted_listings.ts";
 import type * as listingTimes from "./listing_times.ts";
-import type * as silences from "./silence_log.ts";
+import type * as failureLogs from "./endpoint_failure_log.ts";
 import type * as uneven from "./uneven_speeds.ts";
 import type * as speeds from "./endpoint_speeds.ts";
 
-/** Sources of the endpoint states. */
-export interface EndpointStatesOptions {
+/** Sources of the endpoint snapshots. */
+export interface EndpointSnapshotsOptions {
   readonly clock: Ports.Clock;
-  readonly evacuations: evacuations.EvacuationBook;
+  readonly evacuations: evacuations.EvacuationTracker;
   readonly listings: acceptedListings.AcceptedListings;
   readonly sessions: endpointSessions.EndpointSessions;
   readonly times: listingTimes.ListingTimes;
@@ -20,7 +20,7 @@
   readonly unevenSpeeds: uneven.UnevenSpeeds;
   /** Whether endpoint speeds differ enough for the uneven-speed model to apply. */
   readonly doEndpointsDiffer: () => boolean;
-  readonly silences: silences.SilenceLog;
+  readonly failureLog: failureLogs.EndpointFailureLog;
 }
 
 interface PlanMoment {
@@ -29,19 +29,19 @@
   readonly mayStart: boolean;
 }
 
-/** Builds the states of all listed endpoints. */
-export class EndpointStates {
-  readonly #options: EndpointStatesOptions;
+/** Builds the snapshots of all listed endpoints. */
+export class EndpointSnapshots {
+  readonly #options: EndpointSnapshotsOptions;
 
-  constructor(options: EndpointStatesOptions) {
+  constructor(options: EndpointSnapshotsOptions) {
     this.#options = options;
   }
 
-  /** Current states of all listed endpoints. */
-  all(): Scheduler.WorkerState[] {
+  /** Current snapshots of all listed endpoints. */
+  all(): Scheduler.EndpointSnapshot[] {
     const { clock, evacuations, listings } = this.#options;
     const nowMs = clock.monotonicMs();
-    const mayStart = !evacuations.mayBeLate;
+    const mayStart = !evacuations.mayBeOutdated;
     return Array.from(
       listings.all,
       (listing) => this.#stateOf(listing, { nowMs, mayStart }),
@@ -80,8 +80,8 @@
   #stateOf(
     listing: Ports.EndpointListing,
     at: PlanMoment,
-  ): Scheduler.WorkerState {
-    const { sessions, times, silences } = this.#options;
+  ): Scheduler.EndpointSnapshot {
+    const { sessions, times, failureLog } = this.#options;
     const { id, address } = listing;
     const { nowMs, mayStart } = at;
     const session = sessions.open(id);
@@ -94,12 +94,12 @@
       total: listing,
       usable: mayStart && this.#isSchedulable(listing) &&
         session !== null && session.isUsable && !session.isOnProbation(nowMs),
-      isDoubted: session?.health.isDoubted(nowMs) ?? false,
+      isUnreliable: session?.health.isUnreliable(nowMs) ?? false,
       isProven: session?.health.isProven(nowMs) ?? false,
       isCold: times.isCold(id),
-      hasCrashedLately: silences.hasCrashedLately(address),
+      hasCrashedLately: failureLog.hasCrashedLately(address),
       speed: this.speedOf(id),
-      occupants: session?.occupants.map(({ task }) => task) ?? [],
+      tasks: session?.assignments.map(({ task }) => task) ?? [],
     };
   }
 
--- a/packages/coordinator/src/endpoints/evacuation_book.ts
+++ b/packages/coordinator/src/endpoints/evacuation_tracker.ts
@@ -7,8 +7,8 @@
 import type * as Logger from "@cairngate/logger";
 import * as Ports from "@cairngate/ports";
 
-/** Options of the evacuation book. */
-export interface EvacuationBookOptions {
+/** Options of the evacuation tracker. */
+export interface EvacuationTrackerOptions {
   readonly clock: Ports.Clock;
   readonly log: Logger.Logger;
   /** Time from the operator's command until nothing starts there any more, in ms. */
@@ -30,19 +30,19 @@
 const ORDER_MARGIN_MS = 700;
 
 /** Data centres in which nothing may start. */
-export class EvacuationBook {
-  readonly #options: EvacuationBookOptions;
+export class EvacuationTracker {
+  readonly #options: EvacuationTrackerOptions;
   /** Evacuations by row key: the change that removes a row carries only its key. */
   readonly #byRow = new Map<string, Evacuation>();
   #syncedAtMs = Number.NEGATIVE_INFINITY;
   #syncedAtWallMs = Number.NEGATIVE_INFINITY;
 
-  constructor(options: EvacuationBookOptions) {
+  constructor(options: EvacuationTrackerOptions) {
     this.#options = options;
   }
 
   /** Applies changes of the operator's rows. */
-  take(entries: readonly Ports.FeedEntry<Ports.OperatorEntry>[]): void {
+  applyChanges(entries: readonly Ports.FeedEntry<Ports.OperatorEntry>[]): void {
     for (const { key, value } of entries) {
       if (value === null) this.#endEvacuation(key);
       else if (value.kind === Ports.OperatorEntryKind.Evacuation) {
@@ -52,7 +52,7 @@
   }
 
   /** Notes that all of the operator's rows are up to date as of now. */
-  noteHeard(): void {
+  noteSynced(): void {
     const { clock } = this.#options;
     this.#syncedAtMs = clock.monotonicMs();
     this.#syncedAtWallMs = clock.wallMs();
@@ -63,7 +63,7 @@
    * count: the monotonic clock may have stopped while the box was suspended, the wall
    * clock has not.
    */
-  get mayBeLate(): boolean {
+  get mayBeOutdated(): boolean {
     const { clock, inForceMs } = this.#options;
     const staleForMs = Math.max(
       clock.monotonicMs() - this.#syncedAtMs,
@@ -83,7 +83,7 @@
 
   /** Whether a task may start in a data centre now. */
   mayStart(dataCentre: string): boolean {
-    return !this.mayBeLate && !this.isEvacuated(dataCentre);
+    return !this.mayBeOutdated && !this.isEvacuated(dataCentre);
   }
 
   /** All evacuations, in the order in which they were received. */
--- a/packages/coordinator/src/endpoints/listing_changes.ts
+++ b/packages/coordinator/src/endpoints/listing_changes.ts
@@ -6,9 +6,9 @@
 import * as Effect from "effect/Effect";
 import type * as sessions from "../sessions/endpoint_session.ts";
 import type * as directoryOptions from "./directory_options.ts";
-import * as conflicts from "./doubted_listings.ts";
+import * as conflicts from "./conflicting_listings.ts";
 import type * as endpointSessions from "./endpoint_sessions.ts";
-import type * as acceptedListings from "./listing_book.ts";
+import type * as acceptedListings from "./accepted_listings.ts";
 import type * as listingTimes from "./listing_times.ts";
 import type * as uneven from "./uneven_speeds.ts";
 import type * as speeds from "./endpoint_speeds.ts";
@@ -64,7 +64,9 @@
   #list(listing: Ports.EndpointListing): void {
     const { sessions } = this.#parts;
     const session = sessions.get(listing.id);
-    if (session?.isOver === true && session.isOfOtherLife(listing.bornMs)) {
+    if (
+      session?.isOver === true && session.isOfOtherIncarnation(listing.bornMs)
+    ) {
       sessions.drop(session);
     }
     if (this.#conflicts.isConflicting(listing)) this.#conflicts.add(listing);
@@ -97,7 +99,7 @@
     if (session === undefined || session.ref.address === listing.address) {
       return null;
     }
-    if (session.wasHeard && !session.isOver) return null;
+    if (session.hasAnswered && !session.isOver) return null;
     sessions.drop(session);
     return session;
   }
@@ -111,7 +113,7 @@
     const { listings, sessions } = this.#parts;
     for (const other of listings.othersAt(listing)) {
       const session = sessions.get(other);
-      if (session !== undefined) Effect.runFork(session.ask());
+      if (session !== undefined) Effect.runFork(session.pollNow());
     }
   }
 
--- a/packages/coordinator/src/endpoints/run_watch.ts
+++ b/packages/coordinator/src/endpoints/run_monitor.ts
@@ -1,7 +1,7 @@
 /** Watches runs: restarts stragglers and moves runs off leaving endpoints. */
 import * as Workflow from "@cairngate/workflow";
 import * as leavingRuns from "./leaving_runs.ts";
-import type * as occupants from "../sessions/occupant.ts";
+import type * as assignments from "../sessions/assignment.ts";
 import type * as ports from "../ports.ts";
 import type * as controls from "../work/run_control.ts";
 import type * as paces from "../sessions/run_pace.ts";
@@ -14,7 +14,7 @@
 const MIN_COMPARED_RUNS = 3;
 
 /** Checks all runs; called periodically. */
-export class RunWatch {
+export class RunMonitor {
   readonly #ports: ports.CoordinatorPorts;
   readonly #directory: directories.EndpointDirectory;
   readonly #control: controls.RunControl;
@@ -30,22 +30,24 @@
   }
 
   /** Checks all runs once. */
-  look(): void {
-    const occupants = this.#occupantsInProgress();
+  check(): void {
+    const assignments = this.#assignmentsInProgress();
     const nowMs = this.#ports.clock.monotonicMs();
-    for (const { occupant, pace, endpoint } of occupants) {
-      occupant.wasCold ||= this.#directory.times.isCold(endpoint);
+    for (const { assignment, pace, endpoint } of assignments) {
+      assignment.wasCold ||= this.#directory.times.isCold(endpoint);
       this.#directory.session(endpoint)?.health.noteRunning(
         nowMs,
         pace.watchedMs,
       );
     }
     // Rates measured on a cold endpoint do not represent its speed.
-    this.#compareSpeeds(occupants.filter(({ occupant }) => !occupant.wasCold));
+    this.#compareSpeeds(
+      assignments.filter(({ assignment }) => !assignment.wasCold),
+    );
     const isWarm = ({ endpoint }: WatchedRun) =>
       !this.#directory.times.isCold(endpoint);
-    this.#restartStragglers(occupants.filter(isWarm));
-    this.#moveLeavingRuns(occupants.map((one) => this.#progressOf(one)));
+    this.#restartStragglers(assignments.filter(isWarm));
+    this.#moveLeavingRuns(assignments.map((one) => this.#progressOf(one)));
     this.#directory.closeUnlisted();
   }
 
@@ -53,48 +55,48 @@
     const steps = new Map<readonly Workflow.Task[], WatchedRun[]>();
     for (const one of watched) {
       if (one.pace.watchedMs < MIN_COMPARED_AGE_MS) continue;
-      const { task } = one.occupant;
+      const { task } = one.assignment;
       const siblings = task.workflow.siblings(task);
       const group = steps.get(siblings);
       if (group === undefined) steps.set(siblings, [one]);
       else group.push(one);
     }
     for (const runs of steps.values()) {
-      const rates = runs.map(({ pace }) => pace.came / pace.watchedMs);
-      const fresh = runs.flatMap(({ occupant, endpoint }, i) =>
-        occupant.compared ? [] : [{ endpoint, rate: rates[i] }]
+      const rates = runs.map(({ pace }) => pace.gainedPercent / pace.watchedMs);
+      const fresh = runs.flatMap(({ assignment, endpoint }, i) =>
+        assignment.isCompared ? [] : [{ endpoint, rate: rates[i] }]
       );
       this.#directory.speeds.compare(rates, fresh);
-      const { task } = runs[0].occupant;
+      const { task } = runs[0].assignment;
       const siblings = task.workflow.siblings(task);
       if (runs.length < Math.min(MIN_COMPARED_RUNS, siblings.length)) continue;
       this.#directory.speedLearner.noteRunning(
-        runs.map(({ occupant, endpoint }, i) => ({
-          task: occupant.task,
+        runs.map(({ assignment, endpoint }, i) => ({
+          task: assignment.task,
           run: { endpoint, rate: rates[i] },
-          isFresh: !occupant.compared,
+          isFresh: !assignment.isCompared,
         })),
       );
-      for (const { occupant } of runs) occupant.compared = true;
+      for (const { assignment } of runs) assignment.isCompared = true;
     }
   }
 
   #restartStragglers(
-    occupants: readonly WatchedRun[],
+    assignments: readonly WatchedRun[],
   ): void {
     const { clock, log, metrics } = this.#ports;
     const nowMs = clock.monotonicMs();
-    const runs = occupants.map((one) => this.#progressOf(one));
+    const runs = assignments.map((one) => this.#progressOf(one));
     const found = stragglers.findStragglers(runs);
-    for (const { occupant } of occupants) {
-      const isSlow = found.slow.has(occupant.task);
-      occupant.slowSinceMs = isSlow ? occupant.slowSinceMs ?? nowMs : null;
+    for (const { assignment } of assignments) {
+      const isSlow = found.slow.has(assignment.task);
+      assignment.slowSinceMs = isSlow ? assignment.slowSinceMs ?? nowMs : null;
     }
     for (const id of found.endpoints) {
       this.#directory.session(id)?.health.noteSlow(nowMs);
     }
     for (const task of found.restart) {
-      if (task.hasFewStarts) continue;
+      if (task.isNearStartLimit) continue;
       log.info(
         `Run ${task.run} of ${task.name} is a straggler: it is stopped and restarted.`,
       );
@@ -120,20 +122,20 @@
     }
   }
 
-  #occupantsInProgress(): WatchedRun[] {
+  #assignmentsInProgress(): WatchedRun[] {
     return [...this.#directory.sessions].flatMap((session) =>
-      session.occupants.flatMap((occupant) => {
-        const { task, run, pace } = occupant;
+      session.assignments.flatMap((assignment) => {
+        const { task, run, pace } = assignment;
         const isRunning = task.state === Workflow.TaskState.Running &&
           task.run === run;
         if (!isRunning || pace === null) return [];
-        return [{ occupant, pace, endpoint: session.ref.id }];
+        return [{ assignment, pace, endpoint: session.ref.id }];
       })
     );
   }
 
   #progressOf(watched: WatchedRun): stragglers.RunProgress {
-    const { occupant: { task, slowSinceMs }, pace, endpoint } = watched;
+    const { assignment: { task, slowSinceMs }, pace, endpoint } = watched;
     const nowMs = this.#ports.clock.monotonicMs();
     return {
       task,
@@ -141,7 +143,7 @@
       ranMs: pace.watchedMs,
       speed: this.#directory.comparisonSpeed(endpoint),
       percent: pace.percent,
-      progressPercent: pace.came,
+      progressPercent: pace.gainedPercent,
       recentRate: pace.recentRate,
       earlierRate: pace.earlierRate,
       slowForMs: slowSinceMs === null ? 0 : nowMs - slowSinceMs,
@@ -151,7 +153,7 @@
 
 /** A run whose endpoint has reported its progress. */
 interface WatchedRun {
-  readonly occupant: occupants.Occupant;
+  readonly assignment: assignments.Assignment;
   readonly pace: paces.RunPace;
   readonly endpoint: string;
 }
--- a/packages/coordinator/src/endpoints/speed_lessons.ts
+++ b/packages/coordinator/src/endpoints/speed_learner.ts
@@ -36,7 +36,7 @@
   /**
    * Durations of single tasks relative to their estimates, including members of gangs.
    */
-  readonly #estimates = new Scheduler.EstimateBook();
+  readonly #estimates = new Scheduler.EstimateCorrections();
   readonly #steps = new WeakMap<readonly Workflow.Task[], StepHistory>();
 
   constructor(unevenSpeeds: uneven.UnevenSpeeds) {
@@ -84,7 +84,7 @@
     for (const { endpoint, rate } of fresh) {
       const tookMs = DONE_PERCENT / rate;
       const speed = this.#speeds.of(endpoint);
-      this.#estimates.note({ queue, estimateMs, tookMs, speed });
+      this.#estimates.record({ queue, estimateMs, tookMs, speed });
     }
   }
 }
--- a/packages/coordinator/src/load/forecast_maker.ts
+++ b/packages/coordinator/src/load/forecast_maker.ts
@@ -6,8 +6,8 @@
 import type * as directories from "../endpoints/endpoint_directory.ts";
 import type * as ports from "../ports.ts";
 import * as guarantees from "../work/guarantee_watch.ts";
-import type * as hardLoads from "./hard_load_watch.ts";
-import * as settledServices from "./known_services.ts";
+import type * as hardLoads from "./hard_load_detector.ts";
+import * as settledServices from "./settled_services.ts";
 import * as surveys from "./load_survey.ts";
 
 /** Sources of the forecasts. */
@@ -15,7 +15,7 @@
   readonly ports: ports.CoordinatorPorts;
   readonly term: terms.Term;
   readonly directory: directories.EndpointDirectory;
-  readonly hardLoad: hardLoads.HardLoadWatch;
+  readonly hardLoad: hardLoads.HardLoadDetector;
   readonly live: () => readonly Workflow.Workflow[];
 }
 
--- a/packages/coordinator/src/load/hard_load_watch.ts
+++ b/packages/coordinator/src/load/hard_load_detector.ts
@@ -7,7 +7,7 @@
 import type * as ports from "../ports.ts";
 
 /** Detects the hard load of one term. */
-export class HardLoadWatch {
+export class HardLoadDetector {
   readonly #ports: Pick<ports.CoordinatorPorts, "hardLoad" | "log" | "metrics">;
   #load: Scheduler.HardLoad = Scheduler.NO_HARD_LOAD;
 
@@ -23,7 +23,7 @@
   }
 
   /** Detects the load again; logs a change and sets the gauges. */
-  look(
+  update(
     guarantees: ReadonlyMap<string, number>,
     speeds: readonly number[],
   ): void {
@@ -34,7 +34,7 @@
     this.#load = {
       teamsCompete: isUsed(
         competingTeams,
-        () => Scheduler.haveLargeTeam(guarantees),
+        () => Scheduler.hasDominantTeam(guarantees),
       ),
       endpointsDiffer: isUsed(
         unevenEndpoints,
--- a/packages/coordinator/src/load/hard_load_watch_test.ts
+++ b/packages/coordinator/src/load/hard_load_detector_test.ts
@@ -3,41 +3,41 @@
 import * as Metrics from "@cairngate/metrics";
 import * as Types from "@cairngate/types";
 import * as vitest from "vitest";
-import * as watches from "./hard_load_watch.ts";
+import * as detectors from "./hard_load_detector.ts";
 
 const UNEVEN_TEAMS = new Map([["large", 400], ["a", 50], ["b", 50]]);
 const EVEN_TEAMS = new Map([["a", 50], ["b", 50]]);
 const UNEVEN_SPEEDS = [0.6, 0.6, 1, 1, 1.5, 1.5];
 
-function watch(competing: Types.FeatureUse, uneven: Types.FeatureUse) {
-  return new watches.HardLoadWatch({
+function detect(competing: Types.FeatureUse, uneven: Types.FeatureUse) {
+  return new detectors.HardLoadDetector({
     hardLoad: { competingTeams: competing, unevenEndpoints: uneven },
     log: Logger.silentLogger(),
     metrics: new Metrics.Metrics(),
   });
 }
 
-vitest.describe("HardLoadWatch", () => {
+vitest.describe("HardLoadDetector", () => {
   vitest.it("detects no load where the settings turn the features off", () => {
-    const off = watch(Types.FeatureUse.Off, Types.FeatureUse.Off);
-    off.look(UNEVEN_TEAMS, UNEVEN_SPEEDS);
+    const off = detect(Types.FeatureUse.Off, Types.FeatureUse.Off);
+    off.update(UNEVEN_TEAMS, UNEVEN_SPEEDS);
     vitest.expect(off.load)
       .toEqual({ teamsCompete: false, endpointsDiffer: false });
   });
 
   vitest.it("detects load from guarantees and speeds in auto mode", () => {
-    const auto = watch(Types.FeatureUse.Auto, Types.FeatureUse.Auto);
-    auto.look(UNEVEN_TEAMS, [1, 1, 1]);
+    const auto = detect(Types.FeatureUse.Auto, Types.FeatureUse.Auto);
+    auto.update(UNEVEN_TEAMS, [1, 1, 1]);
     vitest.expect(auto.load)
       .toEqual({ teamsCompete: true, endpointsDiffer: false });
-    auto.look(EVEN_TEAMS, UNEVEN_SPEEDS);
+    auto.update(EVEN_TEAMS, UNEVEN_SPEEDS);
     vitest.expect(auto.load)
       .toEqual({ teamsCompete: false, endpointsDiffer: true });
   });
 
   vitest.it("reports load where the settings turn the features on", () => {
-    const on = watch(Types.FeatureUse.On, Types.FeatureUse.On);
-    on.look(EVEN_TEAMS, [1]);
+    const on = detect(Types.FeatureUse.On, Types.FeatureUse.On);
+    on.update(EVEN_TEAMS, [1]);
     vitest.expect(on.load)
       .toEqual({ teamsCompete: true, endpointsDiffer: true });
   });
--- a/packages/coordinator/src/load/load_survey.ts
+++ b/packages/coordinator/src/load/load_survey.ts
@@ -5,7 +5,7 @@
 
 /** Endpoints, workflows and guarantees that the survey covers. */
 export interface SurveyInput {
-  readonly endpoints: readonly Scheduler.WorkerState[];
+  readonly endpoints: readonly Scheduler.EndpointSnapshot[];
   /** Workflows of which something may still start. */
   readonly workflows: readonly Workflow.Workflow[];
   /** Accelerators guaranteed to each team. */
@@ -26,7 +26,7 @@
   const ranks = new Scheduler.Ranks(workflows, guarantees);
   const fastest = Math.max(1, ...endpoints.map(({ speed }) => speed));
   const urgentUse = new Map<string, number>();
-  const waits: Admission.Wait[] = [];
+  const waits: Admission.WaitingTasks[] = [];
   for (const workflow of workflows) {
     waits.push(...waitsOf(workflow, { input, ranks, fastest }));
     const isStillInUse = isUrgent(workflow) &&
@@ -37,7 +37,7 @@
     urgentUse.set(tenant, used + Scheduler.acceleratorsOf(workflow));
   }
   const runs = endpoints.flatMap((endpoint) =>
-    endpoint.occupants.map((task) => runOf(task, { endpoint, input, ranks }))
+    endpoint.tasks.map((task) => runOf(task, { endpoint, input, ranks }))
   );
   return { endpoints, runs, waits, urgentUse };
 }
@@ -56,7 +56,7 @@
     if (task.state === Workflow.TaskState.Done) continue;
     const leftMs = task.isPlaced
       ? leftOf(task, nowMs)
-      : task.step.estimateMs * Admission.SURE_SHARE / fastest;
+      : task.step.estimateMs * Admission.MIN_ESTIMATE_FACTOR / fastest;
     if (leftMs > Admission.STALE_MS) return true;
   }
   return false;
@@ -65,14 +65,14 @@
 function runOf(
   task: Workflow.Task,
   from: {
-    readonly endpoint: Scheduler.WorkerState;
+    readonly endpoint: Scheduler.EndpointSnapshot;
     readonly input: SurveyInput;
     readonly ranks: Scheduler.Ranks;
   },
-): Admission.Run {
+): Admission.RunningTask {
   const { endpoint: { service }, input: { nowMs }, ranks } = from;
   const rank = ranks.of(task.workflow);
-  const need = Admission.needOf(task.step);
+  const need = Admission.reservedResources(task.step);
   return { service, rank, need, leftMs: leftOf(task, nowMs) };
 }
 
@@ -82,7 +82,7 @@
 function leftOf(task: Workflow.Task, nowMs: number): number {
   if (task.state === Workflow.TaskState.Stopping) return 0;
   if (task.step.lasting) return Number.POSITIVE_INFINITY;
-  const sureMs = task.step.estimateMs * Admission.SURE_SHARE;
+  const sureMs = task.step.estimateMs * Admission.MIN_ESTIMATE_FACTOR;
   const endMs = task.endsAtMs ?? task.startedAtMs + sureMs;
   return Math.max(0, endMs - nowMs);
 }
@@ -94,23 +94,23 @@
     readonly ranks: Scheduler.Ranks;
     readonly fastest: number;
   },
-): Admission.Wait[] {
+): Admission.WaitingTasks[] {
   const { input: { wallMs }, ranks, fastest } = from;
   const rank = ranks.of(workflow);
   const { spec } = workflow;
-  const waits = new Map<string, Admission.Wait>();
+  const waits = new Map<string, Admission.WaitingTasks>();
   for (const unit of workflow.readyUnits(wallMs)) {
-    if (Scheduler.hopeOf(unit, wallMs) === Scheduler.Hope.None) continue;
+    if (Scheduler.outcomeOf(unit, wallMs) === Scheduler.Outcome.None) continue;
     const { step, tasks } = unit;
     const key = tasks[0].stepKey;
     const counted = waits.get(key)?.count ?? 0;
     waits.set(key, {
       service: spec.policy.service,
       rank,
-      need: Admission.needOf(step),
+      need: Admission.reservedResources(step),
       count: counted + tasks.length,
       gang: step.gang,
-      runMs: step.estimateMs * Admission.SURE_SHARE / fastest,
+      runMs: step.estimateMs * Admission.MIN_ESTIMATE_FACTOR / fastest,
       dueInMs: Workflow.objectiveAtMs(spec, unit.round) - wallMs,
     });
   }
--- a/packages/coordinator/src/load/run_estimates.ts
+++ b/packages/coordinator/src/load/run_estimates.ts
@@ -5,7 +5,7 @@
 import type * as Ports from "@cairngate/ports";
 import type * as Workflow from "@cairngate/workflow";
 import * as Scheduler from "@cairngate/workflow-scheduler";
-import type * as occupants from "../sessions/occupant.ts";
+import type * as assignments from "../sessions/assignment.ts";
 
 /** Rack and speed of an endpoint. */
 export interface RunSite {
@@ -19,13 +19,16 @@
   /** Rack and speed of an endpoint; null where it is not listed. */
   readonly siteOf: (endpoint: string) => RunSite | null;
   /** Called for each single (non-gang) task that completed. */
-  readonly onSingle: (occupant: occupants.Occupant, tookMs: number) => void;
+  readonly onSingleTaskDone: (
+    assignment: assignments.Assignment,
+    tookMs: number,
+  ) => void;
 }
 
 /** Accuracy of estimates, learned during one term. */
 export class RunEstimates {
   readonly #options: RunEstimatesOptions;
-  readonly #estimates = new Scheduler.EstimateBook();
+  readonly #estimates = new Scheduler.EstimateCorrections();
 
   constructor(options: RunEstimatesOptions) {
     this.#options = options;
@@ -37,15 +40,15 @@
   }
 
   /** Statistics for the state dump. */
-  describe(): readonly Scheduler.EstimateWorth[] {
+  describe(): readonly Scheduler.EstimateAccuracy[] {
     return this.#estimates.describe();
   }
 
   /**
    * Takes in a completed run. Has to be called before its workflow processes the end.
    */
-  noteDone(occupant: occupants.Occupant): void {
-    const { task, run, sentAtMs } = occupant;
+  noteDone(assignment: assignments.Assignment): void {
+    const { task, run, sentAtMs } = assignment;
     const { workflow, step } = task;
     const members = step.gang ? workflow.siblings(task) : [task];
     // The first end of a gang counts for all of it; at later ends members are already
@@ -53,14 +56,14 @@
     const isWhole = members.every((one) => one.isPlaced && one.run === run);
     const isResumed = step.checkpoints && run > 1;
     if (sentAtMs === null || step.lasting || isResumed || !isWhole) return;
-    const sites = members.map(({ worker }) =>
-      this.#options.siteOf(worker ?? "")
+    const sites = members.map(({ endpoint }) =>
+      this.#options.siteOf(endpoint ?? "")
     );
     if (!sites.every((site) => site !== null)) return;
     if (isRemote(step, sites)) return;
     const tookMs = this.#options.clock.monotonicMs() - sentAtMs;
-    if (!step.gang) this.#options.onSingle(occupant, tookMs);
-    this.#estimates.note({
+    if (!step.gang) this.#options.onSingleTaskDone(assignment, tookMs);
+    this.#estimates.record({
       queue: workflow.spec.policy.queue,
       estimateMs: step.estimateMs,
       tookMs,
--- a/packages/coordinator/src/load/run_estimates_test.ts
+++ b/packages/coordinator/src/load/run_estimates_test.ts
@@ -2,7 +2,7 @@
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
-import * as occupants from "../sessions/occupant.ts";
+import * as assignments from "../sessions/assignment.ts";
 import * as estimates from "./run_estimates.ts";
 
 const ESTIMATE_MS = 1000;
@@ -41,17 +41,17 @@
   const learned = new estimates.RunEstimates({
     clock,
     siteOf: (id) => SITES.get(id) ?? null,
-    onSingle: () => {},
+    onSingleTaskDone: () => {},
   });
   const placed = workflow.rounds[0][0].map((task, i) => {
     task.place(endpoints[i], run, clock.monotonicMs());
-    const occupant = occupants.createOccupant(task, null);
-    return { ...occupant, sentAtMs: clock.monotonicMs() - TOOK_MS };
+    const assignment = assignments.createAssignment(task, null);
+    return { ...assignment, sentAtMs: clock.monotonicMs() - TOOK_MS };
   });
-  for (const occupant of placed) {
-    learned.noteDone(occupant);
+  for (const assignment of placed) {
+    learned.noteDone(assignment);
     const end = { run, how: Workflow.RunEnd.Done, checkpoint: "" };
-    workflow.endRun(occupant.task, end, clock.monotonicMs());
+    workflow.endRun(assignment.task, end, clock.monotonicMs());
   }
   return learned.describe();
 }
--- a/packages/coordinator/src/load/known_services_test.ts
+++ b/packages/coordinator/src/load/settled_services_test.ts
@@ -1,6 +1,6 @@
 /** A service counts only once all of its endpoints had time to be listed. */
 import * as vitest from "vitest";
-import * as services from "./known_services.ts";
+import * as services from "./settled_services.ts";
 
 vitest.describe("SettledServices", () => {
   vitest.it("has a service 10 s after its first endpoint was listed", () => {
--- a/packages/coordinator/src/load/share_log_test.ts
+++ b/packages/coordinator/src/load/share_reporter_test.ts
@@ -3,7 +3,7 @@
 import * as TestUtils from "@cairngate/test-utils";
 import * as Scheduler from "@cairngate/workflow-scheduler";
 import * as vitest from "vitest";
-import * as shareLogs from "./share_log.ts";
+import * as shareReporters from "./share_reporter.ts";
 
 const { ShareLevel } = Scheduler;
 
@@ -21,7 +21,7 @@
   return {
     log,
     metrics,
-    shares: new shareLogs.ShareReporter({ log, metrics }),
+    shares: new shareReporters.ShareReporter({ log, metrics }),
   };
 }
 
--- a/packages/coordinator/src/load/stop_book.ts
+++ b/packages/coordinator/src/load/stop_tracker.ts
@@ -58,7 +58,7 @@
 const MAX_CLAIMS = 2000;
 
 /** Tracks the stops of one term until their outcomes are known. */
-export class StopBook {
+export class StopTracker {
   readonly #metrics: Metrics.Metrics;
   /** Claims by the claimant's first task. */
   readonly #claims = new Map<Workflow.Task, Claim>();
@@ -81,27 +81,27 @@
   }
 
   /** Notes a run that is stopped for a claimant. */
-  stopped(decision: Scheduler.StopDecision, nowMs: number): void {
+  noteStop(decision: Scheduler.StopDecision, nowMs: number): void {
     const { task, claimant: unit } = decision;
     const [first] = unit.tasks;
     const claim = this.#claims.get(first) ?? { unit, stops: [], started: null };
     if (this.#claims.size >= MAX_CLAIMS && claim.stops.length === 0) return;
     this.#claims.set(first, claim);
     claim.stops.push({
-      freed: task.worker,
+      freed: task.endpoint,
       queue: task.workflow.spec.policy.queue,
       isEarly: nowMs - task.startedAtMs < EARLY_MS,
     });
   }
 
   /** Notes a unit that starts; it may be a claimant. */
-  started({ unit, workers }: Scheduler.StartDecision): void {
+  noteStart({ unit, endpointIds }: Scheduler.StartDecision): void {
     const claim = this.#claims.get(unit.tasks[0]);
-    if (claim !== undefined) claim.started ??= workers;
+    if (claim !== undefined) claim.started ??= endpointIds;
   }
 
   /** Counts the stops whose claimants are over. */
-  look(wallMs: number): void {
+  countEnded(wallMs: number): void {
     for (const [first, claim] of this.#claims) {
       const { workflow, round } = claim.unit;
       if (!workflow.isOver) continue;
--- a/packages/coordinator/src/load/share_book.ts
+++ b/packages/coordinator/src/load/team_share_tracker.ts
@@ -8,11 +8,11 @@
 import * as Effect from "effect/Effect";
 import type * as terms from "../election/term.ts";
 import type * as ports from "../ports.ts";
-import * as shareLog from "./share_log.ts";
+import * as shareReporters from "./share_reporter.ts";
 import * as shareRows from "./share_row.ts";
 
-/** Ports that the share book uses. */
-export type ShareBookPorts = Pick<
+/** Ports that the share tracker uses. */
+export type TeamShareTrackerPorts = Pick<
   ports.CoordinatorPorts,
   "clock" | "log" | "metrics" | "store"
 >;
@@ -22,7 +22,7 @@
   readonly teamsCompete: boolean;
   /** Accelerators guaranteed to each team. */
   readonly guarantees: ReadonlyMap<string, number>;
-  readonly endpoints: readonly Scheduler.WorkerState[];
+  readonly endpoints: readonly Scheduler.EndpointSnapshot[];
 }
 
 /**
@@ -36,10 +36,10 @@
 const CALL_TIMEOUT_MS = 1500;
 
 /** Team shares of one term. */
-export class ShareBook {
-  readonly #ports: ShareBookPorts;
+export class TeamShareTracker {
+  readonly #ports: TeamShareTrackerPorts;
   readonly #term: terms.Term;
-  readonly #log: shareLog.ShareReporter;
+  readonly #log: shareReporters.ShareReporter;
   #use: Scheduler.TeamAmounts = new Map();
   #shares: Scheduler.TeamShares = new Map();
   #teamsCompete = false;
@@ -49,10 +49,10 @@
   /** Use as last written to the store. */
   #stored: Scheduler.TeamAmounts | null = null;
 
-  constructor(sharePorts: ShareBookPorts, term: terms.Term) {
+  constructor(sharePorts: TeamShareTrackerPorts, term: terms.Term) {
     this.#ports = sharePorts;
     this.#term = term;
-    this.#log = new shareLog.ShareReporter(sharePorts);
+    this.#log = new shareReporters.ShareReporter(sharePorts);
     this.#countedAtMs = sharePorts.clock.monotonicMs();
   }
 
@@ -67,7 +67,7 @@
   }
 
   /** Adds the current use to the shares, in one pass over the endpoints. */
-  look({ teamsCompete, guarantees, endpoints }: SharesInput): void {
+  update({ teamsCompete, guarantees, endpoints }: SharesInput): void {
     const nowMs = this.#ports.clock.monotonicMs();
     const elapsedMs = nowMs - this.#countedAtMs;
     this.#countedAtMs = nowMs;
@@ -76,7 +76,7 @@
     const held = Scheduler.sharesHeld(endpoints);
     this.#use = Scheduler.decayUse(this.#use, held, elapsedMs);
     const weights = Scheduler.weightsOf(guarantees);
-    this.#shares = Scheduler.judgeShares(weights, this.#use, this.#shares);
+    this.#shares = Scheduler.computeShares(weights, this.#use, this.#shares);
     this.#log.update(this.#shares, nowMs);
   }
 
--- a/packages/coordinator/src/ports.ts
+++ b/packages/coordinator/src/ports.ts
@@ -4,9 +4,9 @@
 import type * as Ports from "@cairngate/ports";
 import type * as TableClient from "@cairngate/table-client";
 import type * as Types from "@cairngate/types";
-import type * as evacuations from "./endpoints/evacuation_book.ts";
+import type * as evacuations from "./endpoints/evacuation_tracker.ts";
 import type * as fitnesses from "./election/fitness.ts";
-import type * as outageWords from "./election/outage_word.ts";
+import type * as outageReports from "./election/outage_reports.ts";
 
 /** Bounds set by the platform, in milliseconds unless stated otherwise. */
 export interface EndpointBounds {
@@ -25,24 +25,24 @@
 /** Dependencies and settings of a coordinator. */
 export interface CoordinatorPorts {
   /** Name of this box. */
-  readonly node: string;
+  readonly box: string;
   /** Unique to each start of the box's process. */
   readonly incarnation: string;
   readonly clock: Ports.Clock;
   readonly random: Ports.RandomSource;
   readonly store: TableClient.StoreClient;
-  readonly workers: Ports.TaskWorkers;
+  readonly endpoints: Ports.TaskWorkers;
   /** Null where no advice service is configured. */
   readonly advisor: Ports.Advisor | null;
-  readonly workerFeed: Ports.RowFeed<Ports.EndpointListing>;
+  readonly endpointFeed: Ports.RowFeed<Ports.EndpointListing>;
   readonly intakeFeed: Ports.RowFeed<unknown>;
   readonly electionFeed: Ports.RowFeed<unknown>;
   /** Configuration in force on this box; null before the first one arrives. */
   readonly config: () => Ports.AccessConfig | null;
   /** Data centres in which nothing may start; kept by the box across terms. */
-  readonly evacuations: evacuations.EvacuationBook;
+  readonly evacuations: evacuations.EvacuationTracker;
   readonly fitness: fitnesses.Fitness;
-  readonly outage: outageWords.OutageWord;
+  readonly outageReports: outageReports.OutageReports;
   /** Number of boxes that accept work from callers, as far as this one knows. */
   readonly countBoxes: () => number;
   readonly bounds: EndpointBounds;
--- a/packages/coordinator/src/restart.ts
+++ b/packages/coordinator/src/restart.ts
@@ -5,7 +5,7 @@
 import * as Effect from "effect/Effect";
 
 /** Options of a restart. */
-export interface RestartParts {
+export interface RestartOptions {
   /** Name of the work in logs and metrics. */
   readonly what: string;
   readonly clock: Ports.Clock;
@@ -22,7 +22,7 @@
  */
 export function restartOnDefect<A, E>(
   work: Effect.Effect<A, E>,
-  parts: RestartParts,
+  parts: RestartOptions,
 ): Effect.Effect<A, E> {
   const { what, clock, log, metrics } = parts;
   return Effect.catchDefect(work, (defect) => {
--- a/packages/coordinator/src/sessions/occupant.ts
+++ b/packages/coordinator/src/sessions/assignment.ts
@@ -3,7 +3,7 @@
 import * as paces from "./run_pace.ts";
 
 /** One run on one endpoint. Mutable; owned by the session with the endpoint. */
-export interface Occupant {
+export interface Assignment {
   readonly task: Workflow.Task;
   readonly run: number;
   /** Permission of the advice service; null where none is needed. */
@@ -21,7 +21,7 @@
   /** Its progress over time; null before the first report. */
   pace: paces.RunPace | null;
   /** Whether its pace was compared with that of its siblings. */
-  compared: boolean;
+  isCompared: boolean;
   /** Whether its endpoint was cold during part of the run. */
   wasCold: boolean;
   /** Time since which it is slow, by this box's clock; null while it is not. */
@@ -32,10 +32,10 @@
 export const EARLIER_TERM = Number.NEGATIVE_INFINITY;
 
 /** Creates the assignment of a run whose start is not sent yet. */
-export function createOccupant(
+export function createAssignment(
   task: Workflow.Task,
   ticket: string | null,
-): Occupant {
+): Assignment {
   return {
     task,
     run: task.run,
@@ -46,15 +46,15 @@
     bornMs: null,
     stoppingSinceMs: null,
     pace: null,
-    compared: false,
+    isCompared: false,
     wasCold: false,
     slowSinceMs: null,
   };
 }
 
 /** Adopts a run that the records of an earlier coordinator name. */
-export function adoptAssignment(task: Workflow.Task): Occupant {
-  const assignment = createOccupant(task, null);
+export function adoptAssignment(task: Workflow.Task): Assignment {
+  const assignment = createAssignment(task, null);
   assignment.expectedSinceMs = EARLIER_TERM;
   assignment.isSent = true;
   assignment.bornMs = task.bornMs;
@@ -62,7 +62,7 @@
 }
 
 /** Takes over a run that was tracked at the former address of its endpoint. */
-export function takeOverAssignment(former: Occupant): Occupant {
+export function takeOverAssignment(former: Assignment): Assignment {
   return { ...former, expectedSinceMs: EARLIER_TERM, pace: null };
 }
 
@@ -72,7 +72,7 @@
  * is always known.
  */
 export function isOfOtherIncarnation(
-  { isSent, sentAtMs, bornMs }: Occupant,
+  { isSent, sentAtMs, bornMs }: Assignment,
   presentBornMs: number | null,
 ): boolean {
   if (!isSent || bornMs === presentBornMs) return false;
@@ -84,7 +84,7 @@
  * incarnation it was sent to.
  */
 export function noteReported(
-  assignment: Occupant,
+  assignment: Assignment,
   presentBornMs: number | null,
 ): void {
   if (assignment.bornMs === presentBornMs) return;
@@ -94,14 +94,14 @@
 }
 
 /** Whether its endpoint has confirmed it to this coordinator. */
-export function isConfirmed(assignment: Occupant): boolean {
+export function isConfirmed(assignment: Assignment): boolean {
   const { expectedSinceMs } = assignment;
   return expectedSinceMs !== null && expectedSinceMs !== EARLIER_TERM;
 }
 
 /** Records reported progress, with the times of the endpoint's and this box's clock. */
 export function noteProgress(
-  assignment: Occupant,
+  assignment: Assignment,
   percent: number,
   at: { readonly clockMs: number; readonly nowMs: number },
 ): void {
@@ -116,7 +116,7 @@
  * Expected end of a run by its pace, or by its estimate if no progress is known. Its
  * actual end may be unreported when its endpoint crashes.
  */
-export function expectedEndMs({ task, sentAtMs }: Occupant): number {
+export function expectedEndMs({ task, sentAtMs }: Assignment): number {
   if (task.step.lasting) return Number.POSITIVE_INFINITY;
   return task.endsAtMs ?? (sentAtMs ?? 0) + task.step.estimateMs;
 }
--- a/packages/coordinator/src/sessions/box_load.ts
+++ b/packages/coordinator/src/sessions/box_load.ts
@@ -57,12 +57,12 @@
   }
 
   /** Current delay of this box, in ms. */
-  get lateMs(): number {
+  get delayMs(): number {
     return this.#delayMs;
   }
 
   /** Time between two polls that this box can sustain, in ms. */
-  get spacingMs(): number {
+  get pollSpacingMs(): number {
     return Math.min(MAX_SPACING_MS, this.#delayMs * SPACING_PER_DELAY);
   }
 
--- a/packages/coordinator/src/sessions/box_load_test.ts
+++ b/packages/coordinator/src/sessions/box_load_test.ts
@@ -17,21 +17,21 @@
   vitest.it("uses the median delay of the answers", () => {
     const load = createLoad();
     noteAll(load, 4, 40);
-    vitest.expect(load.lateMs).toBe(4);
+    vitest.expect(load.delayMs).toBe(4);
     noteAll(load, 900, 16);
-    vitest.expect(load.lateMs).toBe(4);
+    vitest.expect(load.delayMs).toBe(4);
     noteAll(load, 900, 48);
-    vitest.expect(load.lateMs).toBe(900);
+    vitest.expect(load.delayMs).toBe(900);
   });
 
   vitest.it("spaces polls further apart while it is late", () => {
     const load = createLoad();
     noteAll(load, 4, 48);
-    const wellMs = load.spacingMs;
+    const wellMs = load.pollSpacingMs;
     noteAll(load, 100, 48);
-    vitest.expect(load.spacingMs).toBeGreaterThan(wellMs * 10);
+    vitest.expect(load.pollSpacingMs).toBeGreaterThan(wellMs * 10);
     noteAll(load, 10_000, 48);
-    vitest.expect(load.spacingMs).toBe(10);
+    vitest.expect(load.pollSpacingMs).toBe(10);
   });
 
   vitest.it("extends limits by its own delay, up to a maximum", () => {
--- a/packages/coordinator/src/sessions/present_life_test.ts
+++ b/packages/coordinator/src/sessions/current_incarnation_test.ts
@@ -1,6 +1,6 @@
 /** Determines which of two incarnations is the newer one. */
 import * as vitest from "vitest";
-import * as currentIncarnations from "./present_life.ts";
+import * as currentIncarnations from "./current_incarnation.ts";
 
 const { AnswerOrigin } = currentIncarnations;
 
--- a/packages/coordinator/src/sessions/life_end.ts
+++ b/packages/coordinator/src/sessions/end_evidence.ts
@@ -5,10 +5,10 @@
 import type * as Logger from "@cairngate/logger";
 import type * as Ports from "@cairngate/ports";
 import * as Workflow from "@cairngate/workflow";
-import * as assignments from "./occupant.ts";
+import * as assignments from "./assignment.ts";
 import * as listeners from "./session_listener.ts";
-import type * as silences from "../endpoints/silence_log.ts";
-import type * as unreportedRuns from "./unheard_runs.ts";
+import type * as failureLogs from "../endpoints/endpoint_failure_log.ts";
+import type * as unreportedRuns from "./unreported_runs.ts";
 
 /**
  * Time in ms. An endpoint that answered at most this long before a start was sent was
@@ -56,7 +56,7 @@
   readonly log: Logger.Logger;
   readonly ref: Ports.EndpointRef;
   /** Endpoints that are silent or have crashed; shared by all sessions. */
-  readonly silences: silences.SilenceLog;
+  readonly failureLog: failureLogs.EndpointFailureLog;
 }
 
 /** Evidence on the end of one incarnation, collected before and after its end. */
@@ -64,7 +64,7 @@
   readonly #clock: Ports.Clock;
   readonly #log: Logger.Logger;
   readonly #ref: Ports.EndpointRef;
-  readonly #silences: silences.SilenceLog;
+  readonly #failureLog: failureLogs.EndpointFailureLog;
   /** Time of its last answer to a poll, in ms of the monotonic clock of this box. */
   #answeredAtMs = Number.NEGATIVE_INFINITY;
   /** Time since which its address refuses connections; infinite if it does not. */
@@ -74,11 +74,11 @@
   /** Whether it is known to be leaving, so that its end is no crash. */
   #isLeaving = false;
 
-  constructor({ clock, log, ref, silences }: EndEvidenceOptions) {
+  constructor({ clock, log, ref, failureLog }: EndEvidenceOptions) {
     this.#clock = clock;
     this.#log = log;
     this.#ref = ref;
-    this.#silences = silences;
+    this.#failureLog = failureLog;
   }
 
   /** Notes an answer. */
@@ -137,14 +137,14 @@
    */
   end(
     proof: EndProof,
-    runs: readonly assignments.Occupant[],
-    ended: readonly unreportedRuns.UnheardRun[],
-  ): (presence: Workflow.Presence) => listeners.SessionEnd {
+    runs: readonly assignments.Assignment[],
+    ended: readonly unreportedRuns.UnreportedRun[],
+  ): (presence: Workflow.Presence) => listeners.RunEndReport {
     if (runs.length + ended.length > 0) this.#logEnd(proof, runs, ended);
     if (this.#isLeaving) {
       return () => listeners.lost(listeners.LostCause.Left);
     }
-    const victims = [
+    const affectedRuns = [
       ...runs.map((one) => ({
         task: one.task,
         run: one.run,
@@ -152,20 +152,20 @@
       })),
       ...ended,
     ];
-    const wasAlone = isOneTaskOrGang(victims.map(({ task }) => task));
-    const fellows = this.#silences.noteCrash(this.#ref, victims);
-    return (presence) => listeners.crashed({ wasAlone, fellows, presence });
+    const wasAlone = isOneTaskOrGang(affectedRuns.map(({ task }) => task));
+    const scale = this.#failureLog.noteCrash(this.#ref, affectedRuns);
+    return (presence) => listeners.crashed({ wasAlone, scale, presence });
   }
 
   /** Logs what distinguishes a crash during a run from one before its start. */
   #logEnd(
     proof: EndProof,
-    runs: readonly assignments.Occupant[],
-    ended: readonly unreportedRuns.UnheardRun[],
+    runs: readonly assignments.Assignment[],
+    ended: readonly unreportedRuns.UnreportedRun[],
   ): void {
     const { id, address } = this.#ref;
     const answered = this.#ago(this.#answeredAtMs);
-    const silent = this.#ago(this.#silences.silentSinceMs(this.#ref));
+    const silent = this.#ago(this.#failureLog.silentSinceMs(this.#ref));
     const leaving = this.#isLeaving ? "; it was leaving" : "";
     const descriptions = [
       ...runs.map((one) => this.#describeRun(one)),
@@ -180,7 +180,7 @@
     );
   }
 
-  #describeRun(assignment: assignments.Occupant): string {
+  #describeRun(assignment: assignments.Assignment): string {
     const { task, run, sentAtMs } = assignment;
     const isConfirmed = assignments.isConfirmed(assignment) ||
       task.confirmedRun === run;
@@ -202,7 +202,7 @@
    * time of this box's clock by which it had crashed.
    */
   presenceOf(
-    assignment: assignments.Occupant,
+    assignment: assignments.Assignment,
     crashedByMs: number,
   ): Workflow.Presence {
     const { sentAtMs, task, run } = assignment;
@@ -251,7 +251,7 @@
    * just crashes.
    */
   #presenceConfirmedHere(
-    assignment: assignments.Occupant,
+    assignment: assignments.Assignment,
     crashedByMs: number,
   ): Workflow.Presence {
     const endsMs = this.#endsAtMs(assignment);
@@ -273,7 +273,7 @@
    * answer after the estimated end that does not report the end proves the estimate
    * wrong.
    */
-  #endsAtMs(assignment: assignments.Occupant): number {
+  #endsAtMs(assignment: assignments.Assignment): number {
     const endsMs = assignments.expectedEndMs(assignment);
     const hasOutlastedEstimate = assignment.task.endsAtMs === null &&
       this.#answeredAtMs > endsMs;
@@ -286,7 +286,7 @@
    * its endpoint had been silent for a while.
    */
   #mayHaveEndedBefore(
-    { task, run, stoppingSinceMs, expectedSinceMs }: assignments.Occupant,
+    { task, run, stoppingSinceMs, expectedSinceMs }: assignments.Assignment,
     byMs: number,
   ): boolean {
     if (stoppingSinceMs !== null && stoppingSinceMs <= byMs) return true;
--- a/packages/coordinator/src/sessions/life_end_test.ts
+++ b/packages/coordinator/src/sessions/end_evidence_test.ts
@@ -9,9 +9,9 @@
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
-import * as silences from "../endpoints/silence_log.ts";
-import * as evidences from "./life_end.ts";
-import * as assignments from "./occupant.ts";
+import * as failureLogs from "../endpoints/endpoint_failure_log.ts";
+import * as evidences from "./end_evidence.ts";
+import * as assignments from "./assignment.ts";
 
 /** Estimated duration of a run in ms; the value is arbitrary. */
 const ESTIMATE_MS = 2000;
@@ -38,7 +38,10 @@
     clock,
     log: Logger.silentLogger(),
     ref: { id: "i-1", address: "10.0.0.1:80" },
-    silences: new silences.SilenceLog({ clock, onExcused: () => {} }),
+    failureLog: new failureLogs.EndpointFailureLog({
+      clock,
+      onExcused: () => {},
+    }),
   });
   return { task, endEvidence, workflow };
 }
@@ -89,7 +92,7 @@
   async function presenceAfter(
     simulate: (scenario: {
       endEvidence: evidences.EndEvidence;
-      assignment: assignments.Occupant;
+      assignment: assignments.Assignment;
       other: Workflow.Task;
       clock: TestUtils.FakeClock;
     }) => Promise<void> | void,
@@ -99,7 +102,7 @@
     const { task, endEvidence, workflow } = createFixture(clock, false, step);
     const [, other] = [...workflow.tasks];
     other?.place("i-2", 1, clock.monotonicMs());
-    const assignment = assignments.createOccupant(task, null);
+    const assignment = assignments.createAssignment(task, null);
     assignment.isSent = true;
     assignment.sentAtMs = clock.monotonicMs();
     assignment.expectedSinceMs = clock.monotonicMs();
@@ -193,7 +196,7 @@
   async function presenceWith(refusedAfterMs: number) {
     const clock = new TestUtils.FakeClock();
     const { task, endEvidence } = createFixture(clock, false);
-    const assignment = assignments.createOccupant(task, null);
+    const assignment = assignments.createAssignment(task, null);
     endEvidence.noteAnswered();
     await clock.advance(10);
     assignment.isSent = true;
--- a/packages/coordinator/src/sessions/endpoint_ends.ts
+++ b/packages/coordinator/src/sessions/endpoint_ends.ts
@@ -3,11 +3,11 @@
 import * as Effect from "effect/Effect";
 import type * as endpointRuns from "./endpoint_runs.ts";
 import type * as endpointStates from "./endpoint_state.ts";
-import * as evidences from "./life_end.ts";
-import * as assignments from "./occupant.ts";
+import * as evidences from "./end_evidence.ts";
+import * as assignments from "./assignment.ts";
 import * as listeners from "./session_listener.ts";
 import type * as sessionOptions from "./session_options.ts";
-import type * as unreportedRuns from "./unheard_runs.ts";
+import type * as unreportedRuns from "./unreported_runs.ts";
 
 const { LostCause, lost } = listeners;
 
@@ -19,7 +19,7 @@
 }
 
 /** Returns the end of a run for how certain it is that the endpoint had the run. */
-type EndByPresence = (presence: Workflow.Presence) => listeners.SessionEnd;
+type EndByPresence = (presence: Workflow.Presence) => listeners.RunEndReport;
 
 /**
  * Shortest time in ms in which an endpoint ends and answers again as another
@@ -131,7 +131,7 @@
    * Whether the ended incarnation may have had a run. Another incarnation answers
    * already, so a start sent just before came too late for the ended one.
    */
-  #mayHaveStarted(assignment: assignments.Occupant): boolean {
+  #mayHaveStarted(assignment: assignments.Assignment): boolean {
     const { isSent, sentAtMs } = assignment;
     if (!isSent || sentAtMs === null || assignments.isConfirmed(assignment)) {
       return isSent;
@@ -141,7 +141,7 @@
   }
 
   #endTracked(
-    assignment: assignments.Occupant,
+    assignment: assignments.Assignment,
     endOf: EndByPresence,
     crashedByMs: number,
   ): Effect.Effect<void> {
@@ -154,20 +154,24 @@
 
   /** Ends a run; one of a previous incarnation gets the end noted with that one. */
   #endRun(
-    assignment: assignments.Occupant,
-    end: listeners.SessionEnd,
+    assignment: assignments.Assignment,
+    end: listeners.RunEndReport,
   ): Effect.Effect<void> {
     const { tracked, previous } = this.#options.runs;
     return tracked.end(assignment, previous.take(assignment) ?? end);
   }
 
   #endUnreported(
-    unreported: readonly unreportedRuns.UnheardRun[],
+    unreported: readonly unreportedRuns.UnreportedRun[],
     endOf: EndByPresence,
   ): readonly Effect.Effect<void>[] {
     const { state, runs: { previous }, options: { listener } } = this.#options;
     return unreported.map((run) =>
-      listener.lateEnd(state, run, previous.take(run) ?? endOf(run.presence))
+      listener.lateEndReported(
+        state,
+        run,
+        previous.take(run) ?? endOf(run.presence),
+      )
     );
   }
 }
--- a/packages/coordinator/src/sessions/endpoint_look.ts
+++ b/packages/coordinator/src/sessions/endpoint_poller.ts
@@ -4,13 +4,13 @@
  */
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
-import type * as reportedEnds from "./end_ledger.ts";
+import type * as reportedEnds from "./reported_ends.ts";
 import * as endpointOrders from "./endpoint_orders.ts";
 import type * as endpointRuns from "./endpoint_runs.ts";
-import type * as unanswered from "./endpoint_silence.ts";
+import type * as unanswered from "./unanswered_polls.ts";
 import type * as endpointStates from "./endpoint_state.ts";
-import * as assignments from "./occupant.ts";
-import * as currentIncarnations from "./present_life.ts";
+import * as assignments from "./assignment.ts";
+import * as currentIncarnations from "./current_incarnation.ts";
 import type * as sessionOptions from "./session_options.ts";
 import type * as views from "./view_reader.ts";
 
@@ -138,7 +138,7 @@
     const { incarnation } = state;
     const sentAtMs = ports.clock.monotonicMs();
     const sentEvent = incarnation.current.noteSent();
-    const order = ports.workers.renew(state.ref, {
+    const order = ports.endpoints.renew(state.ref, {
       fencingToken: term.token,
       // Not extended while the endpoint does not answer, so that the lease expires.
       leaseUntilMs:
@@ -161,8 +161,9 @@
    * too.
    */
   get #mayLease(): boolean {
-    const { store, outage } = this.#options.options.ports;
-    return store.silentForMs() < STORE_UNREACHABLE_MS || outage.isShared();
+    const { store, outageReports } = this.#options.options.ports;
+    return store.silentForMs() < STORE_UNREACHABLE_MS ||
+      outageReports.isUnavailableToAll();
   }
 
   /** Processes the answer of the current incarnation. */
@@ -193,10 +194,10 @@
   #noteAnswered(): void {
     const { state, options } = this.#options;
     state.noteAnswered();
-    options.onHeard(state.ref);
+    options.onAnswered(state.ref);
     if (!state.markUsable()) return;
-    options.silences.noteHeard(state.ref);
-    options.listener.roomChanged();
+    options.failureLog.noteAnswered(state.ref);
+    options.listener.capacityChanged();
   }
 
   /** Determines which incarnation answers; false where that is unclear. */
@@ -233,7 +234,7 @@
     const { state, viewReader, options: { listener } } = this.#options;
     state.incarnation.reset();
     viewReader.startIncarnation();
-    listener.lifeBegan(state);
+    listener.incarnationStarted(state);
   }
 
   /** Ignores answers before the requested wait is over: ends cause those. */
--- a/packages/coordinator/src/sessions/endpoint_runs.ts
+++ b/packages/coordinator/src/sessions/endpoint_runs.ts
@@ -5,20 +5,20 @@
  */
 import type * as Ports from "@cairngate/ports";
 import type * as endpointStates from "./endpoint_state.ts";
-import * as previousRuns from "./former_runs.ts";
-import * as trackedRuns from "./held_runs.ts";
-import type * as unansweredStarts from "./loose_starts.ts";
-import type * as assignments from "./occupant.ts";
-import * as prematureEnds from "./outlived_runs.ts";
+import * as previousRuns from "./previous_runs.ts";
+import * as trackedRuns from "./tracked_runs.ts";
+import type * as unansweredStarts from "./unanswered_starts.ts";
+import type * as assignments from "./assignment.ts";
+import * as prematureEnds from "./premature_ends.ts";
 import type * as sessionOptions from "./session_options.ts";
-import * as unreportedRuns from "./unheard_runs.ts";
+import * as unreportedRuns from "./unreported_runs.ts";
 
 /** Dependencies of the runs. */
 export interface EndpointRunsOptions {
   readonly options: sessionOptions.SessionOptions;
   readonly state: endpointStates.EndpointState;
   /** Orders the current incarnation to stop a run that is still tracked. */
-  readonly blockStart: (assignment: assignments.Occupant) => void;
+  readonly blockStart: (assignment: assignments.Assignment) => void;
   /** Orders the current incarnation to stop a run that is not tracked any more. */
   readonly blockRun: (run: Ports.RunRef) => void;
 }
@@ -30,7 +30,7 @@
   /** Runs that are over and whose ends the endpoint has not reported. */
   readonly unreported = new unreportedRuns.UnreportedRuns();
   /** Starts without an answer. */
-  readonly unansweredStarts: unansweredStarts.LooseStarts;
+  readonly unansweredStarts: unansweredStarts.UnansweredStarts;
   /** Runs of previous incarnations. */
   readonly previous: previousRuns.PreviousRuns;
   /** Runs that the endpoint may still report although they are presumed ended. */
@@ -51,7 +51,7 @@
       this.prematureEnds.noteEnd(assignment, end);
       return listener.runEnded(state, assignment, end);
     });
-    this.unansweredStarts = options.loose;
+    this.unansweredStarts = options.unansweredStarts;
     this.previous = new previousRuns.PreviousRuns({
       clock,
       tracked: this.tracked,
--- a/packages/coordinator/src/sessions/endpoint_session.ts
+++ b/packages/coordinator/src/sessions/endpoint_session.ts
@@ -1,7 +1,7 @@
 /**
  * Session of the coordinator with one endpoint: keeps its lease, starts and stops
  * runs, and reads which runs it holds and which have ended. Several incarnations may
- * follow one another under the endpoint's id (present_life.ts). Numbers, clock,
+ * follow one another under the endpoint's id (current_incarnation.ts). Numbers, clock,
  * health and unexpected runs belong to the current incarnation, and each run records
  * the incarnation that it was sent to. The parts of a session are in
  * session_parts.ts; this class is its interface to the rest of the coordinator.
@@ -11,10 +11,10 @@
 import * as Effect from "effect/Effect";
 import type * as endpointRuns from "./endpoint_runs.ts";
 import type * as endpointStates from "./endpoint_state.ts";
-import type * as assignments from "./occupant.ts";
+import type * as assignments from "./assignment.ts";
 import type * as sessionOptions from "./session_options.ts";
 import * as sessionParts from "./session_parts.ts";
-import type * as unreportedRuns from "./unheard_runs.ts";
+import type * as unreportedRuns from "./unreported_runs.ts";
 import type * as healths from "../endpoints/endpoint_health.ts";
 
 /**
@@ -62,12 +62,12 @@
   }
 
   /** Whether an entry with this birth time is of another incarnation. */
-  isOfOtherLife(listedBornMs: number | null): boolean {
+  isOfOtherIncarnation(listedBornMs: number | null): boolean {
     return this.#state.incarnation.differsFrom(listedBornMs);
   }
 
   /** Runs that the endpoint holds or may hold. */
-  get occupants(): readonly assignments.Occupant[] {
+  get assignments(): readonly assignments.Assignment[] {
     return this.#runs.tracked.all;
   }
 
@@ -76,7 +76,7 @@
     const { state, viewReader, options: { ports: { clock } } } = this.#parts;
     return !state.isOver && state.isReachable && !state.mustAnswerFirst &&
       viewReader.unexpectedCount === 0 &&
-      !this.health.isAside(clock.monotonicMs());
+      !this.health.isInBackoff(clock.monotonicMs());
   }
 
   /** Whether no run is tracked and nothing is left to acknowledge. */
@@ -87,18 +87,18 @@
   }
 
   /** Whether some runs that are over may still turn out to have ended otherwise. */
-  get hasUnheard(): boolean {
+  get hasUnreported(): boolean {
     return this.#runs.unreported.all.length > 0;
   }
 
   /** Whether an unanswered start may be delivered after the endpoint restarts. */
-  get hasLooseStarts(): boolean {
+  get hasUnansweredStarts(): boolean {
     return this.#parts.lateStarts.hasUnansweredStarts;
   }
 
   /** Whether it holds a task that may crash it and that started only a moment ago. */
   isOnProbation(nowMs: number): boolean {
-    return this.occupants.some(({ task }) =>
+    return this.assignments.some(({ task }) =>
       task.isSuspect && nowMs - task.startedAtMs < PROBATION_MS
     );
   }
@@ -119,7 +119,7 @@
    * Polls the endpoint because the entry of another one names its address. The entry
    * proves nothing: entries outlast their endpoints and may be written by others.
    */
-  ask(): Effect.Effect<void> {
+  pollNow(): Effect.Effect<void> {
     return this.#parts.poller.pollNow();
   }
 
@@ -129,7 +129,7 @@
   }
 
   /** Whether a workflow still needs to know how one of its runs ended here. */
-  get isAwaited(): boolean {
+  get hasAwaitedEnds(): boolean {
     return this.#runs.unreported.all.some(({ task }) =>
       !task.workflow.isOver && task.state !== Workflow.TaskState.Done
     );
@@ -147,18 +147,18 @@
   }
 
   /** Adds a run that an earlier coordinator gave up before its end was reported. */
-  adoptUnheard(run: unreportedRuns.UnheardRun): void {
+  adoptUnreported(run: unreportedRuns.UnreportedRun): void {
     this.#runs.unreported.add(run);
     this.#state.resumePolling();
   }
 
   /** Whether the current incarnation has answered this coordinator at this address. */
-  get wasHeard(): boolean {
+  get hasAnswered(): boolean {
     return this.#state.hasAnswered;
   }
 
   /** Runs that are over and whose ends the endpoint may still report. */
-  get unreported(): readonly unreportedRuns.UnheardRun[] {
+  get unreported(): readonly unreportedRuns.UnreportedRun[] {
     return this.#runs.unreported.all;
   }
 
@@ -168,7 +168,7 @@
   }
 
   /** Ends this session after another one has taken over its runs. */
-  retire(): void {
+  close(): void {
     this.#state.end();
   }
 
@@ -201,17 +201,17 @@
   }
 
   /** Reserves capacity for a run whose start is not sent yet. */
-  reserve(task: Workflow.Task, ticket: string | null): assignments.Occupant {
+  reserve(task: Workflow.Task, ticket: string | null): assignments.Assignment {
     return this.#runs.tracked.reserve(task, ticket);
   }
 
   /** Starts a run; one whose start may still be delivered is stopped. */
-  start(assignment: assignments.Occupant): Effect.Effect<void> {
+  start(assignment: assignments.Assignment): Effect.Effect<void> {
     return this.#parts.starts.start(assignment);
   }
 
   /** Stops a run; completes when the endpoint has confirmed it or the run is over. */
-  stop(assignment: assignments.Occupant): Effect.Effect<void> {
+  stop(assignment: assignments.Assignment): Effect.Effect<void> {
     return this.#parts.stops.stop(assignment);
   }
 
@@ -235,8 +235,8 @@
     if (state.isSuspectedGone) return false;
     return !recovery.isComplete || state.incarnation.ends.hasUnacknowledged ||
       state.mustAnswerFirst || viewReader.unexpectedCount > 0 ||
-      this.hasUnheard ||
+      this.hasUnreported ||
       runs.tracked.sent.length > 0 || !state.isReachable ||
-      state.mayAcceptStaleStarts || this.hasLooseStarts;
+      state.mayAcceptStaleStarts || this.hasUnansweredStarts;
   }
 }
--- a/packages/coordinator/src/sessions/endpoint_starts.ts
+++ b/packages/coordinator/src/sessions/endpoint_starts.ts
@@ -2,12 +2,12 @@
 import * as Effect from "effect/Effect";
 import type * as endpointRuns from "./endpoint_runs.ts";
 import type * as endpointStates from "./endpoint_state.ts";
-import type * as assignments from "./occupant.ts";
+import type * as assignments from "./assignment.ts";
 import * as starters from "./run_starter.ts";
 import * as listeners from "./session_listener.ts";
 import type * as sessionOptions from "./session_options.ts";
-import type * as preStartPolls from "./start_looks.ts";
-import type * as startReports from "./start_reports.ts";
+import type * as preStartPolls from "./pre_start_polls.ts";
+import type * as startReports from "./start_report_handler.ts";
 
 const { LostCause, lost } = listeners;
 
@@ -42,7 +42,7 @@
   }
 
   /** Starts a run; one whose start may still be delivered is stopped. */
-  start(assignment: assignments.Occupant): Effect.Effect<void> {
+  start(assignment: assignments.Assignment): Effect.Effect<void> {
     const { runs: { tracked }, polls, reports } = this.#options;
     return Effect.gen({ self: this }, function* () {
       const isClockKnown = yield* polls.readClock();
@@ -59,7 +59,7 @@
     });
   }
 
-  #noteSent(assignment: assignments.Occupant): void {
+  #noteSent(assignment: assignments.Assignment): void {
     const { state, options: { ports: { clock } } } = this.#options;
     assignment.isSent = true;
     assignment.sentAtMs = clock.monotonicMs();
@@ -70,7 +70,7 @@
   /**
    * Why a run may not start now although it was planned; the plan may be seconds old.
    */
-  #obstacleTo(assignment: assignments.Occupant): listeners.LostCause | null {
+  #obstacleTo(assignment: assignments.Assignment): listeners.LostCause | null {
     const { state, runs: { tracked }, options } = this.#options;
     const { task, stoppingSinceMs } = assignment;
     if (stoppingSinceMs !== null || task.workflow.isOver || state.isOver) {
--- a/packages/coordinator/src/sessions/endpoint_state.ts
+++ b/packages/coordinator/src/sessions/endpoint_state.ts
@@ -6,13 +6,13 @@
 import * as Effect from "effect/Effect";
 import type * as Ports from "@cairngate/ports";
 import type * as healths from "../endpoints/endpoint_health.ts";
-import * as incarnationStates from "./life_books.ts";
-import * as unansweredStarts from "./loose_starts.ts";
+import * as incarnationStates from "./incarnation_state.ts";
+import * as unansweredStarts from "./unanswered_starts.ts";
 import type * as listeners from "./session_listener.ts";
 import type * as sessionOptions from "./session_options.ts";
 
 /** State of one session. */
-export class EndpointState implements listeners.SessionWorker {
+export class EndpointState implements listeners.SessionEndpoint {
   readonly ref: Ports.EndpointRef;
   /**
    * Data centre named by the latest entry; empty if it was not listed since the
--- a/packages/coordinator/src/sessions/endpoint_stops.ts
+++ b/packages/coordinator/src/sessions/endpoint_stops.ts
@@ -4,9 +4,9 @@
 import * as endpointOrders from "./endpoint_orders.ts";
 import type * as endpointRuns from "./endpoint_runs.ts";
 import type * as endpointStates from "./endpoint_state.ts";
-import type * as assignments from "./occupant.ts";
+import type * as assignments from "./assignment.ts";
 import type * as sessionOptions from "./session_options.ts";
-import * as unexpectedRuns from "./stray_runs.ts";
+import * as unexpectedRuns from "./unexpected_runs.ts";
 
 /** Dependencies of the stops. */
 export interface EndpointStopsOptions {
@@ -47,7 +47,7 @@
   }
 
   /** Stops a run; completes when the endpoint has confirmed it or the run is over. */
-  stop(assignment: assignments.Occupant): Effect.Effect<void> {
+  stop(assignment: assignments.Assignment): Effect.Effect<void> {
     const { state, runs: { tracked }, options } = this.#options;
     const { clock } = options.ports;
     return Effect.gen({ self: this }, function* () {
@@ -67,7 +67,7 @@
   }
 
   /** Polls for the end of a stopped run if it is overdue: the open poll may hang. */
-  #pollForEnd(assignment: assignments.Occupant): Effect.Effect<void> {
+  #pollForEnd(assignment: assignments.Assignment): Effect.Effect<void> {
     const { state, runs: { tracked }, options, pollNow } = this.#options;
     const { load, ports: { clock, metrics, bounds } } = options;
     return Effect.gen({ self: this }, function* () {
@@ -85,7 +85,7 @@
    * Prevents a start that may still be delivered: an endpoint never starts a run that
    * it was told to stop before. A later poll shows its end.
    */
-  blockStart(assignment: assignments.Occupant): void {
+  blockStart(assignment: assignments.Assignment): void {
     assignment.expectedSinceMs = null;
     Effect.runFork(this.stop(assignment));
   }
@@ -119,7 +119,7 @@
 
   #send(order: StopOrder): Effect.Effect<unknown> {
     const { state: { ref }, orders, options } = this.#options;
-    const { workers } = options.ports;
-    return orders.call(workers.stop(ref, order), ORDER_LIMIT_MS);
+    const { endpoints } = options.ports;
+    return orders.call(endpoints.stop(ref, order), ORDER_LIMIT_MS);
   }
 }
--- a/packages/coordinator/src/sessions/life_books.ts
+++ b/packages/coordinator/src/sessions/incarnation_state.ts
@@ -3,10 +3,10 @@
  * incarnation do not hold for the next one, so a new incarnation resets all of it.
  */
 import * as healths from "../endpoints/endpoint_health.ts";
-import * as reportedEnds from "./end_ledger.ts";
+import * as reportedEnds from "./reported_ends.ts";
 import * as leaseClocks from "./lease_clock.ts";
-import * as evidences from "./life_end.ts";
-import * as currentIncarnations from "./present_life.ts";
+import * as evidences from "./end_evidence.ts";
+import * as currentIncarnations from "./current_incarnation.ts";
 import type * as sessionOptions from "./session_options.ts";
 
 /** State of one endpoint that each of its incarnations resets. */
@@ -74,7 +74,7 @@
   /** Resets the state for a new incarnation. */
   reset(): void {
     const { clock, bounds } = this.#options.ports;
-    const lapsesAtMs = leaseClocks.foreignLapseMs(
+    const lapsesAtMs = leaseClocks.foreignLeaseEndMs(
       clock.monotonicMs(),
       bounds.longestLeaseMs,
     );
@@ -86,7 +86,7 @@
   }
 
   #createEndEvidence(): evidences.EndEvidence {
-    const { ref, silences, ports: { clock, log } } = this.#options;
-    return new evidences.EndEvidence({ clock, log, ref, silences });
+    const { ref, failureLog, ports: { clock, log } } = this.#options;
+    return new evidences.EndEvidence({ clock, log, ref, failureLog });
   }
 }
--- a/packages/coordinator/src/sessions/late_start_guard.ts
+++ b/packages/coordinator/src/sessions/late_start_guard.ts
@@ -9,7 +9,7 @@
 import type * as endpointRuns from "./endpoint_runs.ts";
 import type * as endpointStates from "./endpoint_state.ts";
 import type * as sessionOptions from "./session_options.ts";
-import * as unexpectedRuns from "./stray_runs.ts";
+import * as unexpectedRuns from "./unexpected_runs.ts";
 
 /** Dependencies of the guard. */
 export interface LateStartGuardOptions {
@@ -75,10 +75,12 @@
 
   /** Ignores the outcome: the next poll reports the state of the endpoint. */
   #stop({ task, run }: Ports.RunRef): Effect.Effect<void> {
-    const { ports: { clock, workers, metrics }, term, ref } =
+    const { ports: { clock, endpoints, metrics }, term, ref } =
       this.#options.options;
     const order = { task, run, fencingToken: term.token };
     metrics.count("cairngate_loose_start_stops_total");
-    return Effect.ignore(clock.within(STOP_LIMIT_MS, workers.stop(ref, order)));
+    return Effect.ignore(
+      clock.within(STOP_LIMIT_MS, endpoints.stop(ref, order)),
+    );
   }
 }
--- a/packages/coordinator/src/sessions/lease_clock.ts
+++ b/packages/coordinator/src/sessions/lease_clock.ts
@@ -63,6 +63,9 @@
 }
 
 /** Time by which leases that others granted until now expire, by this box's clock. */
-export function foreignLapseMs(nowMs: number, longestLeaseMs: number): number {
+export function foreignLeaseEndMs(
+  nowMs: number,
+  longestLeaseMs: number,
+): number {
   return nowMs + longestLeaseMs * MAX_CLOCK_SLOWDOWN + MARGIN_MS;
 }
--- a/packages/coordinator/src/sessions/start_looks.ts
+++ b/packages/coordinator/src/sessions/pre_start_polls.ts
@@ -1,7 +1,7 @@
 /** Polls an endpoint before a run starts there. */
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
-import * as pollers from "./endpoint_look.ts";
+import * as pollers from "./endpoint_poller.ts";
 import type * as endpointStates from "./endpoint_state.ts";
 
 /** Dependencies of the polls. */
--- a/packages/coordinator/src/sessions/outlived_runs.ts
+++ b/packages/coordinator/src/sessions/premature_ends.ts
@@ -7,9 +7,9 @@
 import type * as Metrics from "@cairngate/metrics";
 import type * as Ports from "@cairngate/ports";
 import * as Workflow from "@cairngate/workflow";
-import type * as assignments from "./occupant.ts";
+import type * as assignments from "./assignment.ts";
 import * as listeners from "./session_listener.ts";
-import * as unexpectedRuns from "./stray_runs.ts";
+import * as unexpectedRuns from "./unexpected_runs.ts";
 
 /** Dependencies of the detection. */
 export interface PrematureEndsOptions {
@@ -39,8 +39,8 @@
 
   /** Notes the end of a run; only an end that the endpoint did not report is kept. */
   noteEnd(
-    { task: { name: task }, run, isSent }: assignments.Occupant,
-    { how, cause }: listeners.SessionEnd,
+    { task: { name: task }, run, isSent }: assignments.Assignment,
+    { how, cause }: listeners.RunEndReport,
   ): void {
     const wasReported = how !== Workflow.RunEnd.Lost &&
       how !== Workflow.RunEnd.Crashed;
--- a/packages/coordinator/src/sessions/outlived_runs_test.ts
+++ b/packages/coordinator/src/sessions/premature_ends_test.ts
@@ -7,8 +7,8 @@
 import * as TestUtils from "@cairngate/test-utils";
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
-import * as assignments from "./occupant.ts";
-import * as prematureEnds from "./outlived_runs.ts";
+import * as assignments from "./assignment.ts";
+import * as prematureEnds from "./premature_ends.ts";
 import * as listeners from "./session_listener.ts";
 
 const ENDPOINT = "i-1";
@@ -28,7 +28,7 @@
   });
   const [task] = workflow.tasks;
   task.place(ENDPOINT, 1, clock.monotonicMs());
-  const assignment = assignments.createOccupant(task, null);
+  const assignment = assignments.createAssignment(task, null);
   assignment.isSent = true;
   const metrics = new Metrics.Metrics();
   const ends = new prematureEnds.PrematureEnds({
@@ -85,7 +85,7 @@
 
   vitest.it("is not logged if its endpoint reported the end", () => {
     const { assignment, ends, sentences } = createFixture();
-    const how = Workflow.RunEnd.Broken;
+    const how = Workflow.RunEnd.GangBroken;
     ends.noteEnd(assignment, { how, checkpoint: "", cause: null });
     ends.checkView(viewOf({ ended: true }));
     vitest.expect(sentences).toEqual([]);
--- a/packages/coordinator/src/sessions/former_runs.ts
+++ b/packages/coordinator/src/sessions/previous_runs.ts
@@ -6,13 +6,13 @@
  */
 import type * as Ports from "@cairngate/ports";
 import type * as Workflow from "@cairngate/workflow";
-import type * as trackedRuns from "./held_runs.ts";
-import * as evidences from "./life_end.ts";
-import type * as unansweredStarts from "./loose_starts.ts";
-import * as assignments from "./occupant.ts";
+import type * as trackedRuns from "./tracked_runs.ts";
+import * as evidences from "./end_evidence.ts";
+import type * as unansweredStarts from "./unanswered_starts.ts";
+import * as assignments from "./assignment.ts";
 import type * as listeners from "./session_listener.ts";
-import * as unexpectedRuns from "./stray_runs.ts";
-import type * as unreportedRuns from "./unheard_runs.ts";
+import * as unexpectedRuns from "./unexpected_runs.ts";
+import type * as unreportedRuns from "./unreported_runs.ts";
 
 /** Identifies a run of a task. */
 export interface RunOfTask {
@@ -25,9 +25,9 @@
   readonly clock: Ports.Clock;
   readonly tracked: trackedRuns.TrackedRuns;
   readonly unreported: unreportedRuns.UnreportedRuns;
-  readonly unansweredStarts: unansweredStarts.LooseStarts;
+  readonly unansweredStarts: unansweredStarts.UnansweredStarts;
   /** Orders the current incarnation to stop a run that is still tracked. */
-  readonly blockStart: (assignment: assignments.Occupant) => void;
+  readonly blockStart: (assignment: assignments.Assignment) => void;
   /** Orders the current incarnation to stop a run that is not tracked any more. */
   readonly blockRun: (run: Ports.RunRef) => void;
 }
@@ -48,7 +48,7 @@
 /** Runs of previous incarnations of one endpoint. */
 export class PreviousRuns {
   readonly #options: PreviousRunsOptions;
-  readonly #ends = new Map<string, listeners.SessionEnd>();
+  readonly #ends = new Map<string, listeners.RunEndReport>();
 
   constructor(options: PreviousRunsOptions) {
     this.#options = options;
@@ -62,7 +62,7 @@
   }
 
   /** Removes and returns the end of a run with its incarnation; null if none. */
-  take(run: RunOfTask): listeners.SessionEnd | null {
+  take(run: RunOfTask): listeners.RunEndReport | null {
     const end = this.#ends.get(taskRunName(run)) ?? null;
     this.#ends.delete(taskRunName(run));
     return end;
@@ -102,8 +102,8 @@
   }
 
   #end(
-    tracked: readonly assignments.Occupant[],
-    unreported: readonly unreportedRuns.UnheardRun[],
+    tracked: readonly assignments.Assignment[],
+    unreported: readonly unreportedRuns.UnreportedRun[],
     evidence: evidences.EndEvidence,
   ): void {
     const { clock, blockStart } = this.#options;
@@ -123,7 +123,7 @@
     }
   }
 
-  #blockUnansweredStarts(tracked: readonly assignments.Occupant[]): void {
+  #blockUnansweredStarts(tracked: readonly assignments.Assignment[]): void {
     const names = new Set(tracked.map(taskRunName));
     for (const run of this.#options.unansweredStarts.all) {
       if (!names.has(unexpectedRuns.runName(run))) this.#options.blockRun(run);
--- a/packages/coordinator/src/sessions/run_pace.ts
+++ b/packages/coordinator/src/sessions/run_pace.ts
@@ -49,7 +49,7 @@
   }
 
   /** Progress in percent between the first and the last sample. */
-  get came(): number {
+  get gainedPercent(): number {
     return this.#last.percent - this.#first.percent;
   }
 
--- a/packages/coordinator/src/sessions/run_pace_test.ts
+++ b/packages/coordinator/src/sessions/run_pace_test.ts
@@ -16,7 +16,7 @@
     vitest.expect(pace.earlierRate).toBeCloseTo(0.01, 3);
     vitest.expect(pace.recentRate).toBeCloseTo(0.002, 3);
     vitest.expect(pace.watchedMs).toBe(4000);
-    vitest.expect(pace.came).toBe(28);
+    vitest.expect(pace.gainedPercent).toBe(28);
   });
 
   vitest.it("has neither rate for a run that has just started", () => {
--- a/packages/coordinator/src/sessions/run_starter.ts
+++ b/packages/coordinator/src/sessions/run_starter.ts
@@ -4,7 +4,7 @@
 import * as Effect from "effect/Effect";
 import type * as loads from "./box_load.ts";
 import type * as terms from "../election/term.ts";
-import type * as assignments from "./occupant.ts";
+import type * as assignments from "./assignment.ts";
 import type * as ports from "../ports.ts";
 
 /** What is known after the attempts. */
@@ -53,7 +53,7 @@
   /** Receives each attempt without an answer, which may be executed later. */
   readonly onUnanswered: (run: Ports.RunRef) => void;
   /** Whether the run is still wanted. */
-  readonly isWanted: (assignment: assignments.Occupant) => boolean;
+  readonly isWanted: (assignment: assignments.Assignment) => boolean;
 }
 
 const START_LIMIT_MS = 450;
@@ -73,7 +73,7 @@
    * effect where the run has already started. A refusal proves nothing about an
    * earlier unanswered attempt, which may still be delivered.
    */
-  send(assignment: assignments.Occupant): Effect.Effect<StartReport> {
+  send(assignment: assignments.Assignment): Effect.Effect<StartReport> {
     return Effect.gen({ self: this }, function* () {
       let mayBeDelivered = false;
       for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
@@ -98,11 +98,11 @@
     });
   }
 
-  #sendOnce(assignment: assignments.Occupant): Effect.Effect<StartReport> {
-    const { term, ref, load, ports: { workers, clock } } = this.#options;
+  #sendOnce(assignment: assignments.Assignment): Effect.Effect<StartReport> {
+    const { term, ref, load, ports: { endpoints, clock } } = this.#options;
     const { task, run, ticket } = assignment;
     return Effect.gen({ self: this }, function* () {
-      const order = workers.start(ref, {
+      const order = endpoints.start(ref, {
         task: task.name,
         run,
         payload: task.workflow.spec.payload,
@@ -129,7 +129,7 @@
   }
 
   #outcomeOf(
-    assignment: assignments.Occupant,
+    assignment: assignments.Assignment,
     err: Ports.OrderError,
   ): StartOutcome {
     if (err._tag === "WorkerLostError") {
--- a/packages/coordinator/src/sessions/session_listener.ts
+++ b/packages/coordinator/src/sessions/session_listener.ts
@@ -2,9 +2,9 @@
 import type * as Ports from "@cairngate/ports";
 import * as Workflow from "@cairngate/workflow";
 import type * as Effect from "effect/Effect";
-import type * as silences from "../endpoints/silence_log.ts";
-import type * as assignments from "./occupant.ts";
-import type * as unreportedRuns from "./unheard_runs.ts";
+import type * as failureLogs from "../endpoints/endpoint_failure_log.ts";
+import type * as assignments from "./assignment.ts";
+import type * as unreportedRuns from "./unreported_runs.ts";
 import type * as healths from "../endpoints/endpoint_health.ts";
 
 /** Why a run counts as lost. */
@@ -45,7 +45,7 @@
 }
 
 /** The end of a run as reported to the coordinator. */
-export interface SessionEnd {
+export interface RunEndReport {
   readonly how: Workflow.RunEnd;
   readonly checkpoint: string;
   /** Why it counts as lost; null if it does not. */
@@ -53,11 +53,11 @@
   /** Evidence on the cause of a crash. */
   readonly crash?: Workflow.CrashEvidence;
   /** Whether the actual end of a lost run may still be reported. */
-  readonly isOpen?: boolean;
+  readonly isUnresolved?: boolean;
 }
 
 /** The endpoint of a session. */
-export interface SessionWorker {
+export interface SessionEndpoint {
   readonly ref: Ports.EndpointRef;
   readonly health: healths.EndpointHealth;
 }
@@ -66,25 +66,25 @@
 export abstract class SessionListener {
   /** Handles the end of a run; the effect completes when the end is recorded. */
   abstract runEnded(
-    endpoint: SessionWorker,
-    assignment: assignments.Occupant,
-    end: SessionEnd,
+    endpoint: SessionEndpoint,
+    assignment: assignments.Assignment,
+    end: RunEndReport,
   ): Effect.Effect<void>;
   /**
    * Handles news of a run that was already over for the session; the effect completes
    * when they are recorded.
    */
-  abstract lateEnd(
-    endpoint: SessionWorker,
-    run: unreportedRuns.UnheardRun,
-    end: SessionEnd,
+  abstract lateEndReported(
+    endpoint: SessionEndpoint,
+    run: unreportedRuns.UnreportedRun,
+    end: RunEndReport,
   ): Effect.Effect<void>;
   /**
    * Handles a run that an endpoint reports as done and the session no longer tracks;
    * the effect completes when that is recorded.
    */
   abstract unexpectedDone(
-    endpoint: SessionWorker,
+    endpoint: SessionEndpoint,
     ended: Ports.EndedRun,
   ): Effect.Effect<void>;
   /**
@@ -92,23 +92,23 @@
    * is not listed or the task may have crashed it.
    */
   abstract runGone(
-    endpoint: SessionWorker,
-    run: unreportedRuns.UnheardRun,
+    endpoint: SessionEndpoint,
+    run: unreportedRuns.UnreportedRun,
   ): void;
   /** Handles crashes that were part of a larger outage than known when counted. */
   abstract crashExcused(
-    victims: readonly silences.Victim[],
-    fellows: Workflow.CrashFellows,
+    affectedRuns: readonly failureLogs.AffectedRun[],
+    scale: Workflow.CrashScale,
   ): void;
   /**
    * Handles a new incarnation under the endpoint's id, which invalidates what was
    * known of the endpoint.
    */
-  abstract lifeBegan(endpoint: SessionWorker): void;
+  abstract incarnationStarted(endpoint: SessionEndpoint): void;
   /** Handles the confirmation that the endpoint holds a run. */
-  abstract runConfirmed(assignment: assignments.Occupant): void;
+  abstract runConfirmed(assignment: assignments.Assignment): void;
   /** Handles a change of the capacity or the reachability of the endpoint. */
-  abstract roomChanged(): void;
+  abstract capacityChanged(): void;
 }
 
 const END_OF_KIND: Readonly<Record<Ports.EndKind, Workflow.RunEnd>> = {
@@ -116,24 +116,29 @@
   failed: Workflow.RunEnd.Failed,
   stopped: Workflow.RunEnd.Stopped,
   lapsed: Workflow.RunEnd.Lapsed,
-  broken: Workflow.RunEnd.Broken,
-  alone: Workflow.RunEnd.Alone,
+  broken: Workflow.RunEnd.GangBroken,
+  alone: Workflow.RunEnd.GangIncomplete,
 };
 
 /** Converts an end as named by endpoints. */
-export function toSessionEnd(ended: Ports.EndedRun): SessionEnd {
+export function toRunEndReport(ended: Ports.EndedRun): RunEndReport {
   const { how, checkpoint } = ended;
   return { how: END_OF_KIND[how], checkpoint, cause: null };
 }
 
 /** Creates the end of a run that does not run anywhere any more. */
-export function lost(cause: LostCause): SessionEnd {
-  const isOpen = cause === LostCause.EndedBeforeGang;
-  return { how: Workflow.RunEnd.Lost, checkpoint: "", cause, isOpen };
+export function lost(cause: LostCause): RunEndReport {
+  const isUnresolved = cause === LostCause.EndedBeforeGang;
+  return {
+    how: Workflow.RunEnd.Lost,
+    checkpoint: "",
+    cause,
+    isUnresolved,
+  };
 }
 
 /** Creates the end of a run whose endpoint has crashed. */
-export function crashed(crash: Workflow.CrashEvidence): SessionEnd {
+export function crashed(crash: Workflow.CrashEvidence): RunEndReport {
   const how = Workflow.RunEnd.Crashed;
   return { how, checkpoint: "", cause: null, crash };
 }
--- a/packages/coordinator/src/sessions/session_options.ts
+++ b/packages/coordinator/src/sessions/session_options.ts
@@ -1,12 +1,12 @@
 /** Dependencies and parameters of a session with an endpoint, shared by its parts. */
 import type * as Ports from "@cairngate/ports";
 import type * as Workflow from "@cairngate/workflow";
-import type * as silences from "../endpoints/silence_log.ts";
+import type * as failureLogs from "../endpoints/endpoint_failure_log.ts";
 import type * as terms from "../election/term.ts";
 import type * as ports from "../ports.ts";
 import type * as recoveries from "../work/recovery.ts";
 import type * as loads from "./box_load.ts";
-import type * as unansweredStarts from "./loose_starts.ts";
+import type * as unansweredStarts from "./unanswered_starts.ts";
 import type * as listeners from "./session_listener.ts";
 
 /** Dependencies and parameters of a session. */
@@ -19,7 +19,7 @@
   /** Birth time named by its entry; null if there is none. */
   readonly listedBornMs: number | null;
   /** Unanswered starts, including those of earlier sessions with this endpoint. */
-  readonly loose: unansweredStarts.LooseStarts;
+  readonly unansweredStarts: unansweredStarts.UnansweredStarts;
   /** Time of this box's clock by which leases of earlier coordinators have expired. */
   readonly lapsesAtMs: number;
   /** Delay of this box; shared by all sessions. */
@@ -31,9 +31,9 @@
   /** Data centre of the endpoint; nothing starts there while it is evacuated. */
   readonly dataCentre: string;
   /** Endpoints that are silent or have crashed; shared by all sessions. */
-  readonly silences: silences.SilenceLog;
+  readonly failureLog: failureLogs.EndpointFailureLog;
   /** Whether another endpoint is known at its address; it has to answer first. */
   readonly isContested: boolean;
   /** Receives each answer of this incarnation: no other one is at its address. */
-  readonly onHeard: (ref: Ports.EndpointRef) => void;
+  readonly onAnswered: (ref: Ports.EndpointRef) => void;
 }
--- a/packages/coordinator/src/sessions/session_parts.ts
+++ b/packages/coordinator/src/sessions/session_parts.ts
@@ -1,16 +1,16 @@
 /** Creates the parts of one session and connects them. */
 import * as endpointEnds from "./endpoint_ends.ts";
-import * as pollers from "./endpoint_look.ts";
+import * as pollers from "./endpoint_poller.ts";
 import * as endpointOrders from "./endpoint_orders.ts";
 import * as endpointRuns from "./endpoint_runs.ts";
-import * as unanswered from "./endpoint_silence.ts";
+import * as unanswered from "./unanswered_polls.ts";
 import * as endpointStarts from "./endpoint_starts.ts";
 import * as endpointStates from "./endpoint_state.ts";
 import * as endpointStops from "./endpoint_stops.ts";
 import * as lateStartGuards from "./late_start_guard.ts";
 import type * as sessionOptions from "./session_options.ts";
-import * as preStartPolls from "./start_looks.ts";
-import * as startReports from "./start_reports.ts";
+import * as preStartPolls from "./pre_start_polls.ts";
+import * as startReports from "./start_report_handler.ts";
 import * as views from "./view_reader.ts";
 
 /** Parts that all other ones use. */
--- a/packages/coordinator/src/sessions/start_reports.ts
+++ b/packages/coordinator/src/sessions/start_report_handler.ts
@@ -1,11 +1,11 @@
 /** Handles the outcomes of starts at one endpoint. */
 import * as Effect from "effect/Effect";
 import type * as endpointEnds from "./endpoint_ends.ts";
-import * as pollers from "./endpoint_look.ts";
+import * as pollers from "./endpoint_poller.ts";
 import type * as endpointRuns from "./endpoint_runs.ts";
 import type * as endpointStates from "./endpoint_state.ts";
 import type * as endpointStops from "./endpoint_stops.ts";
-import * as assignments from "./occupant.ts";
+import * as assignments from "./assignment.ts";
 import * as starters from "./run_starter.ts";
 import * as listeners from "./session_listener.ts";
 import type * as sessionOptions from "./session_options.ts";
@@ -32,7 +32,7 @@
 
   /** Handles the report of a run that is still tracked. */
   handle(
-    assignment: assignments.Occupant,
+    assignment: assignments.Assignment,
     report: starters.StartReport,
   ): Effect.Effect<void> {
     const { state, runs, ends, stops, options } = this.#options;
@@ -60,19 +60,19 @@
         options.term.lose("an endpoint has received a higher fencing token");
         return Effect.void;
       case starters.StartOutcome.Refused:
-        state.health.refused(nowMs);
+        state.health.noteRefusal(nowMs);
         return this.#endRefused(assignment);
       case starters.StartOutcome.NotDelivered:
-        state.health.failed(nowMs);
+        state.health.noteFailure(nowMs);
         return tracked.end(assignment, lost(LostCause.NeverSent));
       case starters.StartOutcome.MayBeDelivered:
-        state.health.failed(nowMs);
+        state.health.noteFailure(nowMs);
         return stops.stop(assignment);
     }
   }
 
   #confirm(
-    assignment: assignments.Occupant,
+    assignment: assignments.Assignment,
     { clockMs }: starters.StartReport,
     nowMs: number,
   ): void {
@@ -88,7 +88,7 @@
   }
 
   /** Ends a refused run after a poll, which reads the runs there and the clock. */
-  #endRefused(assignment: assignments.Occupant): Effect.Effect<void> {
+  #endRefused(assignment: assignments.Assignment): Effect.Effect<void> {
     const { poller, runs: { tracked } } = this.#options;
     return Effect.andThen(
       poller.poll(pollers.NO_WAIT_MS),
--- a/packages/coordinator/src/sessions/endpoint_silence.ts
+++ b/packages/coordinator/src/sessions/unanswered_polls.ts
@@ -4,7 +4,7 @@
 import * as endpointOrders from "./endpoint_orders.ts";
 import type * as endpointRuns from "./endpoint_runs.ts";
 import type * as endpointStates from "./endpoint_state.ts";
-import * as assignments from "./occupant.ts";
+import * as assignments from "./assignment.ts";
 import type * as sessionOptions from "./session_options.ts";
 import type * as lateStartGuards from "./late_start_guard.ts";
 import * as listeners from "./session_listener.ts";
@@ -48,11 +48,11 @@
 
   /** Returns whether the previous poll was answered. */
   #markUnreachable(): boolean {
-    const { state, options: { silences, listener } } = this.#options;
+    const { state, options: { failureLog, listener } } = this.#options;
     const isFirst = state.markUnreachable();
     if (isFirst) {
-      silences.noteSilent(state.ref);
-      listener.roomChanged();
+      failureLog.noteSilent(state.ref);
+      listener.capacityChanged();
       // A start may have sent this poll while the session was idle, which has to poll
       // until the endpoint answers.
       state.wake();
@@ -76,7 +76,7 @@
 
   /** Ends a run whose actual end may still be reported. */
   #giveUp(
-    assignment: assignments.Occupant,
+    assignment: assignments.Assignment,
     hasLapsed: boolean,
   ): Effect.Effect<void> {
     const { state, runs, options: { ports, listener } } = this.#options;
@@ -101,7 +101,7 @@
   /** An end before the expiry of the lease does not count if it is reported later. */
   #closeUnreported(): void {
     for (const { task, run } of this.#options.runs.unreported.all) {
-      task.workflow.openEnds.closeUntold(task, run);
+      task.workflow.unresolvedRuns.closeUnlessGone(task, run);
     }
   }
 }
@@ -113,7 +113,7 @@
  * confirmed may arrive late and wait for the others. A run sent by an earlier
  * coordinator may have been stopped by it, which no record shows.
  */
-function hasEndedBeforeGang(assignment: assignments.Occupant): boolean {
+function hasEndedBeforeGang(assignment: assignments.Assignment): boolean {
   const { task, run, sentAtMs, stoppingSinceMs } = assignment;
   return assignments.isConfirmed(assignment) && sentAtMs !== null &&
     task.run === run &&
--- a/packages/coordinator/src/sessions/loose_starts.ts
+++ b/packages/coordinator/src/sessions/unanswered_starts.ts
@@ -6,7 +6,7 @@
  * before.
  */
 import type * as Ports from "@cairngate/ports";
-import * as unexpectedRuns from "./stray_runs.ts";
+import * as unexpectedRuns from "./unexpected_runs.ts";
 
 /**
  * Time in ms after which an unanswered order is not executed any more: operators
@@ -19,7 +19,7 @@
 }
 
 /** Unanswered starts of one endpoint. */
-export class LooseStarts {
+export class UnansweredStarts {
   readonly #clock: Ports.Clock;
   readonly #starts = new Map<string, UnansweredStart>();
 
--- a/packages/coordinator/src/sessions/view_reader.ts
+++ b/packages/coordinator/src/sessions/view_reader.ts
@@ -8,13 +8,13 @@
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
 import type * as recoveries from "../work/recovery.ts";
-import type * as reportedEnds from "./end_ledger.ts";
-import type * as previousRuns from "./former_runs.ts";
-import type * as trackedRuns from "./held_runs.ts";
-import * as assignments from "./occupant.ts";
+import type * as reportedEnds from "./reported_ends.ts";
+import type * as previousRuns from "./previous_runs.ts";
+import type * as trackedRuns from "./tracked_runs.ts";
+import * as assignments from "./assignment.ts";
 import * as listeners from "./session_listener.ts";
-import * as unexpectedRuns from "./stray_runs.ts";
-import type * as unreportedRuns from "./unheard_runs.ts";
+import * as unexpectedRuns from "./unexpected_runs.ts";
+import type * as unreportedRuns from "./unreported_runs.ts";
 
 const { LostCause, lost } = listeners;
 
@@ -33,7 +33,7 @@
   readonly recovery: recoveries.Recovery;
   readonly listener: listeners.SessionListener;
   /** The endpoint, for the listener. */
-  readonly endpoint: listeners.SessionWorker;
+  readonly endpoint: listeners.SessionEndpoint;
   /** Stops and logs a run that is not expected. */
   readonly stopUnexpected: (run: Ports.RunRef) => void;
   /** Called when recorded ends have to be acknowledged to the endpoint. */
@@ -81,7 +81,7 @@
       const confirmed = this.#processHeld(view);
       for (const run of unreported.takeAbsent(view.held)) {
         const end = previous.take(run) ?? lost(LostCause.NotHeld);
-        records.push(listener.lateEnd(endpoint, run, end));
+        records.push(listener.lateEndReported(endpoint, run, end));
       }
       records.push(...this.#endMissing(confirmed, sentAtMs));
       if (records.length > 0 || newEnds.length > 0) {
@@ -115,7 +115,7 @@
 
   /** Ends runs that the endpoint has to report by now and does not. */
   #endMissing(
-    confirmed: ReadonlySet<assignments.Occupant>,
+    confirmed: ReadonlySet<assignments.Assignment>,
     sentAtMs: number,
   ): Effect.Effect<void>[] {
     const { tracked, previous } = this.#options;
@@ -135,14 +135,14 @@
     this.#unexpected.noteEnded(ended);
     const assignment = tracked.get(ended.task);
     if (assignment !== undefined && assignment.run === ended.run) {
-      return tracked.end(assignment, listeners.toSessionEnd(ended));
+      return tracked.end(assignment, listeners.toRunEndReport(ended));
     }
     const unreportedRun = unreported.take(ended);
     if (unreportedRun !== null) {
-      return listener.lateEnd(
+      return listener.lateEndReported(
         endpoint,
         unreportedRun,
-        listeners.toSessionEnd(ended),
+        listeners.toRunEndReport(ended),
       );
     }
     if (!recovery.isComplete) return this.#deferEnd(ended);
@@ -168,9 +168,9 @@
   }
 
   /** Confirms runs that are held; stops those that are not expected. */
-  #processHeld(view: Ports.EndpointView): Set<assignments.Occupant> {
+  #processHeld(view: Ports.EndpointView): Set<assignments.Assignment> {
     const { listener, tracked, clock, bornMs } = this.#options;
-    const confirmed = new Set<assignments.Occupant>();
+    const confirmed = new Set<assignments.Assignment>();
     const unexpected: Ports.RunRef[] = [];
     const nowMs = clock.monotonicMs();
     for (const { task, run, checkpoint, percent } of view.held) {
@@ -198,6 +198,6 @@
   #stopUnexpectedRuns(runs: readonly Ports.RunRef[]): void {
     const { listener, recovery, stopUnexpected } = this.#options;
     for (const run of recovery.isComplete ? runs : []) stopUnexpected(run);
-    if (this.#unexpected.replace(runs)) listener.roomChanged();
+    if (this.#unexpected.replace(runs)) listener.capacityChanged();
   }
 }
--- a/packages/coordinator/src/work/coordinator.ts
+++ b/packages/coordinator/src/work/coordinator.ts
@@ -44,7 +44,7 @@
   dump(): describing.CoordinatorDump {
     return {
       token: this.#term.token,
-      lateMs: Math.round(this.#parts.directory.lateMs),
+      lateMs: Math.round(this.#parts.directory.delayMs),
       workflows: this.#parts.workflows.unfinished.map((workflow) =>
         describing.describeWorkflow(
           workflow,
@@ -153,7 +153,7 @@
   }
 
   #checkRuns(): void {
-    this.#parts.watch.look();
+    this.#parts.monitor.check();
     this.#parts.guarantees.logChanges();
   }
 
@@ -161,9 +161,9 @@
     const { hardLoad, shares, directory } = this.#parts;
     const guaranteesByTeam = guarantees.guaranteesOf(this.#ports.config());
     const endpoints = directory.states();
-    hardLoad.look(guaranteesByTeam, directory.sureSpeeds());
+    hardLoad.update(guaranteesByTeam, directory.confidentSpeeds());
     const { teamsCompete } = hardLoad.load;
-    shares.look({ teamsCompete, guarantees: guaranteesByTeam, endpoints });
+    shares.update({ teamsCompete, guarantees: guaranteesByTeam, endpoints });
   }
 
   /**
@@ -177,6 +177,6 @@
     }
     const silentMs = this.#ports.store.silentForMs();
     return silentMs < MAX_STORE_SILENCE_MS && !this.#term.isLost &&
-      !this.#ports.evacuations.mayBeLate;
+      !this.#ports.evacuations.mayBeOutdated;
   }
 }
--- a/packages/coordinator/src/work/describe.ts
+++ b/packages/coordinator/src/work/describe.ts
@@ -2,10 +2,10 @@
 import type * as Admission from "@cairngate/admission";
 import * as Workflow from "@cairngate/workflow";
 import * as Scheduler from "@cairngate/workflow-scheduler";
-import type * as evacuations from "../endpoints/evacuation_book.ts";
-import type * as stopBooks from "../load/stop_book.ts";
+import type * as evacuations from "../endpoints/evacuation_tracker.ts";
+import type * as stopTrackers from "../load/stop_tracker.ts";
 import type * as directories from "../endpoints/endpoint_directory.ts";
-import * as sentences from "./run_sentences.ts";
+import * as sentences from "./run_descriptions.ts";
 
 /** A workflow that has not ended. */
 export interface WorkflowDump {
@@ -86,9 +86,9 @@
   /** Kinds of hard load that planning takes into account. */
   readonly hardLoad: Scheduler.HardLoad;
   /** Preemptions of this term by their result. */
-  readonly stops: stopBooks.StopCounts;
+  readonly stops: stopTrackers.StopCounts;
   /** Ratio of actual to estimated run times by queue. */
-  readonly estimates: readonly Scheduler.EstimateWorth[];
+  readonly estimates: readonly Scheduler.EstimateAccuracy[];
   /** Shares of teams; empty where teams do not compete. */
   readonly teamShares: readonly TeamShareDump[];
   /** Capacity forecast used for admission; null without hard load. */
@@ -110,7 +110,7 @@
 }
 
 /** State of one workflow as stored in its rows. */
-export interface WorkflowStory {
+export interface WorkflowReport {
   readonly id: string;
   readonly state: Workflow.WorkflowState;
   /** Null where it was not given up. */
@@ -156,10 +156,10 @@
 
 /** Describes one endpoint. */
 export function describeEndpoint(
-  endpoint: Scheduler.WorkerState,
+  endpoint: Scheduler.EndpointSnapshot,
 ): EndpointDump {
-  const { id, dataCentre, rack, usable, speed, occupants } = endpoint;
-  const runs = occupants.map(({ name, run }) => `${name}@${run}`);
+  const { id, dataCentre, rack, usable, speed, tasks } = endpoint;
+  const runs = tasks.map(({ name, run }) => `${name}@${run}`);
   return { id, dataCentre, rack, usable, speed, runs };
 }
 
--- a/packages/coordinator/src/work/end_log.ts
+++ b/packages/coordinator/src/work/end_log.ts
@@ -2,7 +2,7 @@
 import * as Workflow from "@cairngate/workflow";
 import type * as ports from "../ports.ts";
 import * as listeners from "../sessions/session_listener.ts";
-import * as sentences from "./run_sentences.ts";
+import * as sentences from "./run_descriptions.ts";
 
 /** A run and its endpoint. */
 export interface RunLocation {
@@ -22,7 +22,7 @@
   }
 
   /** Logs a run that did not complete its task. */
-  logEnd(place: RunLocation, { how, cause }: listeners.SessionEnd): void {
+  logEnd(place: RunLocation, { how, cause }: listeners.RunEndReport): void {
     const { log, metrics } = this.#ports;
     const { task, run, endpoint } = place;
     const reason = cause === null
@@ -34,7 +34,7 @@
   }
 
   /** Logs an end that was reported after the coordinator had given the run up. */
-  logLateEnd(place: RunLocation, { how }: listeners.SessionEnd): void {
+  logLateEnd(place: RunLocation, { how }: listeners.RunEndReport): void {
     const { task, run, endpoint } = place;
     this.#ports.log.info(
       `Run ${run} of ${task.name} on ${endpoint}: ${how}, as reported later.`,
--- a/packages/coordinator/src/work/guarantee_watch.ts
+++ b/packages/coordinator/src/work/guarantee_watch.ts
@@ -26,7 +26,7 @@
   describe(): describing.GuaranteeDump {
     return describing.describeGuarantees(
       guaranteesOf(this.#ports.config()),
-      this.#directory.openAccelerators,
+      this.#directory.schedulableAccelerators,
     );
   }
 
--- a/packages/coordinator/src/work/missing_runs.ts
+++ b/packages/coordinator/src/work/missing_runs.ts
@@ -5,7 +5,7 @@
 export interface MissingRun {
   readonly task: Workflow.Task;
   readonly run: number;
-  readonly worker: string;
+  readonly endpoint: string;
   /** Start time of the endpoint's instance; null where it is not known. */
   readonly bornMs: number | null;
   readonly address?: string | null;
@@ -35,7 +35,7 @@
 
   /** Removes and returns the runs whose endpoints are listed again. */
   removeListed(isListed: (endpoint: string) => boolean): readonly TrackedRun[] {
-    return this.#removeWhere(({ worker }) => isListed(worker));
+    return this.#removeWhere(({ endpoint }) => isListed(endpoint));
   }
 
   /** Removes and returns the runs whose leases have expired. */
--- a/packages/coordinator/src/work/partition_recorder.ts
+++ b/packages/coordinator/src/work/partition_recorder.ts
@@ -223,7 +223,10 @@
   #rowsOf(workflow: Workflow.Workflow): Ports.RowWrite[] {
     const { spec: { id, policy } } = workflow;
     const key = this.#keyOf(workflow);
-    const rows = [{ key, value: Workflow.toProgress(workflow) as unknown }];
+    const rows = [{
+      key,
+      value: Workflow.toProgressRecord(workflow) as unknown,
+    }];
     if (hasStarted(workflow) && this.#withWaitingRow.has(workflow)) {
       const { partition } = this.#options;
       const waitingKey = TableClient.Keys.waitingKey(
--- a/packages/coordinator/src/work/planning.ts
+++ b/packages/coordinator/src/work/planning.ts
@@ -3,13 +3,13 @@
 import * as Scheduler from "@cairngate/workflow-scheduler";
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
-import type * as advice from "./advice_book.ts";
+import type * as advice from "./advice_cache.ts";
 import * as guarantees from "./guarantee_watch.ts";
 import type * as ports from "../ports.ts";
-import type * as hardLoads from "../load/hard_load_watch.ts";
-import * as stopBooks from "../load/stop_book.ts";
+import type * as hardLoads from "../load/hard_load_detector.ts";
+import * as stopTrackers from "../load/stop_tracker.ts";
 import type * as estimates from "../load/run_estimates.ts";
-import type * as shareBooks from "../load/share_book.ts";
+import type * as shareTrackers from "../load/team_share_tracker.ts";
 import type * as controls from "./run_control.ts";
 import * as standstills from "./standstill_watch.ts";
 import type * as directories from "../endpoints/endpoint_directory.ts";
@@ -20,9 +20,9 @@
   readonly directory: directories.EndpointDirectory;
   readonly control: controls.RunControl;
   readonly advice: advice.AdviceCache;
-  readonly hardLoad: hardLoads.HardLoadWatch;
+  readonly hardLoad: hardLoads.HardLoadDetector;
   readonly estimates: estimates.RunEstimates;
-  readonly shares: shareBooks.ShareBook;
+  readonly shares: shareTrackers.TeamShareTracker;
   /** Workflows whose ready tasks may start. */
   readonly startable: () => readonly Workflow.Workflow[];
   /** Workflows whose tasks must not start until their record is read or written. */
@@ -39,7 +39,7 @@
 const PLAN_PAUSE_FACTOR = 3;
 
 const SLOW_START_MESSAGES: Readonly<Record<Scheduler.SlowReason, string>> = {
-  [Scheduler.SlowReason.Taken]:
+  [Scheduler.SlowReason.FasterInUse]:
     "on slow endpoints and will end late: fast endpoints are in use",
   [Scheduler.SlowReason.TooLate]:
     "so late that no endpoint is fast enough for its objective",
@@ -49,7 +49,7 @@
 export class Planning {
   readonly #parts: PlanningParts;
   readonly #standstills: standstills.StandstillWatch;
-  readonly #stops: stopBooks.StopBook;
+  readonly #stops: stopTrackers.StopTracker;
   readonly #urgent = new Scheduler.UrgentArrivals();
   /** Duration of the last plan. */
   #planMs = 0;
@@ -58,7 +58,7 @@
   constructor(parts: PlanningParts) {
     this.#parts = parts;
     this.#standstills = new standstills.StandstillWatch(parts.ports);
-    this.#stops = new stopBooks.StopBook(parts.ports.metrics);
+    this.#stops = new stopTrackers.StopTracker(parts.ports.metrics);
   }
 
   /** Requests a plan after something has changed. */
@@ -72,7 +72,7 @@
   }
 
   /** Preemptions by their result. */
-  get stopCounts(): stopBooks.StopCounts {
+  get stopCounts(): stopTrackers.StopCounts {
     return this.#stops.counts;
   }
 
@@ -85,7 +85,7 @@
       yield* clock.sleep(
         Math.max(EVENT_BATCH_MS, this.#planMs * PLAN_PAUSE_FACTOR),
       );
-      this.#stops.look(clock.wallMs());
+      this.#stops.countEnded(clock.wallMs());
       if (this.#parts.prepare()) this.#plan();
     }));
   }
@@ -99,7 +99,7 @@
       return this.#standstills.clear();
     }
     const endpoints = directory.states();
-    this.#urgent.note(workflows);
+    this.#urgent.record(workflows);
     const plan = Scheduler.makePlan(this.#planInput(endpoints, workflows));
     this.#standstills.update({
       waits: [...plan.waits, ...recordWaits],
@@ -112,7 +112,7 @@
     this.#requestAdvice(plan, endpoints);
     this.#planMs = clock.monotonicMs() - startedAtMs;
     metrics.observeMs("cairngate_plan_seconds", this.#planMs);
-    metrics.set("cairngate_endpoints_kept", plan.kept);
+    metrics.set("cairngate_endpoints_kept", plan.reservedCount);
   }
 
   #recordWaits(): Scheduler.WaitDecision[] {
@@ -124,13 +124,13 @@
   }
 
   #planInput(
-    endpoints: readonly Scheduler.WorkerState[],
+    endpoints: readonly Scheduler.EndpointSnapshot[],
     workflows: readonly Workflow.Workflow[],
   ): Scheduler.PlanInput {
     const { ports: { clock, bounds, config }, advice: adviceCache } =
       this.#parts;
     return {
-      workers: endpoints,
+      endpoints,
       workflows,
       guarantees: guarantees.guaranteesOf(config()),
       nowMs: clock.monotonicMs(),
@@ -140,20 +140,21 @@
         adviceCache.ticket(unit, endpoint) !== null,
       hardLoad: this.#parts.hardLoad.load,
       stopMs: bounds.stopMs,
-      urgentTraffic: (service) => this.#urgent.of(service, clock.wallMs()),
+      urgentTraffic: (service) =>
+        this.#urgent.trafficOf(service, clock.wallMs()),
       corrections: this.#parts.estimates.corrections,
       shares: this.#parts.shares.shares,
     };
   }
 
   #start(decision: Scheduler.StartDecision): void {
-    this.#stops.started(decision);
-    const { unit: { workflow: { spec } }, slow } = decision;
-    if (slow !== undefined) {
+    this.#stops.noteStart(decision);
+    const { unit: { workflow: { spec } }, slowReason } = decision;
+    if (slowReason !== undefined) {
       const { log, metrics } = this.#parts.ports;
-      metrics.count("cairngate_slow_places_total", { reason: slow });
+      metrics.count("cairngate_slow_places_total", { reason: slowReason });
       log.info(
-        `Urgent workflow ${spec.id} starts ${SLOW_START_MESSAGES[slow]}.`,
+        `Urgent workflow ${spec.id} starts ${SLOW_START_MESSAGES[slowReason]}.`,
       );
     }
     this.#parts.control.start(decision);
@@ -168,22 +169,22 @@
         `${claimant.workflow.spec.id}; checkpoints: ${task.step.checkpoints}.`,
     );
     metrics.count("cairngate_yields_total");
-    this.#stops.stopped(decision, clock.monotonicMs());
+    this.#stops.noteStop(decision, clock.monotonicMs());
     this.#parts.shares.noteYield(task);
     this.#parts.control.stop(task);
-    if (task.state === Workflow.TaskState.Stopping) task.stopsForOthers++;
+    if (task.state === Workflow.TaskState.Stopping) task.preemptions++;
   }
 
   /** Requests advice for units that wait for it; the cache allows one at a time. */
   #requestAdvice(
     plan: Scheduler.Plan,
-    endpoints: readonly Scheduler.WorkerState[],
+    endpoints: readonly Scheduler.EndpointSnapshot[],
   ): void {
     for (const { unit, reason } of plan.waits) {
       if (reason !== Scheduler.WaitReason.Advice) continue;
       const eligible = endpoints
         .filter((endpoint) => Scheduler.isEligible(endpoint, unit))
-        .sort((a, b) => a.occupants.length - b.occupants.length);
+        .sort((a, b) => a.tasks.length - b.tasks.length);
       this.#parts.advice.request(unit, eligible.map(({ id }) => id));
     }
   }
--- a/packages/coordinator/src/work/row_followers.ts
+++ b/packages/coordinator/src/work/row_followers.ts
@@ -44,7 +44,7 @@
     this.#options = options;
     this.#listings = new TableClient.RowFollower({
       ...this.#feedOptions(),
-      feed: options.ports.workerFeed,
+      feed: options.ports.endpointFeed,
       gatherMs: LISTINGS_BATCH_MS,
       onChange: options.onListings,
     });
--- a/packages/coordinator/src/work/run_control.ts
+++ b/packages/coordinator/src/work/run_control.ts
@@ -2,7 +2,7 @@
 import * as Workflow from "@cairngate/workflow";
 import type * as Scheduler from "@cairngate/workflow-scheduler";
 import * as Effect from "effect/Effect";
-import type * as advice from "./advice_book.ts";
+import type * as advice from "./advice_cache.ts";
 import * as leaseClocks from "../sessions/lease_clock.ts";
 import * as missingRuns from "./missing_runs.ts";
 import type * as ports from "../ports.ts";
@@ -29,7 +29,7 @@
   /** Reserves the endpoints at once; sends the orders once they are recorded. */
   start(decision: Scheduler.StartDecision): void {
     const { ports: { clock }, directory, recorder } = this.#parts;
-    const { unit, workers: endpoints } = decision;
+    const { unit, endpointIds: endpoints } = decision;
     const { workflow } = unit;
     const run = 1 + Math.max(...unit.tasks.map((task) => task.run));
     if (workflow.state === Workflow.WorkflowState.Queued) {
@@ -43,11 +43,11 @@
       const nowMs = clock.monotonicMs();
       task.place(endpoints[i], run, nowMs, likelyBornMs, address);
       const ticket = this.#parts.advice.ticket(unit, endpoints[i]);
-      return [{ session, occupant: session.reserve(task, ticket) }];
+      return [{ session, assignment: session.reserve(task, ticket) }];
     });
     const send = Effect.forEach(
       orders,
-      ({ session, occupant }) => session.start(occupant),
+      ({ session, assignment }) => session.start(assignment),
       { concurrency: "unbounded", discard: true },
     );
     Effect.runFork(Effect.andThen(recorder.record(workflow), send));
@@ -55,16 +55,16 @@
 
   /** Stops the run of a task, where a session of its endpoint holds it. */
   stop(task: Workflow.Task): void {
-    if (task.worker === null) return;
-    const session = this.#parts.directory.session(task.worker);
-    const occupant = session?.occupants.find((o) => o.task === task);
-    if (session === null || occupant === undefined) return;
+    if (task.endpoint === null) return;
+    const session = this.#parts.directory.session(task.endpoint);
+    const assignment = session?.assignments.find((o) => o.task === task);
+    if (session === null || assignment === undefined) return;
     if (task.state !== Workflow.TaskState.Done) {
       task.state = Workflow.TaskState.Stopping;
     }
-    if (occupant.stoppingSinceMs !== null) return;
-    occupant.stoppingSinceMs = this.#parts.ports.clock.monotonicMs();
-    Effect.runFork(session.stop(occupant));
+    if (assignment.stoppingSinceMs !== null) return;
+    assignment.stoppingSinceMs = this.#parts.ports.clock.monotonicMs();
+    Effect.runFork(session.stop(assignment));
   }
 
   /** Stops all placed tasks of a workflow. */
@@ -85,22 +85,29 @@
     const nowMs = clock.monotonicMs();
     // Its elapsed time is not known; assumes half of the estimate.
     task.startedAtMs = nowMs - task.step.estimateMs / 2;
-    const { run, worker, bornMs, address } = task;
-    if (worker === null) return;
+    const { run, endpoint, bornMs, address } = task;
+    if (endpoint === null) return;
     const presence = Workflow.Presence.Unknown;
-    const session = directory.open(worker, task);
+    const session = directory.open(endpoint, task);
     if (session === null) {
-      return this.#addMissing({ task, run, worker, bornMs, address, presence });
+      return this.#addMissing({
+        task,
+        run,
+        endpoint,
+        bornMs,
+        address,
+        presence,
+      });
     }
     session.adopt(task);
     if (task.workflow.isOver) this.stop(task);
   }
 
   /** Adopts a run that an earlier term gave up and whose end may still be reported. */
-  adoptOpenEnd(end: Workflow.OpenEnd): void {
-    const session = this.#parts.directory.open(end.worker, end);
+  adoptUnresolved(end: Workflow.UnresolvedRun): void {
+    const session = this.#parts.directory.open(end.endpoint, end);
     if (session === null) this.#addMissing(end);
-    else session.adoptUnheard(end);
+    else session.adoptUnreported(end);
   }
 
   /** Starts calling endpoints. */
@@ -108,7 +115,7 @@
     const { ports: { clock, bounds }, directory } = this.#parts;
     directory.begin();
     this.#missing.extendLeases(
-      leaseClocks.foreignLapseMs(clock.monotonicMs(), bounds.longestLeaseMs),
+      leaseClocks.foreignLeaseEndMs(clock.monotonicMs(), bounds.longestLeaseMs),
     );
   }
 
@@ -120,10 +127,10 @@
     const { ports: { clock }, directory } = this.#parts;
     const isListed = (endpoint: string) => directory.open(endpoint) !== null;
     for (const missing of this.#missing.removeListed(isListed)) {
-      const { task, run, worker } = missing;
-      const isPlaced = task.worker === worker && task.run === run;
+      const { task, run, endpoint } = missing;
+      const isPlaced = task.endpoint === endpoint && task.run === run;
       if (isPlaced) this.adopt(task);
-      else this.adoptOpenEnd(missing);
+      else this.adoptUnresolved(missing);
     }
     return this.#missing.removeExpired(clock.monotonicMs());
   }
@@ -132,13 +139,13 @@
    * Tracks a run until every lease that a coordinator may have granted has expired.
    * An endpoint known to have ended needs no wait.
    */
-  #addMissing(run: Workflow.OpenEnd): void {
+  #addMissing(run: Workflow.UnresolvedRun): void {
     const { clock, bounds } = this.#parts.ports;
     const nowMs = clock.monotonicMs();
-    const hasEnded = this.#parts.directory.hasEnded(run.worker);
+    const hasEnded = this.#parts.directory.hasEnded(run.endpoint);
     const leaseExpiresAtMs = hasEnded
       ? nowMs
-      : leaseClocks.foreignLapseMs(nowMs, bounds.longestLeaseMs);
+      : leaseClocks.foreignLeaseEndMs(nowMs, bounds.longestLeaseMs);
     this.#missing.add({ ...run, leaseExpiresAtMs });
   }
 }
--- a/packages/coordinator/src/work/run_sentences.ts
+++ b/packages/coordinator/src/work/run_descriptions.ts
@@ -1,35 +1,35 @@
 /** Describes the runs that counted toward giving a workflow up. */
 import * as Workflow from "@cairngate/workflow";
 
-const { RunCount, RunEvidence } = Workflow;
+const { CountedAs, RunEvidence } = Workflow;
 
 /** Note for a history from which runs may be missing. */
 export const PARTIAL_HISTORY =
   "More runs may have counted: too many to keep, or seen by an earlier coordinator.";
 
 const EVIDENCE_TEXT: Readonly<Record<Workflow.RunEvidence, string>> = {
-  [RunEvidence.OwnWord]: "by its own word",
-  [RunEvidence.SeenThere]:
+  [RunEvidence.Reported]: "by its own word",
+  [RunEvidence.Confirmed]:
     "its endpoint was shown to have ended while the run was under way",
   [RunEvidence.Likely]:
     "its endpoint was shown to have ended, and the run was likely under way",
-  [RunEvidence.NeverShown]:
+  [RunEvidence.Unconfirmed]:
     "its endpoint was shown to have ended, and nothing shows the run under way",
-  [RunEvidence.NotListed]:
+  [RunEvidence.Unlisted]:
     "its endpoint is not heard, and its lease has run out",
-  [RunEvidence.NotHeard]: "its gang ended, and its endpoint did not answer",
+  [RunEvidence.GangEnded]: "its gang ended, and its endpoint did not answer",
   [RunEvidence.Withdrawn]:
     "its end was unknown until the endpoint answered again",
 };
 
-const COUNT_TEXT: Readonly<Record<Workflow.RunCount, string>> = {
-  [RunCount.Failure]: "It counts as a failure.",
-  [RunCount.Crash]: "It counts as a crash laid to the task.",
-  [RunCount.Excused]:
+const COUNT_TEXT: Readonly<Record<Workflow.CountedAs, string>> = {
+  [CountedAs.Failure]: "It counts as a failure.",
+  [CountedAs.Crash]: "It counts as a crash laid to the task.",
+  [CountedAs.Excused]:
     "It is excused, because other endpoints failed at the same time.",
-  [RunCount.Suspicion]:
+  [CountedAs.PossibleCrash]:
     "It is not attributed to the task, but counts toward the limit on all crashes.",
-  [RunCount.Nothing]: "It does not count.",
+  [CountedAs.Nothing]: "It does not count.",
 };
 
 /** Describes one run: its endpoint, its end, the evidence and what it counts as. */
--- a/packages/coordinator/src/work/run_ends.ts
+++ b/packages/coordinator/src/work/run_ends.ts
@@ -2,16 +2,16 @@
 import type * as Ports from "@cairngate/ports";
 import * as Workflow from "@cairngate/workflow";
 import * as Effect from "effect/Effect";
-import type * as silences from "../endpoints/silence_log.ts";
+import type * as failureLogs from "../endpoints/endpoint_failure_log.ts";
 import type * as ports from "../ports.ts";
-import type * as occupants from "../sessions/occupant.ts";
+import type * as assignments from "../sessions/assignment.ts";
 import * as listeners from "../sessions/session_listener.ts";
-import type * as unheardRuns from "../sessions/unheard_runs.ts";
+import type * as unreportedRuns from "../sessions/unreported_runs.ts";
 import * as endLogs from "./end_log.ts";
 import type * as missingRuns from "./missing_runs.ts";
 import type * as recorders from "./recorder.ts";
 import type * as controls from "./run_control.ts";
-import type * as registries from "./workflow_book.ts";
+import type * as registries from "./workflow_registry.ts";
 
 /** Dependencies of `RunEnds`. */
 export interface RunEndsOptions {
@@ -21,7 +21,7 @@
   /** A function, because the run control is created after this object. */
   readonly control: () => controls.RunControl;
   /** Called when a run has completed its task. */
-  readonly onCompleted: (occupant: occupants.Occupant) => void;
+  readonly onCompleted: (assignment: assignments.Assignment) => void;
   /** Called when another instance has started under an endpoint's id. */
   readonly onEndpointRestarted: (id: string) => void;
   /** Called when a change may allow new starts. */
@@ -40,29 +40,29 @@
   }
 
   override runEnded(
-    endpoint: listeners.SessionWorker,
-    occupant: occupants.Occupant,
-    end: listeners.SessionEnd,
+    endpoint: listeners.SessionEndpoint,
+    assignment: assignments.Assignment,
+    end: listeners.RunEndReport,
   ): Effect.Effect<void> {
-    const { task, run, stoppingSinceMs } = occupant;
+    const { task, run, stoppingSinceMs } = assignment;
     const { workflow } = task;
     const { clock, metrics } = this.#options.ports;
     const nowMs = clock.monotonicMs();
     const wasOver = workflow.isOver;
     const endpointId = endpoint.ref.id;
     const ended = { run, endpoint: endpointId, stoppingSinceMs, ...end };
-    if (end.how === Workflow.RunEnd.Done) this.#options.onCompleted(occupant);
+    if (end.how === Workflow.RunEnd.Done) this.#options.onCompleted(assignment);
     workflow.endRun(task, ended, nowMs);
     metrics.count("cairngate_runs_ended_total", { how: end.how });
-    if (end.how === Workflow.RunEnd.Done) endpoint.health.succeeded(nowMs);
-    else this.#handleUnsuccessfulEnd(endpoint, occupant, end);
+    if (end.how === Workflow.RunEnd.Done) endpoint.health.noteSuccess(nowMs);
+    else this.#handleUnsuccessfulEnd(endpoint, assignment, end);
     return this.#concludeAndRecord(workflow, wasOver);
   }
 
-  override lateEnd(
-    endpoint: listeners.SessionWorker,
-    { task, run }: unheardRuns.UnheardRun,
-    end: listeners.SessionEnd,
+  override lateEndReported(
+    endpoint: listeners.SessionEndpoint,
+    { task, run }: unreportedRuns.UnreportedRun,
+    end: listeners.RunEndReport,
   ): Effect.Effect<void> {
     const { workflow } = task;
     const nowMs = this.#options.ports.clock.monotonicMs();
@@ -80,50 +80,56 @@
   }
 
   override unexpectedDone(
-    endpoint: listeners.SessionWorker,
+    endpoint: listeners.SessionEndpoint,
     ended: Ports.EndedRun,
   ): Effect.Effect<void> {
     const { run } = ended;
     const task = this.#options.workflows.findTask(ended.task);
     if (task === null) return Effect.void;
     const isElsewhere = task.run === run && task.isPlaced &&
-      task.worker !== endpoint.ref.id;
+      task.endpoint !== endpoint.ref.id;
     // Such a run belongs to an earlier submission of the same id.
     if (run > task.run || isElsewhere) return Effect.void;
     const { Likely } = Workflow.Presence;
     const lateRun = { task, run, presence: Likely, bornMs: null };
-    return this.lateEnd(endpoint, lateRun, listeners.toSessionEnd(ended));
+    return this.lateEndReported(
+      endpoint,
+      lateRun,
+      listeners.toRunEndReport(ended),
+    );
   }
 
   override runGone(
-    { ref: { id, address } }: listeners.SessionWorker,
-    { task, run, presence, bornMs }: unheardRuns.UnheardRun,
+    { ref: { id, address } }: listeners.SessionEndpoint,
+    { task, run, presence, bornMs }: unreportedRuns.UnreportedRun,
   ): void {
-    const end = { task, run, worker: id, bornMs, address, presence };
-    if (!task.workflow.suspectGone(end)) return;
+    const end = { task, run, endpoint: id, bornMs, address, presence };
+    if (!task.workflow.markRunGone(end)) return;
     this.#log.logGone({ task, run, endpoint: id });
     this.#recordInBackground(task.workflow);
   }
 
   override crashExcused(
-    victims: readonly silences.Victim[],
-    fellows: Workflow.CrashFellows,
+    affectedRuns: readonly failureLogs.AffectedRun[],
+    scale: Workflow.CrashScale,
   ): void {
-    for (const { task, run, presence } of victims) {
+    for (const { task, run, presence } of affectedRuns) {
       const { workflow } = task;
-      const evidence = { fellows, presence };
+      const evidence = { scale, presence };
       if (!workflow.excuseCrash(task, run, evidence)) continue;
       this.#log.logExcused(task);
       this.#recordInBackground(workflow);
     }
   }
 
-  override lifeBegan({ ref: { id } }: listeners.SessionWorker): void {
+  override incarnationStarted(
+    { ref: { id } }: listeners.SessionEndpoint,
+  ): void {
     this.#options.onEndpointRestarted(id);
-    this.roomChanged();
+    this.capacityChanged();
   }
 
-  override runConfirmed({ task, run }: occupants.Occupant): void {
+  override runConfirmed({ task, run }: assignments.Assignment): void {
     if (task.run !== run) return;
     if (task.state === Workflow.TaskState.Starting) {
       task.state = Workflow.TaskState.Running;
@@ -139,7 +145,7 @@
     this.#recordInBackground(task.workflow);
   }
 
-  override roomChanged(): void {
+  override capacityChanged(): void {
     this.#options.onCapacityChange();
   }
 
@@ -148,15 +154,15 @@
    * expired. Nothing more can be learned of it unless the endpoint is listed again.
    */
   endMissing(missing: missingRuns.MissingRun): Effect.Effect<void> {
-    const { task, run, worker } = missing;
+    const { task, run, endpoint } = missing;
     const { workflow } = task;
     const wasOver = workflow.isOver;
     const how = Workflow.RunEnd.Lost;
     const nowMs = this.#options.ports.clock.monotonicMs();
-    const end = { run, how, checkpoint: "", endpoint: worker };
+    const end = { run, how, checkpoint: "", endpoint };
     workflow.endRun(task, end, nowMs);
-    if (workflow.suspectGone(missing)) {
-      this.#log.logGone({ task, run, endpoint: worker });
+    if (workflow.markRunGone(missing)) {
+      this.#log.logGone({ task, run, endpoint });
     }
     return this.#concludeAndRecord(workflow, wasOver);
   }
@@ -171,17 +177,17 @@
   }
 
   #handleUnsuccessfulEnd(
-    endpoint: listeners.SessionWorker,
-    occupant: occupants.Occupant,
-    end: listeners.SessionEnd,
+    endpoint: listeners.SessionEndpoint,
+    assignment: assignments.Assignment,
+    end: listeners.RunEndReport,
   ): void {
-    const { task, run } = occupant;
-    task.workflow.lostRuns++;
+    const { task, run } = assignment;
+    task.workflow.unsuccessfulRuns++;
     this.#log.logEnd({ task, run, endpoint: endpoint.ref.id }, end);
     if (end.how === Workflow.RunEnd.Failed) {
       const nowMs = this.#options.ports.clock.monotonicMs();
-      const sentAtMs = occupant.sentAtMs ?? task.startedAtMs;
-      endpoint.health.ranAndFailed(nowMs, nowMs - sentAtMs);
+      const sentAtMs = assignment.sentAtMs ?? task.startedAtMs;
+      endpoint.health.noteRunFailure(nowMs, nowMs - sentAtMs);
     }
     if (task.step.gang) this.#options.control().stopGang(task, run);
   }
@@ -197,7 +203,7 @@
       control().stopAll(workflow);
     }
     workflows.conclude(workflow);
-    this.roomChanged();
+    this.capacityChanged();
     return recorder.record(workflow);
   }
 
--- a/packages/coordinator/src/work/standstill_watch.ts
+++ b/packages/coordinator/src/work/standstill_watch.ts
@@ -31,7 +31,7 @@
 export interface PlanResult {
   readonly waits: readonly Scheduler.WaitDecision[];
   readonly starts: readonly Scheduler.StartDecision[];
-  readonly endpoints: readonly Scheduler.WorkerState[];
+  readonly endpoints: readonly Scheduler.EndpointSnapshot[];
   readonly nowMs: number;
 }
 
@@ -102,7 +102,7 @@
   /** Logs a step that waits too long; returns whether it did. */
   #logStandstill(
     unit: Scheduler.WaitDecision["unit"],
-    endpoints: readonly Scheduler.WorkerState[],
+    endpoints: readonly Scheduler.EndpointSnapshot[],
     nowMs: number,
   ): boolean {
     const step = this.#waiting.get(nameOf(unit));
@@ -111,17 +111,17 @@
     const isTooSoon = waitedMs <= MAX_STANDSTILL_MS ||
       nowMs - step.loggedAtMs < LOG_INTERVAL_MS;
     if (isTooSoon) return false;
-    const room = Scheduler.countRoom(unit, endpoints);
-    if (room.couldHold === 0) return false;
+    const room = Scheduler.countEndpoints(unit, endpoints);
+    if (room.withCapacity === 0) return false;
     step.loggedAtMs = nowMs;
     const { reason, reasonSinceMs } = step;
     this.#ports.metrics.count("cairngate_standstills_total", { reason });
     this.#ports.log.warn(
       `Step ${nameOf(unit)} stands still for ${Math.round(waitedMs)} ms: it ` +
         `waits for ${reason} (for ${Math.round(nowMs - reasonSinceMs)} ms), ` +
-        `with ${unit.tasks.length} tasks to place together; of ${room.known} ` +
+        `with ${unit.tasks.length} tasks to place together; of ${room.total} ` +
         `endpoints of its service ${room.usable} may be given work, and ` +
-        `${room.couldHold} have capacity for a task.`,
+        `${room.withCapacity} have capacity for a task.`,
     );
     return true;
   }
--- a/packages/coordinator/src/work/term_parts.ts
+++ b/packages/coordinator/src/work/term_parts.ts
@@ -1,13 +1,13 @@
 /** Creates the parts of one term and connects them. */
-import * as watches from "../endpoints/run_watch.ts";
+import * as monitors from "../endpoints/run_monitor.ts";
 import * as forecasts from "../load/forecast_maker.ts";
-import * as hardLoads from "../load/hard_load_watch.ts";
+import * as hardLoads from "../load/hard_load_detector.ts";
 import * as estimates from "../load/run_estimates.ts";
-import * as shareBooks from "../load/share_book.ts";
+import * as shareTrackers from "../load/team_share_tracker.ts";
 import * as directories from "../endpoints/endpoint_directory.ts";
 import type * as terms from "../election/term.ts";
 import type * as ports from "../ports.ts";
-import * as advice from "./advice_book.ts";
+import * as advice from "./advice_cache.ts";
 import * as guarantees from "./guarantee_watch.ts";
 import type * as intakes from "./intake.ts";
 import * as fences from "./partition_fences.ts";
@@ -16,7 +16,7 @@
 import * as recoveries from "./recovery.ts";
 import * as controls from "./run_control.ts";
 import * as runEnds from "./run_ends.ts";
-import * as registries from "./workflow_book.ts";
+import * as registries from "./workflow_registry.ts";
 import * as workflowIntakes from "./workflow_intake.ts";
 
 /** Dependencies of the parts of a term. */
@@ -40,12 +40,12 @@
   readonly control: controls.RunControl;
   readonly intake: workflowIntakes.WorkflowIntake;
   readonly ends: runEnds.RunEnds;
-  readonly watch: watches.RunWatch;
+  readonly monitor: monitors.RunMonitor;
   readonly guarantees: guarantees.GuaranteeWatch;
   readonly planning: plannings.Planning;
-  readonly hardLoad: hardLoads.HardLoadWatch;
+  readonly hardLoad: hardLoads.HardLoadDetector;
   readonly estimates: estimates.RunEstimates;
-  readonly shares: shareBooks.ShareBook;
+  readonly shares: shareTrackers.TeamShareTracker;
   readonly forecasts: forecasts.ForecastMaker;
 }
 
@@ -60,20 +60,21 @@
     clock: coordinatorPorts.clock,
     onAdvice: () => planning.requestPlan(),
   });
-  const hardLoad = new hardLoads.HardLoadWatch(coordinatorPorts);
+  const hardLoad = new hardLoads.HardLoadDetector(coordinatorPorts);
   const runEstimates = new estimates.RunEstimates({
     clock: coordinatorPorts.clock,
     siteOf: (id) => directory.siteOf(id),
-    onSingle: (occupant, tookMs) => directory.learnFrom(occupant, tookMs),
+    onSingleTaskDone: (assignment, tookMs) =>
+      directory.learnFrom(assignment, tookMs),
   });
   const ends = new runEnds.RunEnds({
     ports: coordinatorPorts,
     recorder,
     workflows,
     control: () => control,
-    onCompleted: (occupant) => runEstimates.noteDone(occupant),
+    onCompleted: (assignment) => runEstimates.noteDone(assignment),
     onEndpointRestarted: (id) => {
-      directory.lifeBegan(id);
+      directory.noteNewIncarnation(id);
       adviceCache.evictEndpoint(id);
     },
     onCapacityChange: () => planning.requestPlan(),
@@ -92,7 +93,7 @@
     workflows,
     control,
   });
-  const shares = new shareBooks.ShareBook(coordinatorPorts, term);
+  const shares = new shareTrackers.TeamShareTracker(coordinatorPorts, term);
   const planning = new plannings.Planning({
     ...shared,
     hardLoad,
@@ -109,7 +110,7 @@
     control,
     intake,
     ends,
-    watch: new watches.RunWatch(coordinatorPorts, directory, control),
+    monitor: new monitors.RunMonitor(coordinatorPorts, directory, control),
     guarantees: new guarantees.GuaranteeWatch(coordinatorPorts, directory),
     planning,
     hardLoad,
--- a/packages/coordinator/src/work/workflow_intake.ts
+++ b/packages/coordinator/src/work/workflow_intake.ts
@@ -4,7 +4,7 @@
 import type * as intake from "./intake.ts";
 import type * as recorders from "./recorder.ts";
 import type * as controls from "./run_control.ts";
-import type * as registries from "./workflow_book.ts";
+import type * as registries from "./workflow_registry.ts";
 
 /** Dependencies of `WorkflowIntake`. */
 export interface WorkflowIntakeOptions {
@@ -45,7 +45,7 @@
     const workflow = workflows.accept(spec, partition);
     if (workflow === null) return;
     for (const task of workflow.placedTasks()) control.adopt(task);
-    for (const end of workflow.openEnds.all) control.adoptOpenEnd(end);
+    for (const end of workflow.unresolvedRuns.all) control.adoptUnresolved(end);
     if (workflow.cancelled) this.#endCancelled(workflow);
   }
 
--- a/packages/coordinator/src/work/workflow_book.ts
+++ b/packages/coordinator/src/work/workflow_registry.ts
@@ -121,7 +121,7 @@
   /** Concludes a cancel where nothing runs any more, and logs a new end. */
   conclude(workflow: Workflow.Workflow): void {
     if (!this.isProgressKnown(workflow)) return;
-    workflow.concludeCancel();
+    workflow.completeCancel();
     if (this.#markEnded(workflow)) this.#logConclusion(workflow);
   }
 
@@ -208,7 +208,7 @@
     }
     const { partition, row: { revision, value } } = recorded;
     recorder.track(workflow, { partition, revision });
-    Workflow.applyProgress(workflow, value as Workflow.ProgressRecord);
+    Workflow.applyProgressRecord(workflow, value as Workflow.ProgressRecord);
     return true;
   }
 
@@ -293,7 +293,7 @@
     this.#parts.ports.log.info(
       `Workflow ${spec.id} of priority ${spec.policy.priority} is ${state} ` +
         `after ${Math.round(nowMs - dueMs)} of ${Math.round(allowedMs)} ms; ` +
-        `${startNote}, ${workflow.lostRuns} runs lost; ${first.count} tasks of ` +
+        `${startNote}, ${workflow.unsuccessfulRuns} runs lost; ${first.count} tasks of ` +
         `${first.accelerators} accelerators, gang ${first.gang}, ` +
         `same rack ${first.sameRack}.`,
     );
--- a/packages/gateway/src/admission_desk.ts
+++ b/packages/gateway/src/admission_desk.ts
@@ -17,7 +17,7 @@
   readonly log: Logger.Logger;
   readonly metrics: Metrics.Metrics;
   /** Returns the newest forecast and its age; there is none without hard load. */
-  readonly known: () => Admission.Known;
+  readonly known: () => Admission.KnownForecast;
   /** Returns the accelerators that a team has paid for; null while unknown. */
   readonly guaranteeOf: (team: string) => number | null;
   /** Returns the time for which the store has not answered, in ms. */
@@ -44,8 +44,8 @@
 /** Admission control of one box. */
 export class AdmissionDesk {
   readonly #options: AdmissionDeskOptions;
-  readonly #shares = new Admission.ShareBook();
-  readonly #returns = new Admission.ReturnBook();
+  readonly #shares = new Admission.CapacityReservations();
+  readonly #returns = new Admission.RetrySchedule();
   readonly #rejections: rejections.RejectionLog;
   #hardLoadAtMs = Number.NEGATIVE_INFINITY;
 
@@ -62,13 +62,17 @@
     if (known.forecast === null || isSilent) return null;
     const guaranteed = this.#options.guaranteeOf(spec.tenant);
     if (guaranteed === null) return null;
-    const job = Admission.shapeOf(spec);
+    const job = Admission.toJobShape(spec);
     const team = { team: spec.tenant, guaranteed };
-    const decision = Admission.decideAdmission({ job, known, team });
+    const decision = Admission.decideAdmission({
+      job,
+      knownForecast: known,
+      team,
+    });
     if (decision.verdict === Admission.Verdict.Rejected) {
       return this.#reject({ spec, job, forecast: known.forecast }, decision);
     }
-    if (decision.doubt === null) return this.#rejectBeforeTurn(spec.id);
+    if (decision.uncheckedReason === null) return this.#checkTurn(spec.id);
     return null;
   }
 
@@ -77,7 +81,7 @@
     const known = this.#currentForecast();
     if (known.forecast === null) return;
     this.#returns.forget(spec.id);
-    const promised = this.#shares.promise(Admission.shapeOf(spec), known);
+    const promised = this.#shares.reserve(Admission.toJobShape(spec), known);
     const labels = { promised: String(promised) };
     this.#options.metrics.count("cairngate_admitted_total", labels);
   }
@@ -115,12 +119,12 @@
         ? null
         : Math.round(ageMs),
       forecast,
-      promisedJobs: this.#shares.jobs,
+      promisedJobs: this.#shares.reservedJobs,
       lastRejections: this.#rejections.last,
     };
   }
 
-  #currentForecast(): Admission.Known {
+  #currentForecast(): Admission.KnownForecast {
     const { clock, metrics, known } = this.#options;
     const current = known();
     if (current.forecast === null) return current;
@@ -137,7 +141,7 @@
       readonly job: Admission.JobShape;
       readonly forecast: Admission.Forecast;
     },
-    { reason, returnInMs }: Extract<
+    { reason, retryAfterMs: returnInMs }: Extract<
       Admission.Decision,
       { verdict: Admission.Verdict.Rejected }
     >,
@@ -147,13 +151,16 @@
     // Work that fits no endpoint or rack needs a different fleet. It gets no turn,
     // because it delays no other work.
     const retryInMs = reason === Errors.RejectReason.TooLate
-      ? this.#returns.note({ id, job }, returnInMs, { nowMs, forecast })
+      ? this.#returns.assignRetry({ id, job }, returnInMs, { nowMs, forecast })
       : returnInMs;
     return rejectedError(id, reason, retryInMs);
   }
 
-  #rejectBeforeTurn(id: string): Errors.RejectedError | null {
-    const waitMs = this.#returns.waitOf(id, this.#options.clock.monotonicMs());
+  #checkTurn(id: string): Errors.RejectedError | null {
+    const waitMs = this.#returns.remainingWaitMs(
+      id,
+      this.#options.clock.monotonicMs(),
+    );
     if (waitMs <= 0) return null;
     return rejectedError(id, Errors.RejectReason.Turn, waitMs);
   }
