--- a/packages/box/src/accidents_test.ts
+++ b/packages/box/src/accidents_test.ts
@@ -64,9 +64,9 @@
     // With a slow store the workers could be sealed before the rows are read.
     cluster.faults.set({ delayMs: 300 });
     await cluster.kill(owner);
-    const [left] = [...cluster.boxes.keys()];
+    const [survivor] = [...cluster.boxes.keys()];
     const ended = await cluster.run(
-      cluster.box(left).entry.status(record.job.id, 60),
+      cluster.box(survivor).entry.status(record.job.id, 60),
     );
     expect(ended.state).toBe(Types.JobState.Done);
     const starts = cluster.ledger.entries.filter((e) => e.event === "started");
--- a/packages/box/src/answers_test.ts
+++ b/packages/box/src/answers_test.ts
@@ -7,8 +7,8 @@
 const { Loss, TestCluster } = TestUtils;
 
 function loseFirst(order: string, loss: TestUtils.Loss) {
-  let left = 1;
-  return (name: string) => name === order && left-- > 0 ? loss : Loss.None;
+  let remaining = 1;
+  return (name: string) => name === order && remaining-- > 0 ? loss : Loss.None;
 }
 
 describe("an answer", () => {
--- a/packages/box/src/box.ts
+++ b/packages/box/src/box.ts
@@ -47,10 +47,10 @@
   readonly cells: readonly Cell.CellDump[];
 }
 
-const GROUP_WINDOW_MS = 15;
-const FETCH_CONFIG_MS = 1000;
-const FETCH_RETRY_MS = 500;
-const DRAIN_LOOK_MS = 50;
+const WRITE_GROUP_WINDOW_MS = 15;
+const PEER_TIMEOUT_MS = 1000;
+const FETCH_INTERVAL_MS = 500;
+const DRAIN_POLL_MS = 50;
 
 /** A running box. */
 export class Box {
@@ -84,7 +84,7 @@
     const writer = new TableClient.GroupedWriter({
       client: this.#store,
       clock,
-      windowMs: GROUP_WINDOW_MS,
+      windowMs: WRITE_GROUP_WINDOW_MS,
     });
     this.configs = new configs.ConfigKeeper({
       deployment: options.deployment,
@@ -92,7 +92,7 @@
       store: this.#store,
       metrics,
       log: log.part("config"),
-      onChange: () => this.#followCells(),
+      onChange: () => this.#startManagers(),
     });
     this.#liveWorkers = new live.LiveWorkers(ports.liveList, clock);
     this.#membership = new memberships.Membership({
@@ -147,7 +147,7 @@
   cellStatus(cell: string) {
     const kind = Types.PeerKind.CellStatus as const;
     const req = { kind, cell };
-    return this.owners.ask<Types.CellStatus>(cell, req, FETCH_CONFIG_MS * 2);
+    return this.owners.ask<Types.CellStatus>(cell, req, PEER_TIMEOUT_MS * 2);
   }
 
   /** Explanation of a job; null where its owner does not know it. */
@@ -157,7 +157,7 @@
     return this.owners.ask<Types.Explanation | null>(
       cell,
       req,
-      FETCH_CONFIG_MS * 2,
+      PEER_TIMEOUT_MS * 2,
     );
   }
 
@@ -188,13 +188,13 @@
   }
 
   /** Waits until no caller waits any more, but no longer than a limit. */
-  drain(limitMs: number): Effect.Effect<boolean> {
+  drain(timeoutMs: number): Effect.Effect<boolean> {
     const { clock } = this.#ports;
     return Effect.gen({ self: this }, function* () {
-      const endMs = clock.monotonicMs() + limitMs;
+      const endMs = clock.monotonicMs() + timeoutMs;
       while (this.entry.waitingCallers > 0) {
         if (clock.monotonicMs() >= endMs) return false;
-        yield* clock.sleep(DRAIN_LOOK_MS);
+        yield* clock.sleep(DRAIN_POLL_MS);
       }
       return true;
     });
@@ -220,7 +220,7 @@
   }
 
   /** A newer configuration is in force: watch its cells, tell the peers. */
-  #followCells(): void {
+  #startManagers(): void {
     const cells = this.configs.inForce?.cfg.cells ?? [];
     for (const { name } of cells) {
       if (this.#managers.has(name)) continue;
@@ -239,18 +239,21 @@
   #keepFetchingConfig(): Effect.Effect<never> {
     const { clock, network } = this.#ports;
     const fetch = Effect.gen({ self: this }, function* () {
-      const own = this.configs.current?.version ?? 0;
-      const [peer] = this.#membership.peersAhead(own);
+      const ownVersion = this.configs.current?.version ?? 0;
+      const [peer] = this.#membership.peersAhead(ownVersion);
       if (peer === undefined) return;
       const kind = Types.PeerKind.FetchConfig as const;
       const found = yield* Effect.result(
-        network.request(peer, { kind }, FETCH_CONFIG_MS),
+        network.request(peer, { kind }, PEER_TIMEOUT_MS),
       );
       if (found._tag === "Failure" || found.success === null) return;
       yield* this.configs.adopt(found.success as Types.ConfigVersion);
     });
-    const look = Effect.andThen(this.#membership.awaitNewerConfig(), fetch);
-    return clock.every(FETCH_RETRY_MS, look);
+    const fetchWhenNewer = Effect.andThen(
+      this.#membership.awaitNewerConfig(),
+      fetch,
+    );
+    return clock.every(FETCH_INTERVAL_MS, fetchWhenNewer);
   }
 
   #fork(work: Effect.Effect<unknown>): void {
--- a/packages/box/src/config_keeper.ts
+++ b/packages/box/src/config_keeper.ts
@@ -43,7 +43,7 @@
   readonly applyId: string;
 }
 
-const APPLY_MS = 5000;
+const APPLY_TIMEOUT_MS = 5000;
 
 /** Keeps and applies configurations. */
 export class ConfigKeeper {
@@ -188,14 +188,14 @@
           { key, value: current },
           { key: historyKey, value: next },
         ],
-      }, APPLY_MS));
+      }, APPLY_TIMEOUT_MS));
       if (written._tag === "Success") return;
       if (written.failure._tag === "StoreUnavailableError") {
         return yield* written.failure;
       }
-      const kept = yield* this.read(version);
+      const stored = yield* this.read(version);
       // The history row tells whose apply made this version.
-      if (kept?.applyId === applyId) return;
+      if (stored?.applyId === applyId) return;
       const [row] = yield* store.read([key]);
       return yield* conflict(req.basedOn, row?.value as CurrentRow);
     });
@@ -216,8 +216,8 @@
     }
     for (const { name } of cfg.cells) {
       const layout = Scheduler.createCellLayout(cfg, name);
-      const short = Scheduler.checkGuarantees(layout);
-      if (short !== null) return Effect.fail(short);
+      const infeasible = Scheduler.checkGuarantees(layout);
+      if (infeasible !== null) return Effect.fail(infeasible);
     }
     return Effect.void;
   }
--- a/packages/box/src/config_test.ts
+++ b/packages/box/src/config_test.ts
@@ -8,9 +8,9 @@
 const { TestCluster } = TestUtils;
 
 /** A version has to be in force everywhere within this time. */
-const IN_FORCE_MS = 3000;
+const MAX_PROPAGATION_MS = 3000;
 
-function textOf(cluster: TestUtils.TestCluster, mark: string): string {
+function createText(cluster: TestUtils.TestCluster, mark: string): string {
   return `${cluster.box("box_1").configs.current!.text}# ${mark}\n`;
 }
 
@@ -23,7 +23,7 @@
     const applies = ["box_1", "box_2"].map((name) =>
       cluster.begin(Effect.result(
         cluster.box(name).configs.apply({
-          text: textOf(cluster, name),
+          text: createText(cluster, name),
           basedOn: 1,
           applyId: name,
         }),
@@ -47,7 +47,7 @@
     const startMs = cluster.clock.wallMs();
     await cluster.run(
       cluster.box("box_2").configs.apply({
-        text: textOf(cluster, "next"),
+        text: createText(cluster, "next"),
         basedOn: 1,
         applyId: "next",
       }),
@@ -56,16 +56,22 @@
       [...cluster.boxes.values()].every((b) =>
         b.configs.current?.version === 2
       );
-    await cluster.clock.advanceUntil(isEverywhere, IN_FORCE_MS);
+    await cluster.clock.advanceUntil(isEverywhere, MAX_PROPAGATION_MS);
     expect(isEverywhere()).toBe(true);
-    expect(cluster.clock.wallMs() - startMs).toBeLessThanOrEqual(IN_FORCE_MS);
+    expect(cluster.clock.wallMs() - startMs).toBeLessThanOrEqual(
+      MAX_PROPAGATION_MS,
+    );
   });
 
   test("took effect although its answer was lost", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     cluster.faults.set({ loseAnswers: 1 });
-    const request = { text: textOf(cluster, "x"), basedOn: 1, applyId: "x" };
+    const request = {
+      text: createText(cluster, "x"),
+      basedOn: 1,
+      applyId: "x",
+    };
     const applied = await cluster.run(
       cluster.box("box_1").configs.apply(request),
     );
@@ -83,7 +89,7 @@
     const old = cluster.box("box_1").configs.current!;
     await cluster.run(
       cluster.box("box_1").configs.apply({
-        text: textOf(cluster, "new"),
+        text: createText(cluster, "new"),
         basedOn: 1,
         applyId: "new",
       }),
--- a/packages/box/src/live_workers.ts
+++ b/packages/box/src/live_workers.ts
@@ -6,9 +6,9 @@
 import * as Effect from "effect/Effect";
 
 /** What peers told counts at least this long, and until the next reading. */
-const TOLD_FOR_MS = 10_000;
+const RETENTION_MS = 10_000;
 /** Names are told to peers for this long after they were first read. */
-const TELL_FOR_MS = 5000;
+const RELAY_MS = 5000;
 
 /** Keeps the names of leaving workers. */
 export class LiveWorkers {
@@ -17,7 +17,7 @@
   #tag: string | null = null;
   /** Leaving workers of the list, and since when this box knows. */
   #listed: ReadonlyMap<string, number> = new Map();
-  readonly #toldAtMs = new Map<string, number>();
+  readonly #notedAtMs = new Map<string, number>();
 
   constructor(list: Ports.LiveList, clock: Ports.Clock) {
     this.#list = list;
@@ -28,11 +28,11 @@
   keepReading(intervalMs: number): Effect.Effect<never> {
     const read = Effect.suspend(() => this.#list.workers(this.#tag)).pipe(
       Effect.map((found) => {
-        this.#forgetOld();
+        this.#dropStale();
         if (found === null) return;
         this.#tag = found.tag;
         const leaving = found.workers.filter((entry) => entry.leaving);
-        this.#take(leaving.map((entry) => entry.name));
+        this.#update(leaving.map((entry) => entry.name));
       }),
       // In an outage the last list stays in force.
       Effect.catch(() => Effect.void),
@@ -43,36 +43,36 @@
   /** Notes names that a peer read from the list. */
   noteLeaving(workers: readonly string[]): void {
     const nowMs = this.#clock.monotonicMs();
-    for (const worker of workers) this.#toldAtMs.set(worker, nowMs);
+    for (const worker of workers) this.#notedAtMs.set(worker, nowMs);
   }
 
   /** Whether a worker is leaving. */
   isLeaving(worker: string): boolean {
     if (this.#listed.has(worker)) return true;
-    return this.#toldAtMs.has(worker);
+    return this.#notedAtMs.has(worker);
   }
 
   /** Names that this box has read from the list a moment ago. */
-  namesToTell(): string[] {
+  namesToRelay(): string[] {
     const nowMs = this.#clock.monotonicMs();
     return [...this.#listed]
-      .filter(([, sinceMs]) => nowMs - sinceMs < TELL_FOR_MS)
+      .filter(([, sinceMs]) => nowMs - sinceMs < RELAY_MS)
       .map(([name]) => name);
   }
 
-  #take(names: readonly string[]): void {
+  #update(names: readonly string[]): void {
     const nowMs = this.#clock.monotonicMs();
-    const before = this.#listed;
+    const previous = this.#listed;
     this.#listed = new Map(
-      names.map((name) => [name, before.get(name) ?? nowMs]),
+      names.map((name) => [name, previous.get(name) ?? nowMs]),
     );
   }
 
   /** The list was read, so what peers told earlier is no longer needed. */
-  #forgetOld(): void {
+  #dropStale(): void {
     const nowMs = this.#clock.monotonicMs();
-    for (const [name, toldAtMs] of this.#toldAtMs) {
-      if (nowMs - toldAtMs >= TOLD_FOR_MS) this.#toldAtMs.delete(name);
+    for (const [name, notedAtMs] of this.#notedAtMs) {
+      if (nowMs - notedAtMs >= RETENTION_MS) this.#notedAtMs.delete(name);
     }
   }
 }
--- a/packages/box/src/membership.ts
+++ b/packages/box/src/membership.ts
@@ -20,7 +20,7 @@
 
 /** State of a peer, as last heard. */
 interface PeerState {
-  heardAtMs: number;
+  beatAtMs: number;
   beat: Types.Heartbeat;
 }
 
@@ -28,11 +28,11 @@
  * A box that owns nothing beats this many times less often: its death delays
  * nobody. Whatever is news is told at once.
  */
-const SLOW_FACTOR = 4;
+const IDLE_BEAT_FACTOR = 4;
 /** Claims of others are passed on for this long. */
-const NEW_CLAIM_MS = 5000;
+const CLAIM_RELAY_MS = 5000;
 /** A beat that is late by this factor counts as missed on a closed link. */
-const LATE_FACTOR = 1.5;
+const LATE_BEAT_FACTOR = 1.5;
 
 /** Sends heartbeats and keeps what peers tell. */
 export class Membership extends Cell.ClusterView {
@@ -55,7 +55,7 @@
     for (const peer of this.#options.network.peers()) {
       this.#fibers.push(Effect.runFork(this.#keepBeating(peer)));
     }
-    this.#fibers.push(Effect.runFork(this.#keepTellingNews()));
+    this.#fibers.push(Effect.runFork(this.#keepAnnouncing()));
   }
 
   /** Ends the heartbeats. */
@@ -76,8 +76,8 @@
 
   /** Takes in a heartbeat. */
   noteBeat(beat: Types.Heartbeat): void {
-    const heardAtMs = this.#options.clock.monotonicMs();
-    this.#peers.set(beat.box, { heardAtMs, beat });
+    const beatAtMs = this.#options.clock.monotonicMs();
+    this.#peers.set(beat.box, { beatAtMs, beat });
     for (const claim of beat.owners) this.noteClaim(claim);
     if (beat.configVersion > this.#options.configVersion()) {
       Deferred.doneUnsafe(this.#newerConfig, Effect.void);
@@ -108,8 +108,8 @@
   }
 
   override noteClaim(claim: Types.OwnerClaim): void {
-    const known = this.#claims.get(claim.cell);
-    if (known !== undefined && known.epoch >= claim.epoch) return;
+    const current = this.#claims.get(claim.cell);
+    if (current !== undefined && current.epoch >= claim.epoch) return;
     this.#claims.set(claim.cell, claim);
     this.#claimedAtMs.set(claim.cell, this.#options.clock.monotonicMs());
     const waits = this.#claimWaits.get(claim.cell);
@@ -126,11 +126,11 @@
     });
   }
 
-  override isHeardByAnyone(box: string): boolean {
+  override isAliveAnywhere(box: string): boolean {
     if (box === this.#options.box) return true;
-    if (this.#isHeard(box)) return true;
+    if (this.#isAlive(box)) return true;
     for (const [name, { beat }] of this.#peers) {
-      if (this.#isHeard(name) && beat.hears.includes(box)) return true;
+      if (this.#isAlive(name) && beat.hears.includes(box)) return true;
     }
     return false;
   }
@@ -143,7 +143,7 @@
   override livePeers(): readonly string[] {
     return [...this.#peers]
       .filter(([name, { beat }]) =>
-        this.#isHeard(name) && beat.state === Types.BoxState.Live
+        this.#isAlive(name) && beat.state === Types.BoxState.Live
       )
       .map(([name]) => name);
   }
@@ -154,7 +154,7 @@
 
   override announce(): void {
     for (const peer of this.#options.network.peers()) {
-      this.#beat(peer);
+      this.#sendBeat(peer);
     }
   }
 
@@ -163,57 +163,57 @@
     const nowMs = this.#options.clock.monotonicMs();
     return {
       claims: [...this.#claims.values()],
-      peers: [...this.#peers].map(([name, { heardAtMs, beat }]) => ({
+      peers: [...this.#peers].map(([name, { beatAtMs, beat }]) => ({
         name,
         state: beat.state,
-        heard: this.#isHeard(name),
-        heardAgoMs: Math.round(nowMs - heardAtMs),
+        heard: this.#isAlive(name),
+        heardAgoMs: Math.round(nowMs - beatAtMs),
         configVersion: beat.configVersion,
       })),
     };
   }
 
-  #isHeard(box: string): boolean {
+  #isAlive(box: string): boolean {
     const peer = this.#peers.get(box);
     if (peer === undefined) return false;
     const { heartbeatMs, peerTimeoutMs } = this.#options.times;
-    const ageMs = this.#options.clock.monotonicMs() - peer.heardAtMs;
+    const ageMs = this.#options.clock.monotonicMs() - peer.beatAtMs;
     const isOpen = this.#options.network.isOpen(box);
-    if (!isOpen && ageMs > heartbeatMs * LATE_FACTOR) {
+    if (!isOpen && ageMs > heartbeatMs * LATE_BEAT_FACTOR) {
       return false;
     }
     const isOwner = peer.beat.owners.some((claim) => claim.holder === box);
-    const patienceMs = isOwner ? 0 : (SLOW_FACTOR - 1) * heartbeatMs;
-    return ageMs <= peerTimeoutMs + patienceMs;
+    const extraMs = isOwner ? 0 : (IDLE_BEAT_FACTOR - 1) * heartbeatMs;
+    return ageMs <= peerTimeoutMs + extraMs;
   }
 
   #isNewClaim(claim: Types.OwnerClaim): boolean {
     const sinceMs = this.#claimedAtMs.get(claim.cell) ?? 0;
-    return this.#options.clock.monotonicMs() - sinceMs < NEW_CLAIM_MS;
+    return this.#options.clock.monotonicMs() - sinceMs < CLAIM_RELAY_MS;
   }
 
   #keepBeating(peer: string): Effect.Effect<never> {
     const { clock, times } = this.#options;
-    let turn = 0;
+    let beats = 0;
     const beat = Effect.sync(() => {
-      const isDue = turn++ % SLOW_FACTOR === 0;
-      if (isDue || this.#ownsAny()) this.#beat(peer);
+      const isDue = beats++ % IDLE_BEAT_FACTOR === 0;
+      if (isDue || this.#ownsAny()) this.#sendBeat(peer);
     });
     return clock.every(times.heartbeatMs, beat);
   }
 
   /** Tells at once when an owner is heard no more, or a worker leaves. */
-  #keepTellingNews(): Effect.Effect<never> {
+  #keepAnnouncing(): Effect.Effect<never> {
     const { clock, times, liveWorkers } = this.#options;
-    let told = "";
-    const look = Effect.sync(() => {
-      const news = [...this.#heardHolders(), "", ...liveWorkers.namesToTell()];
-      const text = news.join(" ");
-      if (text === told) return;
-      told = text;
+    let announced = "";
+    const announceChanges = Effect.sync(() => {
+      const names = [...this.#liveHolders(), "", ...liveWorkers.namesToRelay()];
+      const text = names.join(" ");
+      if (text === announced) return;
+      announced = text;
       this.announce();
     });
-    return clock.every(times.heartbeatMs / 2, look);
+    return clock.every(times.heartbeatMs / 2, announceChanges);
   }
 
   #ownsAny(): boolean {
@@ -223,13 +223,13 @@
     return false;
   }
 
-  #heardHolders(): string[] {
+  #liveHolders(): string[] {
     const claims = [...this.#claims.values()];
     const holders = new Set(claims.map((claim) => claim.holder));
-    return [...holders].filter((holder) => this.#isHeard(holder));
+    return [...holders].filter((holder) => this.#isAlive(holder));
   }
 
-  #beat(peer: string): void {
+  #sendBeat(peer: string): void {
     this.#options.network.notify(peer, this.#makeBeat());
   }
 
@@ -239,7 +239,7 @@
     const owners = [...this.#claims.values()].filter((claim) =>
       claim.holder === box || this.#isNewClaim(claim)
     );
-    const hears = this.#heardHolders();
+    const hears = this.#liveHolders();
     return {
       kind: Types.PeerKind.Heartbeat,
       box,
@@ -247,7 +247,7 @@
       configVersion: configVersion(),
       owners,
       hears,
-      leavingWorkers: liveWorkers.namesToTell(),
+      leavingWorkers: liveWorkers.namesToRelay(),
     };
   }
 }
--- a/packages/box/src/peer_requests.ts
+++ b/packages/box/src/peer_requests.ts
@@ -42,7 +42,7 @@
     case Types.PeerKind.Place:
       return owner.grants.place(req);
     case Types.PeerKind.Released:
-      return owner.grants.released(req);
+      return owner.grants.release(req);
     case Types.PeerKind.Enqueue:
       return owner.enqueue();
     case Types.PeerKind.JobStatus:
--- a/packages/box/src/random_faults_test.ts
+++ b/packages/box/src/random_faults_test.ts
@@ -9,12 +9,12 @@
 
 /** Raised by hand for a long run; CI takes the default. */
 const RUNS = Number(process.env["CAIRNGATE_FAULT_RUNS"] ?? 25);
-const STEPS = 25;
-const HEAL_MS = 20_000;
+const STEPS_PER_RUN = 25;
+const RECOVERY_MS = 20_000;
 const BOXES = ["box_1", "box_2", "box_3"];
 
 /** What one caller was told. */
-interface Told {
+interface CallerOutcome {
   readonly request: string;
   readonly jobId: string | null;
   readonly kind: string;
@@ -22,10 +22,10 @@
 }
 
 /** Callers and faults, all drawn from one seed. */
-class RandomRun {
+class RandomFaultRun {
   readonly cluster: TestUtils.TestCluster;
   readonly random: TestUtils.SeededRandom;
-  readonly told: Told[] = [];
+  readonly outcomes: CallerOutcome[] = [];
   readonly longIds: string[] = [];
   readonly paused = new Set<string>();
   readonly dead = new Set<string>();
@@ -44,17 +44,17 @@
   async run(): Promise<void> {
     await this.cluster.start();
     this.#drawLosses();
-    for (let step = 0; step < STEPS; step++) {
+    for (let step = 0; step < STEPS_PER_RUN; step++) {
       for (let i = this.random.between(0, 2); i > 0; i--) this.#submit(step);
       if (this.random.next() < 0.5) await this.#fault();
       await this.cluster.clock.advance(this.random.between(50, 1500));
     }
-    await this.#heal();
+    await this.#clearFaults();
     await Promise.all(this.waiting);
   }
 
   async check(): Promise<void> {
-    const { cluster, told } = this;
+    const { cluster, outcomes } = this;
     const summary = cluster.summary();
     expect(summary.doubled).toEqual([]);
     expect(summary.partial).toEqual([]);
@@ -62,7 +62,7 @@
       cluster.ledger.entries.filter((e) => e.event === "started")
         .map((e) => e.jobId),
     );
-    for (const { kind, result, request, jobId } of told) {
+    for (const { kind, result, request, jobId } of outcomes) {
       if (kind === "done") expect(result).toMatchObject({ request });
       if (kind === "not-run") expect(started.has(jobId!)).toBe(false);
     }
@@ -95,7 +95,7 @@
   #submit(step: number): void {
     const alive = BOXES.filter((b) => !this.dead.has(b) && !this.paused.has(b));
     const box = this.random.choose(alive);
-    const request = `${step}-${this.told.length}-${
+    const request = `${step}-${this.outcomes.length}-${
       this.random.between(0, 1e6)
     }`;
     const runMs = this.random.between(10, 3000);
@@ -105,25 +105,25 @@
     const gang = isLong ? this.random.choose([1, 2, 4]) : 1;
     const body = { service, input, gang };
     const submitted = this.cluster.submit(box, body, { key: request });
-    const noted = Effect.match(submitted, {
+    const recorded = Effect.match(submitted, {
       onSuccess: (found) => {
         if (found.kind === "accepted") {
           this.longIds.push(found.record.job.id);
           return;
         }
         const { kind, jobId, result } = found.outcome;
-        this.told.push({ request, jobId, kind, result });
+        this.outcomes.push({ request, jobId, kind, result });
       },
       onFailure: () => {},
     });
     // A box that is killed never answers its callers.
     const boxInstance = this.cluster.box(box);
-    const died = Effect.gen({ self: this }, function* () {
+    const boxDied = Effect.gen({ self: this }, function* () {
       while (this.cluster.boxes.get(box) === boxInstance) {
         yield* this.cluster.clock.sleep(500);
       }
     });
-    this.waiting.push(Effect.runPromise(Effect.raceFirst(noted, died)));
+    this.waiting.push(Effect.runPromise(Effect.raceFirst(recorded, boxDied)));
   }
 
   async #fault(): Promise<void> {
@@ -182,7 +182,7 @@
     this.paused.clear();
   }
 
-  async #heal(): Promise<void> {
+  async #clearFaults(): Promise<void> {
     this.lossShare = 0;
     this.cluster.faults.set({ down: false, loseAnswers: 0 });
     for (const name of this.cluster.workers.keys()) {
@@ -190,8 +190,8 @@
     }
     this.#resume();
     await this.#restartDead();
-    await this.cluster.clock.advance(HEAL_MS);
-    await this.cluster.clock.advance(HEAL_MS);
+    await this.cluster.clock.advance(RECOVERY_MS);
+    await this.cluster.clock.advance(RECOVERY_MS);
   }
 }
 
@@ -199,7 +199,7 @@
   const first = Number(process.env["CAIRNGATE_FAULT_SEED"] ?? 1);
   const seeds = Array.from({ length: RUNS }, (_, i) => first + i);
   test.each(seeds)("keep every promise, seed %i", async (seed) => {
-    const run = new RandomRun(seed);
+    const run = new RandomFaultRun(seed);
     await run.run();
     await run.check();
   });
--- a/packages/box/src/store_outage_test.ts
+++ b/packages/box/src/store_outage_test.ts
@@ -79,9 +79,9 @@
     await cluster.clock.advance(10_000);
     expect(cluster.owner()).toBe(null);
     cluster.faults.set({ down: false });
-    const [left] = [...cluster.boxes.keys()];
+    const [survivor] = [...cluster.boxes.keys()];
     const ended = await cluster.run(
-      cluster.box(left).entry.status(record.job.id, 40),
+      cluster.box(survivor).entry.status(record.job.id, 40),
     );
     expect(ended.state).toBe(Types.JobState.Done);
     expect(cluster.summary().doubled).toEqual([]);
--- a/packages/box/src/takeover_test.ts
+++ b/packages/box/src/takeover_test.ts
@@ -6,7 +6,7 @@
 const { Loss, TestCluster } = TestUtils;
 
 /** Urgent work has to start within this time after an owner's death. */
-const URGENT_START_MS = 2300;
+const MAX_URGENT_START_MS = 2300;
 
 describe("an owner's sudden death", () => {
   test("delays urgent work by at most 2.3 s", async () => {
@@ -15,13 +15,16 @@
     const owner = cluster.owner()!;
     await cluster.kill(owner);
     const startMs = cluster.clock.wallMs();
-    const [left] = [...cluster.boxes.keys()];
+    const [survivor] = [...cluster.boxes.keys()];
     const answer = await cluster.run(
-      cluster.submit(left, { service: "diagnose", input: { request: "r" } }),
+      cluster.submit(survivor, {
+        service: "diagnose",
+        input: { request: "r" },
+      }),
     );
     expect(answer).toMatchObject({ outcome: { kind: "done" } });
     const [start] = cluster.ledger.entries;
-    expect(start.atMs - startMs).toBeLessThanOrEqual(URGENT_START_MS);
+    expect(start.atMs - startMs).toBeLessThanOrEqual(MAX_URGENT_START_MS);
   });
 
   test("cuts nothing that runs, and the heir ends it", async () => {
@@ -60,9 +63,9 @@
     expect(held).toHaveLength(4);
     await cluster.kill(owner);
     const { record } = accepted as { record: Types.JobRecord };
-    const [left] = [...cluster.boxes.keys()];
+    const [survivor] = [...cluster.boxes.keys()];
     const ended = await cluster.run(
-      cluster.box(left).entry.status(record.job.id, 40),
+      cluster.box(survivor).entry.status(record.job.id, 40),
     );
     expect(ended.state).toBe(Types.JobState.Done);
     expect(cluster.summary().partial).toEqual([]);
@@ -77,13 +80,13 @@
     const owner = cluster.owner()!;
     cluster.clocks.get(owner)!.pause();
     await cluster.clock.advance(5000);
-    const heir = cluster.owner()!;
-    expect(heir).not.toBe(owner);
-    const epoch = cluster.box(heir).dump().cells[0].epoch;
+    const newOwner = cluster.owner()!;
+    expect(newOwner).not.toBe(owner);
+    const epoch = cluster.box(newOwner).dump().cells[0].epoch;
     cluster.clocks.get(owner)!.resume();
     await cluster.clock.advance(3000);
     expect(cluster.box(owner).dump().cells).toEqual([]);
-    expect(cluster.box(heir).dump().cells[0].epoch).toBe(epoch);
+    expect(cluster.box(newOwner).dump().cells[0].epoch).toBe(epoch);
   });
 
   test("does not start an unrepeatable job a second time", async () => {
--- a/packages/cell/src/cell_manager.ts
+++ b/packages/cell/src/cell_manager.ts
@@ -6,9 +6,9 @@
 import * as leases from "./owner_lease.ts";
 import type * as ports from "./ports.ts";
 
-const LOOK_MS = 250;
+const POLL_INTERVAL_MS = 250;
 /** Each heir waits this much longer than the one before it. */
-const HEIR_STEP_MS = 250;
+const CANDIDATE_DELAY_MS = 250;
 const RETRY_MS = 200;
 
 /** Watches one cell and owns it while no other box does. */
@@ -18,12 +18,12 @@
   #owner: owners.CellOwner | null = null;
   #isLeaving = false;
   #leaseRevision = 0;
-  #leaseSeenAtMs: number;
+  #leaseChangedAtMs: number;
 
   constructor(cellPorts: ports.CellPorts, cell: string) {
     this.cell = cell;
     this.#ports = cellPorts;
-    this.#leaseSeenAtMs = cellPorts.clock.monotonicMs();
+    this.#leaseChangedAtMs = cellPorts.clock.monotonicMs();
   }
 
   /** The owner, where this box owns the cell now. */
@@ -38,10 +38,10 @@
         const config = this.#ports.config();
         const wanted = config !== null && !this.#isLeaving &&
           (yield* this.#isVacant());
-        if (wanted && (yield* this.#isStillVacantAfterRank())) {
-          yield* this.#own(config);
+        if (wanted && (yield* this.#isVacantAfterDelay())) {
+          yield* this.#takeOver(config);
         }
-        yield* this.#ports.clock.sleep(LOOK_MS);
+        yield* this.#ports.clock.sleep(POLL_INTERVAL_MS);
       }
     });
   }
@@ -54,36 +54,38 @@
     });
   }
 
-  #own(config: ports.ConfigInForce): Effect.Effect<void> {
+  #takeOver(config: ports.ConfigInForce): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       const { log, metrics, view, box } = this.#ports;
-      const taken = yield* Effect.result(
-        leases.OwnerLease.take(this.#ports, this.cell),
+      const acquired = yield* Effect.result(
+        leases.OwnerLease.acquire(this.#ports, this.cell),
       );
-      if (taken._tag === "Failure") {
-        log.debug(`Cell ${this.cell} was not taken: ${taken.failure.message}`);
+      if (acquired._tag === "Failure") {
+        log.debug(
+          `Cell ${this.cell} was not taken: ${acquired.failure.message}`,
+        );
         return yield* this.#ports.clock.sleep(RETRY_MS);
       }
-      const lease = taken.success;
+      const lease = acquired.success;
       metrics.count("cairngate_takeovers_total", { cell: this.cell });
       view.noteClaim({ cell: this.cell, epoch: lease.epoch, holder: box });
       this.#owner = yield* owners.CellOwner.create(this.#ports, lease, config);
       view.announce();
-      const why = yield* Effect.ensuring(
+      const reason = yield* Effect.ensuring(
         this.#owner.run(),
         Effect.sync(() => (this.#owner = null)),
       );
-      this.#leaseSeenAtMs = this.#ports.clock.monotonicMs();
-      log.warn(`Cell ${this.cell} is no longer owned: ${why}.`);
+      this.#leaseChangedAtMs = this.#ports.clock.monotonicMs();
+      log.warn(`Cell ${this.cell} is no longer owned: ${reason}.`);
     });
   }
 
   /** Later heirs wait longer, so that not all try at once. */
-  #isStillVacantAfterRank(): Effect.Effect<boolean> {
+  #isVacantAfterDelay(): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
       const rank = this.#rank();
       if (rank === 0) return true;
-      yield* this.#ports.clock.sleep(rank * HEIR_STEP_MS);
+      yield* this.#ports.clock.sleep(rank * CANDIDATE_DELAY_MS);
       return !this.#isLeaving && (yield* this.#isVacant());
     });
   }
@@ -93,9 +95,9 @@
     return Effect.gen({ self: this }, function* () {
       const { view, box } = this.#ports;
       const claim = view.claimOf(this.cell);
-      const isHeard = claim !== null && claim.holder !== box &&
-        !view.isLeaving(claim.holder) && view.isHeardByAnyone(claim.holder);
-      if (isHeard) return false;
+      const isOwnerAlive = claim !== null && claim.holder !== box &&
+        !view.isLeaving(claim.holder) && view.isAliveAnywhere(claim.holder);
+      if (isOwnerAlive) return false;
       const row = yield* this.#readRow();
       if (row === "unknown") return false;
       if (row === null || row.holder === "") return true;
@@ -103,15 +105,15 @@
       view.noteClaim({ cell: this.cell, epoch, holder });
       // A holder of this name that is not this process has died.
       if (holder === box) return true;
-      if (view.isHeardByAnyone(holder)) return false;
-      return view.livePeers().length > 0 || this.#isLeaseOld();
+      if (view.isAliveAnywhere(holder)) return false;
+      return view.livePeers().length > 0 || this.#isLeaseExpired();
     });
   }
 
   /** Alone, this box trusts only the lease, which the holder keeps renewing. */
-  #isLeaseOld(): boolean {
+  #isLeaseExpired(): boolean {
     const { clock, times } = this.#ports;
-    return clock.monotonicMs() - this.#leaseSeenAtMs > times.ownerLeaseMs;
+    return clock.monotonicMs() - this.#leaseChangedAtMs > times.ownerLeaseMs;
   }
 
   #readRow(): Effect.Effect<leases.OwnerRow | null | "unknown"> {
@@ -126,7 +128,7 @@
       const lease = rows.success.find((row) => row.key === keys[1]);
       if ((lease?.revision ?? 0) !== this.#leaseRevision) {
         this.#leaseRevision = lease?.revision ?? 0;
-        this.#leaseSeenAtMs = clock.monotonicMs();
+        this.#leaseChangedAtMs = clock.monotonicMs();
       }
       const owner = rows.success.find((row) => row.key === keys[0]);
       return (owner?.value as leases.OwnerRow | undefined) ?? null;
--- a/packages/cell/src/cell_owner.ts
+++ b/packages/cell/src/cell_owner.ts
@@ -17,7 +17,7 @@
 import * as sweeping from "./sweep_ended.ts";
 import * as workerLinks from "./worker_link.ts";
 
-const TICK_MS = 1000;
+const TICK_INTERVAL_MS = 1000;
 const RECONSIDER_EVERY_TICKS = 5;
 const SCAN_EVERY_TICKS = 5;
 
@@ -28,7 +28,7 @@
   readonly #recovery: recoveries.Recovery;
   /** Places for short jobs, asked for by the boxes that hold the callers. */
   readonly grants: grants.Grants;
-  #scanWanted = false;
+  #isScanWanted = false;
   #isScanning = false;
 
   private constructor(state: states.CellState) {
@@ -66,7 +66,7 @@
       for (const worker of scheduler.layout.workers) {
         if (worker !== undefined) this.#follow(worker);
       }
-      this.#recovery.beginSealing();
+      this.#recovery.beginFencing();
       this.#state.fork(this.#keepTicking());
       this.#state.fork(this.#keepPlanning());
       this.#state.fork(sweeping.keepSweeping(this.#state.ports, lease));
@@ -75,7 +75,7 @@
           `${links.size} workers.`,
       );
       return yield* lease.awaitLoss();
-    }).pipe(Effect.ensuring(this.#end()));
+    }).pipe(Effect.ensuring(this.#shutDown()));
   }
 
   /**
@@ -84,7 +84,7 @@
    */
   enqueue(): Effect.Effect<void> {
     return Effect.sync(() => {
-      this.#scanWanted = true;
+      this.#isScanWanted = true;
       if (this.#isScanning) return;
       this.#state.fork(this.#scanWhileWanted());
     });
@@ -116,11 +116,11 @@
       if (job?.kind !== "stored") {
         return yield* this.#state.records.load(jobId);
       }
-      if (job.ending) return yield* Deferred.await(job.ended);
+      if (job.isEnding) return yield* Deferred.await(job.ended);
       const { attempt } = job;
       if (attempt !== null) {
-        attempt.stopping = true;
-        yield* this.#runner.stopUntilKnown(job, attempt);
+        attempt.isStopping = true;
+        yield* this.#runner.stopWithRetries(job, attempt);
       }
       const reason = "cancelled by the caller";
       const state = Types.JobState.Cancelled;
@@ -182,9 +182,9 @@
     const { clock, metrics } = this.#state.ports;
     const startMs = clock.monotonicMs();
     const decisions = this.#state.scheduler.plan(clock.wallMs());
-    const tookMs = clock.monotonicMs() - startMs;
-    metrics.observeMs("cairngate_plan_seconds", tookMs);
-    for (const decision of decisions) this.#runner.carryOut(decision);
+    const durationMs = clock.monotonicMs() - startMs;
+    metrics.observeMs("cairngate_plan_seconds", durationMs);
+    for (const decision of decisions) this.#runner.execute(decision);
   }
 
   /** A defect in one round must not end the planning for good. */
@@ -202,10 +202,10 @@
         if (tick % RECONSIDER_EVERY_TICKS === 0) {
           this.#state.scheduler.reconsider();
         }
-        this.#closeLeaving();
-        this.#followConfig();
+        this.#disableLeavingWorkers();
+        this.#applyNewConfig();
         this.#state.wake();
-        yield* clock.sleep(TICK_MS);
+        yield* clock.sleep(TICK_INTERVAL_MS);
       }
     });
   }
@@ -214,7 +214,7 @@
   #loadStored(): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       while (!(yield* this.#scan())) {
-        yield* this.#state.ports.clock.sleep(TICK_MS);
+        yield* this.#state.ports.clock.sleep(TICK_INTERVAL_MS);
       }
     });
   }
@@ -222,8 +222,8 @@
   #scanWhileWanted(): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       this.#isScanning = true;
-      while (this.#scanWanted) {
-        this.#scanWanted = false;
+      while (this.#isScanWanted) {
+        this.#isScanWanted = false;
         yield* this.#scan();
         this.#state.wake();
       }
@@ -242,7 +242,7 @@
     );
   }
 
-  #closeLeaving(): void {
+  #disableLeavingWorkers(): void {
     const { scheduler, ports: cellPorts } = this.#state;
     for (const worker of scheduler.layout.workers) {
       if (worker === undefined) continue;
@@ -251,7 +251,7 @@
     }
   }
 
-  #followConfig(): void {
+  #applyNewConfig(): void {
     const config = this.#state.ports.config();
     if (config === null) return;
     if (config.version <= this.#state.configVersion) return;
@@ -265,7 +265,7 @@
     return { ...job.record, state };
   }
 
-  #end(): Effect.Effect<void> {
+  #shutDown(): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       yield* this.#state.interruptAll();
       this.grants.refuseAll();
--- a/packages/cell/src/cell_state.ts
+++ b/packages/cell/src/cell_state.ts
@@ -64,8 +64,8 @@
   placesOf(
     slots: readonly Types.Slot[],
   ): Pick<owned.Attempt, "workers" | "bootIds"> {
-    const known = this.scheduler.layout.workers;
-    const workers = slots.map((slot) => known[slot.worker]?.name ?? "?");
+    const configured = this.scheduler.layout.workers;
+    const workers = slots.map((slot) => configured[slot.worker]?.name ?? "?");
     const bootIds = workers.map((name) => this.links.get(name)?.bootId ?? null);
     return { workers, bootIds };
   }
--- a/packages/cell/src/grants.ts
+++ b/packages/cell/src/grants.ts
@@ -6,8 +6,8 @@
 import type * as states from "./cell_state.ts";
 import type * as runners from "./job_runner.ts";
 
-const LONGEST_RETRY_AFTER_S = 30;
-const WAITING_PER_SECOND = 50;
+const MAX_RETRY_AFTER_S = 30;
+const JOBS_PER_RETRY_SECOND = 50;
 
 /** Grants places and takes them back. */
 export class Grants {
@@ -27,7 +27,7 @@
       const { clock, metrics } = this.#state.ports;
       const refusal = this.#refuseOverload(req.shape);
       if (refusal !== null) return refusal;
-      yield* this.#dropEarlier(req.shape.id);
+      yield* this.#stopEarlier(req.shape.id);
       const granted = Deferred.makeUnsafe<Types.Grant, Errors.NotOwnerError>();
       const kind = "short" as const;
       const { shape } = req;
@@ -61,7 +61,7 @@
   }
 
   /** A granted attempt has ended, or its end is not known. */
-  released(req: Types.Released): Effect.Effect<Types.ReleasedReply> {
+  release(req: Types.Released): Effect.Effect<Types.ReleasedReply> {
     return Effect.gen({ self: this }, function* () {
       const job = this.#state.jobs.get(req.jobId);
       const isCurrent = job?.kind === "short" &&
@@ -74,8 +74,8 @@
         return { ran: null, finished: false, result: null };
       }
       const { attempt } = job;
-      attempt.stopping = true;
-      const stopped = yield* this.#runner.stopUntilKnown(job, attempt);
+      attempt.isStopping = true;
+      const stopped = yield* this.#runner.stopWithRetries(job, attempt);
       if (job.attempt === attempt) this.#runner.releaseShort(job);
       if (!stopped.complete) {
         return { ran: null, finished: false, result: null };
@@ -99,14 +99,14 @@
   }
 
   /** A box that asks again has given its earlier attempt up. */
-  #dropEarlier(jobId: string): Effect.Effect<void> {
+  #stopEarlier(jobId: string): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       const job = this.#state.jobs.get(jobId);
       if (job?.kind !== "short") return;
       const { attempt } = job;
       if (attempt !== null) {
-        attempt.stopping = true;
-        yield* this.#runner.stopUntilKnown(job, attempt);
+        attempt.isStopping = true;
+        yield* this.#runner.stopWithRetries(job, attempt);
       }
       this.#runner.releaseShort(job);
     });
@@ -129,7 +129,7 @@
   }
 
   #retryAfter(): number {
-    const seconds = 1 + this.#state.jobs.size / WAITING_PER_SECOND;
-    return Math.min(LONGEST_RETRY_AFTER_S, Math.ceil(seconds));
+    const seconds = 1 + this.#state.jobs.size / JOBS_PER_RETRY_SECOND;
+    return Math.min(MAX_RETRY_AFTER_S, Math.ceil(seconds));
   }
 }
--- a/packages/cell/src/job_records.ts
+++ b/packages/cell/src/job_records.ts
@@ -8,14 +8,14 @@
 import type * as ports from "./ports.ts";
 
 /** Results up to this size stay in the row; larger ones become objects. */
-const ROW_RESULT_BYTES = 16_000;
-const RETRY_MS = 500;
+const MAX_ROW_RESULT_BYTES = 16_000;
+const RETRY_DELAY_MS = 500;
 
 /** Reads and writes the rows of one cell's stored jobs. */
 export class JobRecords {
   readonly #ports: ports.CellPorts;
   readonly #lease: leases.OwnerLease;
-  #scannedTo = 0;
+  #scannedRevision = 0;
 
   constructor(cellPorts: ports.CellPorts, lease: leases.OwnerLease) {
     this.#ports = cellPorts;
@@ -29,9 +29,9 @@
   > {
     return Effect.gen({ self: this }, function* () {
       const prefix = TableClient.Keys.jobPrefix(this.#lease.cell);
-      const rows = yield* this.#ports.store.scan(prefix, this.#scannedTo);
+      const rows = yield* this.#ports.store.scan(prefix, this.#scannedRevision);
       for (const row of rows) {
-        this.#scannedTo = Math.max(this.#scannedTo, row.revision);
+        this.#scannedRevision = Math.max(this.#scannedRevision, row.revision);
       }
       return rows.map((row) => row.value as Types.JobRecord);
     });
@@ -80,25 +80,25 @@
   saveEnd(record: Types.JobRecord): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
       while (!this.#lease.isLost) {
-        const small = yield* Effect.exit(this.#moveResult(record));
-        if (small._tag === "Success") {
-          const saved = yield* Effect.result(this.save(small.value));
+        const offloaded = yield* Effect.exit(this.#offloadResult(record));
+        if (offloaded._tag === "Success") {
+          const saved = yield* Effect.result(this.save(offloaded.value));
           if (saved._tag === "Success") return true;
           if (saved.failure._tag === "ConditionFailedError") {
             yield* this.#lease.renew();
           }
         }
-        yield* this.#ports.clock.sleep(RETRY_MS);
+        yield* this.#ports.clock.sleep(RETRY_DELAY_MS);
       }
       return false;
     });
   }
 
   /** Moves a large result into the object store. */
-  #moveResult(record: Types.JobRecord) {
+  #offloadResult(record: Types.JobRecord) {
     return Effect.gen({ self: this }, function* () {
       const size = JSON.stringify(record.result ?? null).length;
-      if (size <= ROW_RESULT_BYTES) return record;
+      if (size <= MAX_ROW_RESULT_BYTES) return record;
       const { cell } = this.#lease;
       const key = TableClient.Keys.resultObjectKey(cell, record.job.id);
       yield* this.#ports.objects.put(key, record.result);
--- a/packages/cell/src/job_runner.ts
+++ b/packages/cell/src/job_runner.ts
@@ -6,10 +6,10 @@
 import * as owned from "./owned_job.ts";
 
 /** A grant that no worker has reported within this time is taken back. */
-const GRANT_MS = 4000;
+const GRANT_TIMEOUT_MS = 4000;
 /** Longest wait for the victims' checkpoints. */
-const STOP_RETRY_MS = 500;
-const STOP_TRIES = 6;
+const STOP_RETRY_DELAY_MS = 500;
+const MAX_STOP_RETRIES = 6;
 
 /** Carries out decisions of one cell. */
 export class JobRunner {
@@ -20,7 +20,7 @@
   }
 
   /** Starts carrying out a decision. */
-  carryOut(decision: Types.Decision): void {
+  execute(decision: Types.Decision): void {
     const job = this.#state.jobs.get(decision.jobId);
     if (job === undefined) return;
     switch (decision.kind) {
@@ -44,13 +44,13 @@
   }
 
   /** A member was lost: the whole job stops, and waits again if it may. */
-  loseMember(job: owned.OwnedJob, why: string): void {
+  handleMemberLoss(job: owned.OwnedJob, why: string): void {
     const { attempt } = job;
-    if (attempt === null || attempt.stopping) return;
-    attempt.stopping = true;
+    if (attempt === null || attempt.isStopping) return;
+    attempt.isStopping = true;
     this.#state.ports.metrics.count("cairngate_members_lost_total");
     if (job.kind === "short") return this.releaseShort(job);
-    this.#state.fork(this.#stopBroken(job, attempt, why));
+    this.#state.fork(this.#stopIncomplete(job, attempt, why));
   }
 
   /** Takes a short job off the books. */
@@ -64,7 +64,7 @@
   /** Writes the end of a stored job and tells everybody who waits for it. */
   end(job: owned.StoredJob, record: Types.JobRecord): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
-      job.ending = true;
+      job.isEnding = true;
       this.#state.scheduler.finish(job.shape.id);
       this.#state.wake();
       const saved = yield* this.#state.records.saveEnd(record);
@@ -102,18 +102,18 @@
     if (job.granted !== null) {
       Deferred.doneUnsafe(job.granted, Effect.succeed(grant));
     }
-    this.#state.fork(this.#watchGrant(job, attempt));
+    this.#state.fork(this.#revokeUnused(job, attempt));
   }
 
   /** Takes back a grant whose box never dispatched it. */
-  #watchGrant(
+  #revokeUnused(
     job: owned.ShortJob,
     attempt: owned.Attempt,
   ): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
-      yield* this.#state.ports.clock.sleep(GRANT_MS);
-      if (job.attempt !== attempt || attempt.seen) return;
-      yield* this.stopUntilKnown(job, attempt);
+      yield* this.#state.ports.clock.sleep(GRANT_TIMEOUT_MS);
+      if (job.attempt !== attempt || attempt.isSeen) return;
+      yield* this.stopWithRetries(job, attempt);
       if (job.attempt === attempt) this.releaseShort(job);
     });
   }
@@ -125,21 +125,21 @@
     return Effect.gen({ self: this }, function* () {
       const { orders, scheduler } = this.#state;
       const progress = scheduler.get(job.shape.id)?.progress ?? 0;
-      const noted = yield* this.#noteStart(job, attempt);
-      if (!noted || job.attempt !== attempt) {
-        return yield* this.#giveUpStart(
+      const recorded = yield* this.#recordStart(job, attempt);
+      if (!recorded || job.attempt !== attempt) {
+        return yield* this.#abandonStart(
           job,
           attempt,
           "the start was not noted",
         );
       }
       const held = yield* orders.holdAll(job, attempt, progress);
-      if (!held || attempt.stopping) {
-        return yield* this.#giveUpStart(job, attempt, "a hold was refused");
+      if (!held || attempt.isStopping) {
+        return yield* this.#abandonStart(job, attempt, "a hold was refused");
       }
       const started = yield* orders.startAll(job.shape, attempt);
-      if (!started && !attempt.stopping) {
-        this.loseMember(job, "a member could not be started");
+      if (!started && !attempt.isStopping) {
+        this.handleMemberLoss(job, "a member could not be started");
       }
     });
   }
@@ -148,7 +148,7 @@
    * Writes that the job starts. In a store outage a repeatable job starts
    * without it; an unrepeatable one waits.
    */
-  #noteStart(
+  #recordStart(
     job: owned.StoredJob,
     attempt: owned.Attempt,
   ): Effect.Effect<boolean> {
@@ -174,20 +174,20 @@
     });
   }
 
-  #giveUpStart(
+  #abandonStart(
     job: owned.StoredJob,
     attempt: owned.Attempt,
     why: string,
   ): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
-      if (attempt.stopping) return;
-      attempt.stopping = true;
-      yield* this.#stopBroken(job, attempt, why);
+      if (attempt.isStopping) return;
+      attempt.isStopping = true;
+      yield* this.#stopIncomplete(job, attempt, why);
     });
   }
 
   /** Stops what is left of an attempt; then the job waits again or ends. */
-  #stopBroken(
+  #stopIncomplete(
     job: owned.StoredJob,
     attempt: owned.Attempt,
     why: string,
@@ -202,7 +202,7 @@
       );
       if (job.attempt !== attempt) return;
       const mayHaveRun = stopped.ran ||
-        (!stopped.complete && attempt.startOrdered);
+        (!stopped.complete && attempt.isStartOrdered);
       if (stopped.results !== null) return this.#complete(job, attempt);
       if (job.shape.repeatable || !mayHaveRun) {
         return this.#requeue(job, { progress: stopped.progress, detail: why });
@@ -228,13 +228,13 @@
   ): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       const { attempt } = job;
-      if (attempt === null || attempt.stopping) return;
-      attempt.stopping = true;
+      if (attempt === null || attempt.isStopping) return;
+      attempt.isStopping = true;
       const detail = claimant === null
         ? "moved to make a rack whole"
         : `stopped for ${claimant}`;
       this.#state.ports.metrics.count("cairngate_preemptions_total");
-      const stopped = yield* this.stopUntilKnown(job, attempt);
+      const stopped = yield* this.stopWithRetries(job, attempt);
       if (job.attempt !== attempt) return;
       if (job.kind === "short") return this.releaseShort(job);
       if (stopped.results !== null) {
@@ -246,12 +246,12 @@
   }
 
   /** Stops an attempt; workers that do not answer are tried again. */
-  stopUntilKnown(job: owned.OwnedJob, attempt: owned.Attempt) {
+  stopWithRetries(job: owned.OwnedJob, attempt: owned.Attempt) {
     return Effect.gen({ self: this }, function* () {
       const { orders, ports } = this.#state;
       let stopped = yield* orders.stopAll(job.shape, attempt, true);
-      for (let i = 0; i < STOP_TRIES && !stopped.complete; i++) {
-        yield* ports.clock.sleep(STOP_RETRY_MS);
+      for (let i = 0; i < MAX_STOP_RETRIES && !stopped.complete; i++) {
+        yield* ports.clock.sleep(STOP_RETRY_DELAY_MS);
         stopped = yield* orders.stopAll(job.shape, attempt, true);
       }
       return stopped;
@@ -259,14 +259,15 @@
   }
 
   #complete(job: owned.StoredJob, attempt: owned.Attempt): void {
-    if (job.ending) return;
+    if (job.isEnding) return;
     const results = [...attempt.results.entries()]
       .sort(([a], [b]) => a - b)
       .map(([, result]) => result);
     const result = job.shape.gang === 1 ? results[0] : results;
     const record = { ...endRecord(job, Types.JobState.Done, null), result };
-    const tookMs = this.#state.ports.clock.wallMs() - job.shape.submittedAtMs;
-    this.#state.ports.metrics.observeMs("cairngate_job_seconds", tookMs);
+    const durationMs = this.#state.ports.clock.wallMs() -
+      job.shape.submittedAtMs;
+    this.#state.ports.metrics.observeMs("cairngate_job_seconds", durationMs);
     this.#state.fork(this.end(job, record));
   }
 
--- a/packages/cell/src/owned_job.ts
+++ b/packages/cell/src/owned_job.ts
@@ -12,11 +12,11 @@
   /** Boot ids of those workers when the attempt was made, by rank. */
   readonly bootIds: readonly (string | null)[];
   /** Whether a worker has reported the attempt. */
-  seen: boolean;
+  isSeen: boolean;
   /** Whether any member was ordered to start. */
-  startOrdered: boolean;
+  isStartOrdered: boolean;
   /** Whether it is being stopped by this owner. */
-  stopping: boolean;
+  isStopping: boolean;
   /** Results of finished members, by rank. */
   readonly results: Map<number, unknown>;
 }
@@ -39,12 +39,12 @@
   record: Types.JobRecord;
   attempt: Attempt | null;
   /** Workers that have to be looked at before it may be placed again. */
-  readonly unseenWorkers: Set<string>;
+  readonly workersToPoll: Set<string>;
   /** Members found on workers during recovery, by attempt. */
   readonly found: Map<string, FoundMember[]>;
   readonly ended: Deferred.Deferred<Types.JobRecord>;
   /** Whether the end is being written. */
-  ending: boolean;
+  isEnding: boolean;
 }
 
 /** A member of a job found on a worker. */
@@ -63,10 +63,10 @@
     shape: record.job,
     record,
     attempt: null,
-    unseenWorkers: new Set(record.workers),
+    workersToPoll: new Set(record.workers),
     found: new Map(),
     ended: Deferred.makeUnsafe(),
-    ending: false,
+    isEnding: false,
   };
 }
 
@@ -80,9 +80,9 @@
     id,
     slots,
     ...places,
-    seen: false,
-    startOrdered: false,
-    stopping: false,
+    isSeen: false,
+    isStartOrdered: false,
+    isStopping: false,
     results: new Map(),
   };
 }
--- a/packages/cell/src/owner_lease.ts
+++ b/packages/cell/src/owner_lease.ts
@@ -36,28 +36,28 @@
   readonly condition: Ports.RowCondition;
   readonly #ports: ports.CellPorts;
   readonly #lost = Deferred.makeUnsafe<string>();
-  #heldUntilMs: number;
+  #expiresAtMs: number;
   #holdover = false;
 
   private constructor(
     cellPorts: ports.CellPorts,
-    taken: {
+    acquired: {
       cell: string;
       epoch: number;
       revision: number;
-      heldUntilMs: number;
+      expiresAtMs: number;
     },
   ) {
     this.#ports = cellPorts;
-    this.cell = taken.cell;
-    this.epoch = taken.epoch;
-    const key = TableClient.Keys.ownerKey(taken.cell);
-    this.condition = { key, revision: taken.revision };
-    this.#heldUntilMs = taken.heldUntilMs;
+    this.cell = acquired.cell;
+    this.epoch = acquired.epoch;
+    const key = TableClient.Keys.ownerKey(acquired.cell);
+    this.condition = { key, revision: acquired.revision };
+    this.#expiresAtMs = acquired.expiresAtMs;
   }
 
   /** Takes a cell by raising its epoch; fails when another box was first. */
-  static take(
+  static acquire(
     cellPorts: ports.CellPorts,
     cell: string,
   ): Effect.Effect<
@@ -75,8 +75,8 @@
         conditions: [{ key, revision: row?.revision ?? 0 }],
         writes: [{ key, value }],
       });
-      const heldUntilMs = startMs + times.ownerLeaseMs;
-      return new OwnerLease(cellPorts, { cell, epoch, revision, heldUntilMs });
+      const expiresAtMs = startMs + times.ownerLeaseMs;
+      return new OwnerLease(cellPorts, { cell, epoch, revision, expiresAtMs });
     });
   }
 
@@ -112,7 +112,7 @@
     return Effect.gen({ self: this }, function* () {
       if (this.isLost) return false;
       const nowMs = this.#ports.clock.monotonicMs();
-      if (nowMs < this.#heldUntilMs) return true;
+      if (nowMs < this.#expiresAtMs) return true;
       return (yield* this.renew()) !== Renewal.Lost;
     });
   }
@@ -147,7 +147,7 @@
           StoreUnavailableError: () => Effect.succeed(Renewal.Holdover),
         },
       );
-      this.#note(renewal, startMs);
+      this.#applyRenewal(renewal, startMs);
       return renewal;
     });
   }
@@ -160,12 +160,12 @@
     return Effect.ignore(this.#ports.store.write(write));
   }
 
-  #note(renewal: Renewal, startMs: number): void {
+  #applyRenewal(renewal: Renewal, startMs: number): void {
     const { times, log } = this.#ports;
     if (renewal === Renewal.Renewed) {
       if (this.#holdover) log.info(`Cell ${this.cell}: the store is back.`);
       this.#holdover = false;
-      this.#heldUntilMs = startMs + times.ownerLeaseMs;
+      this.#expiresAtMs = startMs + times.ownerLeaseMs;
       return;
     }
     if (renewal === Renewal.Holdover) {
--- a/packages/cell/src/owner_views.ts
+++ b/packages/cell/src/owner_views.ts
@@ -27,7 +27,7 @@
     owner: state.ports.box,
     epoch: lease.epoch,
     holdover: lease.isHoldover,
-    sealedWorkers: [...links.values()].filter((l) => l.isSealed).length,
+    sealedWorkers: [...links.values()].filter((l) => l.isFenced).length,
     workers: links.size,
     ...Scheduler.describeCell(scheduler),
   };
@@ -43,7 +43,7 @@
     configVersion: state.configVersion,
     workers: [...links.values()].map((link) => ({
       name: link.worker.name,
-      sealed: link.isSealed,
+      sealed: link.isFenced,
     })),
     jobs: [...jobs.values()].map((job) => ({
       id: job.shape.id,
--- a/packages/cell/src/ports.ts
+++ b/packages/cell/src/ports.ts
@@ -13,7 +13,7 @@
   /** Notes a claim; lower epochs are ignored. */
   abstract noteClaim(claim: Types.OwnerClaim): void;
   /** Whether this box or a peer it hears has heard a box lately. */
-  abstract isHeardByAnyone(box: string): boolean;
+  abstract isAliveAnywhere(box: string): boolean;
   /** Whether a box has told that it is leaving. */
   abstract isLeaving(box: string): boolean;
   /** Boxes heard lately that are not leaving. */
--- a/packages/cell/src/reconfigure.ts
+++ b/packages/cell/src/reconfigure.ts
@@ -14,22 +14,22 @@
   config: ports.ConfigInForce,
   runner: runners.JobRunner,
 ): Types.WorkerSpec[] {
-  const before = state.scheduler;
-  const after = states.createScheduler(config, state.lease.cell);
-  state.scheduler = after;
+  const previous = state.scheduler;
+  const next = states.createScheduler(config, state.lease.cell);
+  state.scheduler = next;
   state.configVersion = config.version;
-  copyAvailability(state, before);
+  copyAvailability(state, previous);
   const nowMs = state.ports.clock.wallMs();
-  for (const entry of before.jobs()) {
-    const slots = translateSlots(state, before, entry.slots);
+  for (const entry of previous.jobs()) {
+    const slots = translateSlots(state, previous, entry.slots);
     if (isOnWorkers(entry.state) && slots !== null) {
       const { progress } = entry;
-      after.restore(entry.shape, { nowMs, slots, progress });
+      next.restore(entry.shape, { nowMs, slots, progress });
     } else {
-      after.submit(entry.shape, { nowMs, progress: entry.progress });
+      next.submit(entry.shape, { nowMs, progress: entry.progress });
     }
   }
-  dropRemoved(state, runner);
+  stopOnRemovedWorkers(state, runner);
   state.ports.log.info(
     `Cell ${state.lease.cell} follows configuration ${config.version}.`,
   );
@@ -70,7 +70,7 @@
 }
 
 /** Jobs on workers that the new file does not list stop and wait again. */
-function dropRemoved(
+function stopOnRemovedWorkers(
   state: states.CellState,
   runner: runners.JobRunner,
 ): void {
@@ -78,7 +78,7 @@
     if (state.indexOf(name) >= 0) continue;
     for (const job of [...state.jobs.values()]) {
       if (!job.attempt?.workers.includes(name)) continue;
-      runner.loseMember(job, `worker ${name} is no longer configured`);
+      runner.handleMemberLoss(job, `worker ${name} is no longer configured`);
     }
   }
 }
--- a/packages/cell/src/recovery.ts
+++ b/packages/cell/src/recovery.ts
@@ -17,7 +17,7 @@
 export class Recovery extends workerLinks.WorkerListener {
   readonly #state: states.CellState;
   readonly #runner: runners.JobRunner;
-  #isSealing = false;
+  #isFencing = false;
 
   constructor(state: states.CellState, runner: runners.JobRunner) {
     super();
@@ -32,21 +32,21 @@
     if (this.#state.endedIds.has(record.job.id)) return;
     const job = owned.createStoredJob(record);
     this.#state.jobs.set(record.job.id, job);
-    if (this.#isSealing) this.#settleNew(job);
+    if (this.#isFencing) this.#settleNew(job);
   }
 
   /** All rows are read; the workers are sealed from now on. */
-  beginSealing(): void {
-    this.#isSealing = true;
+  beginFencing(): void {
+    this.#isFencing = true;
     for (const job of [...this.#state.jobs.values()]) {
       if (job.kind === "stored") this.#settleNew(job);
     }
   }
 
   #settleNew(job: owned.StoredJob): void {
-    for (const worker of [...job.unseenWorkers]) {
+    for (const worker of [...job.workersToPoll]) {
       const link = this.#state.links.get(worker);
-      if (link === undefined || link.isSealed) job.unseenWorkers.delete(worker);
+      if (link === undefined || link.isFenced) job.workersToPoll.delete(worker);
     }
     this.#settle(job);
   }
@@ -55,16 +55,16 @@
     const found = new Set<string>();
     for (const task of inventory.tasks) {
       found.add(`${task.jobId}/${task.attempt}/${task.rank}`);
-      this.#noteTask(worker, task);
+      this.#handleTask(worker, task);
     }
-    this.#findMissing(worker, found);
+    this.#handleMissing(worker, found);
     this.#setAvailable(worker, !inventory.leaving);
-    this.#markSeen(worker);
+    this.#markPolled(worker);
     this.#state.wake();
   }
 
   override onReport(worker: string, report: Types.WorkerReport): void {
-    for (const task of report.changed) this.#noteTask(worker, task);
+    for (const task of report.changed) this.#handleTask(worker, task);
     this.#setAvailable(worker, !report.leaving);
     this.#state.wake();
   }
@@ -76,9 +76,9 @@
   override onGone(worker: string): void {
     for (const job of [...this.#state.jobs.values()]) {
       if (!job.attempt?.workers.includes(worker)) continue;
-      this.#runner.loseMember(job, `worker ${worker} was lost`);
+      this.#runner.handleMemberLoss(job, `worker ${worker} was lost`);
     }
-    this.#markSeen(worker);
+    this.#markPolled(worker);
     this.#state.wake();
   }
 
@@ -90,27 +90,27 @@
     this.#state.scheduler.setWorkerAvailable(index, available && !leaving);
   }
 
-  #noteTask(worker: string, task: Types.TaskReport): void {
+  #handleTask(worker: string, task: Types.TaskReport): void {
     const job = this.#state.jobs.get(task.jobId);
-    if (job === undefined) return this.#noteUnknown(worker, task);
-    if (job.attempt === null) return this.#noteFound(worker, job, task);
-    if (job.attempt.id !== task.attempt) return this.#noteStray(worker, task);
-    job.attempt.seen = true;
+    if (job === undefined) return this.#handleUnknown(worker, task);
+    if (job.attempt === null) return this.#addFound(worker, job, task);
+    if (job.attempt.id !== task.attempt) return this.#discard(worker, task);
+    job.attempt.isSeen = true;
     if (task.state === Types.TaskState.Finished) {
       return this.#runner.noteFinished(job, task.rank, task.result);
     }
-    if (ACTIVE.has(task.state) || job.attempt.stopping) return;
-    this.#runner.loseMember(job, `worker ${worker} stopped a member`);
+    if (ACTIVE.has(task.state) || job.attempt.isStopping) return;
+    this.#runner.handleMemberLoss(job, `worker ${worker} stopped a member`);
   }
 
   /** A task of a job that this owner has not heard of. */
-  #noteUnknown(worker: string, task: Types.TaskReport): void {
+  #handleUnknown(worker: string, task: Types.TaskReport): void {
     if (!ACTIVE.has(task.state)) {
       this.#state.links.get(worker)?.acknowledge(task);
       return;
     }
     if (task.spec === null || task.caller === null) {
-      return this.#noteStray(worker, task);
+      return this.#discard(worker, task);
     }
     this.#adoptShort(worker, task, task.spec);
   }
@@ -126,7 +126,7 @@
     const slots = [{ worker: index, mask: task.mask }];
     const places = this.#state.placesOf(slots);
     const attempt = owned.createAttempt(task.attempt, slots, places);
-    attempt.seen = true;
+    attempt.isSeen = true;
     const kind = "short" as const;
     const job: owned.ShortJob = { kind, shape, granted: null, attempt };
     this.#state.jobs.set(shape.id, job);
@@ -136,7 +136,7 @@
   }
 
   /** A task of a job that waits, or whose attempt is still being gathered. */
-  #noteFound(
+  #addFound(
     worker: string,
     job: owned.OwnedJob,
     task: Types.TaskReport,
@@ -144,7 +144,7 @@
     const isUseful = ACTIVE.has(task.state) ||
       task.state === Types.TaskState.Finished;
     if (!isUseful) return;
-    if (job.kind === "short") return this.#adoptWaiting(worker, job, task);
+    if (job.kind === "short") return this.#discardEarlier(worker, job, task);
     const members = job.found.get(task.attempt) ?? [];
     const member = { worker: this.#state.indexOf(worker), report: task };
     const others = members.filter((m) => m.report.rank !== task.rank);
@@ -153,60 +153,60 @@
   }
 
   /** A waiting short job that already runs, by a grant of an earlier owner. */
-  #adoptWaiting(
+  #discardEarlier(
     worker: string,
     job: owned.ShortJob,
     task: Types.TaskReport,
   ): void {
     if (!ACTIVE.has(task.state)) return;
     // Its box asked again, so it has given this attempt up.
-    this.#noteStray(worker, task);
+    this.#discard(worker, task);
     this.#state.ports.log.info(
       `Job ${job.shape.id} waits again; its old attempt is stopped.`,
     );
   }
 
   /** A task of no current attempt is stopped or forgotten. */
-  #noteStray(worker: string, task: Types.TaskReport): void {
+  #discard(worker: string, task: Types.TaskReport): void {
     if (ACTIVE.has(task.state)) {
-      this.#state.fork(this.#state.orders.stopStray(worker, task));
+      this.#state.fork(this.#state.orders.stopUnexpected(worker, task));
     } else {
       this.#state.links.get(worker)?.acknowledge(task);
     }
   }
 
   /** Members that the owner believes there, but the worker does not have. */
-  #findMissing(worker: string, found: ReadonlySet<string>): void {
+  #handleMissing(worker: string, found: ReadonlySet<string>): void {
     for (const job of [...this.#state.jobs.values()]) {
       const { attempt } = job;
-      if (attempt === null || !attempt.seen || attempt.stopping) continue;
+      if (attempt === null || !attempt.isSeen || attempt.isStopping) continue;
       attempt.workers.forEach((name, rank) => {
         if (name !== worker || attempt.results.has(rank)) return;
         if (found.has(`${job.shape.id}/${attempt.id}/${rank}`)) return;
-        this.#runner.loseMember(job, `worker ${worker} lost a member`);
+        this.#runner.handleMemberLoss(job, `worker ${worker} lost a member`);
       });
     }
   }
 
-  #markSeen(worker: string): void {
+  #markPolled(worker: string): void {
     for (const job of [...this.#state.jobs.values()]) {
       if (job.kind !== "stored") continue;
-      if (job.unseenWorkers.delete(worker)) this.#settle(job);
+      if (job.workersToPoll.delete(worker)) this.#settle(job);
     }
   }
 
   /** Decides on a stored job once every worker it may run on was looked at. */
   #settle(job: owned.StoredJob): void {
-    if (job.attempt !== null || job.ending) return;
-    const whole = this.#findWhole(job);
-    if (whole !== null) return this.#adoptStored(job, whole);
-    if (job.unseenWorkers.size > 0) return;
+    if (job.attempt !== null || job.isEnding) return;
+    const members = this.#findComplete(job);
+    if (members !== null) return this.#adoptStored(job, members);
+    if (job.workersToPoll.size > 0) return;
     const isInQueue = this.#state.scheduler.get(job.shape.id) !== undefined;
     if (!isInQueue) this.#resolve(job);
   }
 
   /** The members of an attempt that is complete on the workers. */
-  #findWhole(job: owned.StoredJob): owned.FoundMember[] | null {
+  #findComplete(job: owned.StoredJob): owned.FoundMember[] | null {
     for (const members of job.found.values()) {
       const usable = members.filter((m) => m.worker >= 0);
       if (usable.length === job.shape.gang) return usable;
@@ -223,11 +223,11 @@
     const id = sorted[0].report.attempt;
     const places = this.#state.placesOf(slots);
     const attempt = owned.createAttempt(id, slots, places);
-    attempt.seen = true;
-    attempt.startOrdered = true;
+    attempt.isSeen = true;
+    attempt.isStartOrdered = true;
     job.attempt = attempt;
     job.found.clear();
-    job.unseenWorkers.clear();
+    job.workersToPoll.clear();
     const { scheduler, ports, orders } = this.#state;
     scheduler.cancel(job.shape.id);
     const nowMs = ports.clock.wallMs();
@@ -247,7 +247,7 @@
     const members = [...job.found.values()].flat();
     for (const { worker, report } of members) {
       const name = this.#state.scheduler.layout.workers[worker]?.name;
-      if (name !== undefined) this.#noteStray(name, report);
+      if (name !== undefined) this.#discard(name, report);
     }
     const mayHaveRun = job.record.state === Types.JobState.Running;
     if (mayHaveRun && !job.shape.repeatable) {
--- a/packages/cell/src/sweep_ended.ts
+++ b/packages/cell/src/sweep_ended.ts
@@ -6,10 +6,10 @@
 import type * as leases from "./owner_lease.ts";
 import type * as ports from "./ports.ts";
 
-const EVERY_MS = 3_600_000;
-const KEEP_MS = 7 * 24 * 3_600_000;
+const SWEEP_INTERVAL_MS = 3_600_000;
+const RETENTION_MS = 7 * 24 * 3_600_000;
 const ROWS_PER_WRITE = 100;
-const PAUSE_MS = 1000;
+const WRITE_PAUSE_MS = 1000;
 
 /** Sweeps for ever, slowly; what fails is left for the next time. */
 export function keepSweeping(
@@ -17,8 +17,8 @@
   lease: leases.OwnerLease,
 ): Effect.Effect<never> {
   const sweep = Effect.ignore(sweepEnded(cellPorts, lease));
-  const rest = cellPorts.clock.sleep(EVERY_MS);
-  return Effect.forever(Effect.andThen(rest, sweep));
+  const pause = cellPorts.clock.sleep(SWEEP_INTERVAL_MS);
+  return Effect.forever(Effect.andThen(pause, sweep));
 }
 
 /** Removes ended jobs and intents that are older than a week. */
@@ -28,19 +28,19 @@
 ) {
   return Effect.gen(function* () {
     const { store, clock } = cellPorts;
-    const before = clock.wallMs() - KEEP_MS;
+    const beforeMs = clock.wallMs() - RETENTION_MS;
     const rows = yield* store.scan(TableClient.Keys.endedPrefix(lease.cell));
     const intents = yield* store.scan(
       TableClient.Keys.intentPrefix(lease.cell),
     );
-    const old = [...rows, ...intents].filter((row) => isOlder(row, before));
+    const old = [...rows, ...intents].filter((row) => isOlder(row, beforeMs));
     for (let i = 0; i < old.length; i += ROWS_PER_WRITE) {
-      const part = old.slice(i, i + ROWS_PER_WRITE);
+      const batch = old.slice(i, i + ROWS_PER_WRITE);
       yield* store.write({
         conditions: [lease.condition],
-        writes: part.map(({ key }) => ({ key, value: null })),
+        writes: batch.map(({ key }) => ({ key, value: null })),
       });
-      yield* clock.sleep(PAUSE_MS);
+      yield* clock.sleep(WRITE_PAUSE_MS);
     }
     return old.length;
   });
--- a/packages/cell/src/sweep_ended_test.ts
+++ b/packages/cell/src/sweep_ended_test.ts
@@ -57,8 +57,10 @@
   await put(recent, { updatedAtMs: clock.wallMs() });
   const swept = await run(sweeping.sweepEnded(cellPorts, lease(1)));
   expect(swept).toMatchObject({ success: 151 });
-  const left = await run(store.scan(""));
-  const keys = left._tag === "Success" ? left.success.map((r) => r.key) : [];
+  const remaining = await run(store.scan(""));
+  const keys = remaining._tag === "Success"
+    ? remaining.success.map((r) => r.key)
+    : [];
   expect(keys.sort()).toEqual([
     recent,
     TableClient.Keys.jobKey("cell", "open"),
--- a/packages/cell/src/task_orders.ts
+++ b/packages/cell/src/task_orders.ts
@@ -10,11 +10,11 @@
 /** A running task whose lease is not renewed for this long is stopped. */
 export const TASK_LEASE_MS = 600_000;
 /** A hold that is not started within this time is dropped by the worker. */
-export const HOLD_MS = 10_000;
-const ORDER_MS = 2000;
-const START_RETRY_MS = 100;
+export const HOLD_TIMEOUT_MS = 10_000;
+const ORDER_TIMEOUT_MS = 2000;
+const START_RETRY_DELAY_MS = 100;
 /** Starts are repeated for this long; it ends before the holds lapse. */
-const START_FOR_MS = 6000;
+const START_TIMEOUT_MS = 6000;
 
 /** How the stop of an attempt ended. */
 export interface StopResult {
@@ -68,7 +68,7 @@
     shape: Types.JobShape,
     attempt: owned.Attempt,
   ): Effect.Effect<boolean> {
-    attempt.startOrdered = true;
+    attempt.isStartOrdered = true;
     const starts = attempt.workers.map((worker, rank) =>
       this.#startMember(worker, this.#taskOrder(shape, attempt, rank))
     );
@@ -92,11 +92,11 @@
       );
     });
     const replies = Effect.all(stops, { concurrency: "unbounded" });
-    return Effect.map(replies, (known) => summarizeStops(known, attempt));
+    return Effect.map(replies, (list) => summarizeStops(list, attempt));
   }
 
   /** Stops one task that belongs to no current attempt. */
-  stopStray(worker: string, key: Types.TaskKey): Effect.Effect<void> {
+  stopUnexpected(worker: string, key: Types.TaskKey): Effect.Effect<void> {
     const { jobId, attempt, rank } = key;
     const { cell, epoch } = this.#lease;
     const fence = { cell, epoch };
@@ -114,7 +114,7 @@
   ): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
       const { clock, random } = this.#ports;
-      const endMs = clock.monotonicMs() + START_FOR_MS;
+      const endMs = clock.monotonicMs() + START_TIMEOUT_MS;
       while (clock.monotonicMs() < endMs && !this.#lease.isLost) {
         const reply = yield* this.#sendTyped(
           worker,
@@ -122,7 +122,7 @@
         );
         if (reply.kind === "done") return true;
         if (reply.kind === "refused") return false;
-        yield* clock.sleep(random.jitter(START_RETRY_MS));
+        yield* clock.sleep(random.jitter(START_RETRY_DELAY_MS));
       }
       return false;
     });
@@ -155,7 +155,7 @@
       repeatable: shape.repeatable,
       checkpointMs: shape.checkpointMs,
       progress: member.progress,
-      holdMs: HOLD_MS,
+      holdMs: HOLD_TIMEOUT_MS,
       leaseMs: TASK_LEASE_MS,
       caller: null,
       spec: shape,
@@ -182,7 +182,7 @@
       if (endpoint === null || !(yield* this.#lease.check())) {
         return { kind: "lost" } as const;
       }
-      const call = this.#ports.clock.within(ORDER_MS, order(endpoint));
+      const call = this.#ports.clock.within(ORDER_TIMEOUT_MS, order(endpoint));
       const exit = yield* Effect.result(call);
       if (exit._tag === "Success") {
         if (exit.success === null) return { kind: "lost" } as const;
@@ -210,18 +210,20 @@
   replies: readonly ({ readonly value: Types.StopReply } | null)[],
   attempt: owned.Attempt,
 ): StopResult {
-  const known = replies.flatMap((reply) => reply === null ? [] : [reply.value]);
+  const values = replies.flatMap((reply) =>
+    reply === null ? [] : [reply.value]
+  );
   // A worker that has restarted since has forgotten what it ran.
-  const forgot = replies.some((reply, rank) =>
+  const hasRestarted = replies.some((reply, rank) =>
     reply !== null && reply.value.bootId !== attempt.bootIds[rank]
   );
-  const complete = known.length === replies.length;
-  const finished = complete && known.every((reply) => reply.finished);
-  const behind = known.map((reply) => reply.progress);
+  const complete = values.length === replies.length;
+  const finished = complete && values.every((reply) => reply.finished);
+  const saved = values.map((reply) => reply.progress);
   return {
     complete,
-    ran: forgot || known.some((reply) => reply.ran),
-    results: finished ? known.map((reply) => reply.result) : null,
-    progress: complete && behind.length > 0 ? Math.min(...behind) : 0,
+    ran: hasRestarted || values.some((reply) => reply.ran),
+    results: finished ? values.map((reply) => reply.result) : null,
+    progress: complete && saved.length > 0 ? Math.min(...saved) : 0,
   };
 }
--- a/packages/cell/src/worker_link.ts
+++ b/packages/cell/src/worker_link.ts
@@ -18,12 +18,12 @@
   abstract onGone(worker: string): void;
 }
 
-const SEAL_MS = 2000;
+const FENCE_TIMEOUT_MS = 2000;
 /** First and longest pause between two tries, in ms. */
-const FIRST_BACKOFF_MS = 50;
-const LONGEST_BACKOFF_MS = 2000;
+const MIN_BACKOFF_MS = 50;
+const MAX_BACKOFF_MS = 2000;
 /** A worker that does not answer for this long is taken as gone. */
-export const WORKER_GONE_MS = 10_000;
+export const GONE_AFTER_MS = 10_000;
 /** Allowance for the answer to a report after its wait. */
 const REPORT_MARGIN_MS = 2000;
 
@@ -35,7 +35,7 @@
   readonly #listener: WorkerListener;
   #acknowledged: Types.TaskKey[] = [];
   #bootId: string | null = null;
-  #lostSinceMs: number | null = null;
+  #silentSinceMs: number | null = null;
   #isGone = false;
 
   constructor(
@@ -58,8 +58,8 @@
   }
 
   /** Whether the worker is sealed and answering. */
-  get isSealed(): boolean {
-    return this.#bootId !== null && this.#lostSinceMs === null;
+  get isFenced(): boolean {
+    return this.#bootId !== null && this.#silentSinceMs === null;
   }
 
   /** The worker may forget a finished task; sent with the next report. */
@@ -72,16 +72,16 @@
   run(): Effect.Effect<never> {
     return Effect.gen({ self: this }, function* () {
       const { clock, random } = this.#ports;
-      let backoffMs = FIRST_BACKOFF_MS;
+      let backoffMs = MIN_BACKOFF_MS;
       for (;;) {
         const inventory = yield* this.#seal();
         if (inventory !== null) {
-          backoffMs = FIRST_BACKOFF_MS;
+          backoffMs = MIN_BACKOFF_MS;
           yield* this.#follow(inventory);
         }
         this.#noteUnreachable();
         yield* clock.sleep(random.jitter(backoffMs));
-        backoffMs = Math.min(backoffMs * 2, LONGEST_BACKOFF_MS);
+        backoffMs = Math.min(backoffMs * 2, MAX_BACKOFF_MS);
       }
     });
   }
@@ -90,7 +90,7 @@
     const { cell, epoch } = this.#lease;
     const { endpoint } = this.worker;
     const seal = this.#ports.workers.seal(endpoint, { cell, epoch });
-    return this.#ask(SEAL_MS, seal);
+    return this.#call(FENCE_TIMEOUT_MS, seal);
   }
 
   #follow(inventory: Types.Inventory): Effect.Effect<void> {
@@ -121,15 +121,15 @@
     };
     this.#ports.metrics.count("cairngate_worker_reports_total");
     const report = this.#ports.workers.report(this.worker.endpoint, request);
-    return this.#ask(waitMs + REPORT_MARGIN_MS, report);
+    return this.#call(waitMs + REPORT_MARGIN_MS, report);
   }
 
   /** The answer, or null where none came in time. */
-  #ask<A>(
-    limitMs: number,
+  #call<A>(
+    timeoutMs: number,
     call: Effect.Effect<A, Ports.WorkerError>,
   ): Effect.Effect<A | null> {
-    return this.#ports.clock.within(limitMs, call).pipe(
+    return this.#ports.clock.within(timeoutMs, call).pipe(
       Effect.map((timed) => timed?.value ?? null),
       Effect.catch((err) =>
         Effect.sync(() => {
@@ -153,17 +153,17 @@
       this.#listener.onGone(this.worker.name);
     }
     this.#bootId = bootId;
-    this.#lostSinceMs = null;
+    this.#silentSinceMs = null;
     this.#isGone = false;
   }
 
   #noteUnreachable(): void {
     const nowMs = this.#ports.clock.monotonicMs();
-    if (this.#lostSinceMs === null) {
-      this.#lostSinceMs = nowMs;
+    if (this.#silentSinceMs === null) {
+      this.#silentSinceMs = nowMs;
       this.#listener.onUnreachable(this.worker.name);
     }
-    if (this.#isGone || nowMs - this.#lostSinceMs < WORKER_GONE_MS) return;
+    if (this.#isGone || nowMs - this.#silentSinceMs < GONE_AFTER_MS) return;
     this.#isGone = true;
     this.#ports.log.warn(`Worker ${this.worker.name} is gone.`);
     this.#listener.onGone(this.worker.name);
