--- a/packages/box/mod.ts
+++ b/packages/box/mod.ts
@@ -1,4 +1,4 @@
-/** One box: configuration, membership, cell owners and entry over ports. */
+/** One box: configuration, membership, cell owners and request entry. */
 export { Box, type BoxDump, type BoxPorts } from "./src/box.ts";
 export {
   type ApplyRequest,
--- a/packages/box/src/accidents_test.ts
+++ b/packages/box/src/accidents_test.ts
@@ -5,8 +5,8 @@
 
 const { describe, expect, test } = vitest;
 
-describe("the three accidents of the users", () => {
-  test("a rebuild is not starved by a stream of diagnostics", async () => {
+describe("reported incidents", () => {
+  test("a large gang is not starved by a stream of diagnostics", async () => {
     const cluster = new TestUtils.TestCluster();
     await cluster.start();
     const accepted = await cluster.run(cluster.submit("box_1", {
@@ -26,7 +26,7 @@
     expect(ended.state).toBe(Types.JobState.Done);
   });
 
-  test("a scan sent again through another box runs once", async () => {
+  test("a scan that is retried through another box runs once", async () => {
     const cluster = new TestUtils.TestCluster();
     await cluster.start();
     const input = { request: "scan", runMs: 300 };
@@ -50,7 +50,7 @@
     expect(cluster.summary().doubled).toEqual([]);
   });
 
-  test("a batch survives the death of its box and of the owner", async () => {
+  test("a gang survives the failure of the owner that accepted it", async () => {
     const cluster = new TestUtils.TestCluster();
     await cluster.start();
     const owner = cluster.owner()!;
@@ -61,7 +61,8 @@
     }));
     const { record } = accepted as { record: Types.JobRecord };
     await cluster.clock.advance(1000);
-    // With a slow store the workers could be sealed before the rows are read.
+    // With a slow store, a faulty owner might fence the workers before it has read
+    // the rows.
     cluster.faults.set({ delayMs: 300 });
     await cluster.kill(owner);
     const [survivor] = [...cluster.boxes.keys()];
@@ -70,7 +71,7 @@
     );
     expect(ended.state).toBe(Types.JobState.Done);
     const starts = cluster.ledger.entries.filter((e) => e.event === "started");
-    // The takeover found the gang running and did not cut it.
+    // The new owner adopted the running gang and did not restart it.
     expect(starts).toHaveLength(4);
   });
 });
--- a/packages/box/src/answers_test.ts
+++ b/packages/box/src/answers_test.ts
@@ -12,7 +12,7 @@
 }
 
 describe("an answer", () => {
-  test("to another caller's request is dropped and counted", async () => {
+  test("to another caller's request is discarded and counted", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     const link = cluster.links.get("box_2")!;
@@ -36,7 +36,7 @@
     expect(cluster.box("box_2").metrics.get(name)).toBe(1);
   });
 
-  test("that was lost is fetched for work that may run only once", async () => {
+  test("that was lost is fetched for unrepeatable work", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     cluster.links.get("box_2")!.rule = loseFirst("run", Loss.Answer);
@@ -49,7 +49,7 @@
     expect(cluster.summary().doubled).toEqual([]);
   });
 
-  test("is unknown where nobody can tell, and the work runs once", async () => {
+  test("is unknown if it can't be fetched, and the work runs once", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     cluster.links.get("box_2")!.rule = loseFirst("run", Loss.Answer);
@@ -67,7 +67,7 @@
     expect(cluster.summary().doubled).toEqual([]);
   });
 
-  test("not run is true where the order was lost on its way", async () => {
+  test("is not-run if the order never arrived, and the work does not run", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     cluster.links.get("box_2")!.rule = (order) =>
@@ -85,8 +85,8 @@
   });
 });
 
-describe("a key that was used for another request", () => {
-  test("does not give the other request's answer to a scan", async () => {
+describe("an idempotency key of another request", () => {
+  test("does not return the other request's answer to a scan", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     const scan = (box: string, request: string) =>
@@ -102,7 +102,7 @@
     expect(cluster.summary().startedJobs).toBe(1);
   });
 
-  test("is refused for a long job, by name", async () => {
+  test("is rejected for a long job, with the name of the field", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     const store = (request: string) =>
@@ -120,7 +120,7 @@
 });
 
 describe("a job whose first attempt was stopped", () => {
-  test("is not told to be not run when no second place is found", async () => {
+  test("is not reported as not run when no second place is found", async () => {
     const cfg = TestUtils.buildDeployment({ workersPerRack: 1 });
     const cluster = new TestCluster({ cfg });
     await cluster.start();
@@ -140,7 +140,7 @@
   });
 });
 
-describe("a worker that has restarted", () => {
+describe("a worker restart", () => {
   test("is no proof that a long job did not run", async () => {
     const cluster = new TestCluster();
     await cluster.start();
@@ -173,7 +173,7 @@
 });
 
 describe("overload", () => {
-  test("sheds the lowest tier first and says when to come back", async () => {
+  test("rejects the lowest tier first, with a time to retry after", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     const input = { runMs: 60_000 };
@@ -192,8 +192,8 @@
   });
 });
 
-describe("an old message about a stored job", () => {
-  test("does not bring a job back that has ended", async () => {
+describe("a late message about a stored job", () => {
+  test("does not run an ended job again", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     const accepted = await cluster.run(
--- a/packages/box/src/box.ts
+++ b/packages/box/src/box.ts
@@ -1,4 +1,4 @@
-/** One box: everything between callers and workers, over ports. */
+/** One box: connects request entry, membership, configuration and cell owners. */
 import * as Cell from "@cairngate/cell";
 import type * as Config from "@cairngate/config";
 import * as Entry from "@cairngate/entry";
@@ -16,7 +16,7 @@
 import * as routers from "./owner_router.ts";
 import * as requests from "./peer_requests.ts";
 
-/** Ports of a box. */
+/** Services of the environment that a box uses. */
 export interface BoxPorts {
   readonly clock: Ports.Clock;
   readonly random: Ports.RandomSource;
@@ -29,7 +29,7 @@
   readonly log: Logger.Logger;
 }
 
-/** The part of the settings that a box itself uses. */
+/** The settings that a box uses; the rest serves its adapters. */
 export type BoxOptions = Pick<
   Config.BoxSettings,
   "box" | "dataCentre" | "deployment" | "limits" | "times"
@@ -125,7 +125,7 @@
     });
   }
 
-  /** Opens the links and starts to work; returns at once. */
+  /** Starts listening for peers and the background work; does not wait for it. */
   start(): Effect.Effect<void, Errors.ListenError> {
     return Effect.gen({ self: this }, function* () {
       const { network } = this.#ports;
@@ -138,19 +138,19 @@
     });
   }
 
-  /** Whether the box serves callers: it has a configuration and stays. */
+  /** Whether the box serves callers: it has a configuration and is not leaving. */
   get isReady(): boolean {
     return this.#membership.state === Types.BoxState.Live;
   }
 
-  /** State of the cells this box knows, by asking their owners. */
+  /** Requests the state of a cell from its owner. */
   cellStatus(cell: string) {
     const kind = Types.PeerKind.CellStatus as const;
     const req = { kind, cell };
     return this.owners.ask<Types.CellStatus>(cell, req, PEER_TIMEOUT_MS * 2);
   }
 
-  /** Explanation of a job; null where its owner does not know it. */
+  /** Requests the explanation of a job; null if its owner does not have it. */
   explain(cell: string, jobId: string) {
     const kind = Types.PeerKind.Explain as const;
     const req = { kind, cell, jobId };
@@ -161,7 +161,7 @@
     );
   }
 
-  /** Everything this box knows. */
+  /** Returns the state of this box for `cairngate dump`. */
   dump(): BoxDump {
     const cells = [...this.#managers.values()].flatMap((manager) =>
       manager.owner === null ? [] : [manager.owner.dump()]
@@ -178,7 +178,7 @@
     };
   }
 
-  /** Tells everybody that this box leaves, and hands its cells over. */
+  /** Announces to the peers that this box is leaving, and hands over its cells. */
   leave(): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       this.#membership.setState(Types.BoxState.Leaving);
@@ -187,7 +187,7 @@
     });
   }
 
-  /** Waits until no caller waits any more, but no longer than a limit. */
+  /** Waits until no caller is waiting; returns false after the timeout. */
   drain(timeoutMs: number): Effect.Effect<boolean> {
     const { clock } = this.#ports;
     return Effect.gen({ self: this }, function* () {
@@ -200,7 +200,7 @@
     });
   }
 
-  /** Ends all work at once. */
+  /** Interrupts all work and closes the peer network. */
   stop(): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       yield* Fiber.interruptAll(this.#fibers);
@@ -219,7 +219,7 @@
     }, req);
   }
 
-  /** A newer configuration is in force: watch its cells, tell the peers. */
+  /** Starts managers for new cells of a newer configuration and informs the peers. */
   #startManagers(): void {
     const cells = this.configs.inForce?.cfg.cells ?? [];
     for (const { name } of cells) {
@@ -235,7 +235,7 @@
     }
   }
 
-  /** Takes a newer configuration from a peer, also when the store is down. */
+  /** Fetches newer configurations from peers, which works without the store. */
   #keepFetchingConfig(): Effect.Effect<never> {
     const { clock, network } = this.#ports;
     const fetch = Effect.gen({ self: this }, function* () {
--- a/packages/box/src/config_keeper.ts
+++ b/packages/box/src/config_keeper.ts
@@ -1,6 +1,6 @@
 /**
  * The configuration in force on this box. Versions are rows of the table
- * service, moved by compare-and-set; a version in force never goes down.
+ * service, written by compare-and-set. A box never returns to an older version.
  */
 import * as Config from "@cairngate/config";
 import * as Errors from "@cairngate/errors";
@@ -13,7 +13,7 @@
 import type * as Types from "@cairngate/types";
 import * as Effect from "effect/Effect";
 
-/** What the keeper needs. */
+/** Settings and services of the keeper. */
 export interface ConfigKeeperOptions {
   readonly deployment: string;
   readonly clock: Ports.Clock;
@@ -24,19 +24,19 @@
   readonly onChange: () => void;
 }
 
-/** A file to apply. */
+/** A configuration file to apply. */
 export interface ApplyRequest {
   readonly text: string;
-  /** The version the file was written from; 0 for the first. */
+  /** The version on which the file is based; 0 for the first file. */
   readonly basedOn: number;
-  /** Chosen by the operator's tool; the same id is the same apply. */
+  /** Idempotency key of the request, chosen by the operator's tool. */
   readonly applyId: string;
 }
 
-/** A version in the history. */
+/** A version of the history, without its text. */
 export type VersionSummary = Omit<Types.ConfigVersion, "text">;
 
-/** Row that names the version in force. */
+/** Value of the row that names the version in force. */
 interface CurrentRow {
   readonly version: number;
   readonly hash: string;
@@ -45,7 +45,7 @@
 
 const APPLY_TIMEOUT_MS = 5000;
 
-/** Keeps and applies configurations. */
+/** Follows the configuration in force and applies new ones. */
 export class ConfigKeeper {
   readonly #options: ConfigKeeperOptions;
   #version: Types.ConfigVersion | null = null;
@@ -55,23 +55,23 @@
     this.#options = options;
   }
 
-  /** The configuration in force; null before the first is known. */
+  /** The parsed configuration in force; null before the first one is loaded. */
   get inForce(): Cell.ConfigInForce | null {
     if (this.#version === null || this.#cfg === null) return null;
     return { version: this.#version.version, cfg: this.#cfg };
   }
 
-  /** The version in force with its text. */
+  /** The version in force with its text; null before the first one is loaded. */
   get current(): Types.ConfigVersion | null {
     return this.#version;
   }
 
-  /** Polls the version row for ever. */
+  /** Polls the version row until interrupted; failed polls are repeated later. */
   keepPolling(intervalMs: number): Effect.Effect<never> {
     return this.#options.clock.every(intervalMs, Effect.ignore(this.poll()));
   }
 
-  /** Reads the version row once, and the text where it is newer. */
+  /** Reads the version row once and adopts its version if that is newer. */
   poll(): Effect.Effect<void, Errors.StoreUnavailableError> {
     return Effect.gen({ self: this }, function* () {
       const { store, deployment } = this.#options;
@@ -86,7 +86,7 @@
     });
   }
 
-  /** One version of the history; null where there is none. */
+  /** Reads one version of the history; null if there is none. */
   read(
     version: number,
   ): Effect.Effect<Types.ConfigVersion | null, Errors.StoreUnavailableError> {
@@ -98,7 +98,7 @@
     );
   }
 
-  /** All versions, oldest first. */
+  /** Lists all versions, oldest first. */
   history(): Effect.Effect<VersionSummary[], Errors.StoreUnavailableError> {
     const { store, deployment } = this.#options;
     const prefix = TableClient.Keys.configHistoryPrefix(deployment);
@@ -109,18 +109,18 @@
     });
   }
 
-  /** Brings a version into force, unless a newer one is. */
+  /** Puts a version into force on this box, unless it has the same or a newer one. */
   adopt(found: Types.ConfigVersion): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       const parsed = yield* Effect.result(Config.parseDeployment(found.text));
       const { log, metrics, clock } = this.#options;
       if (parsed._tag === "Failure") {
-        log.error(`Version ${found.version} cannot be read by this release.`);
+        log.error(`Version ${found.version} can't be parsed by this release.`);
         return;
       }
-      // After the parsing, as another fiber may have been faster.
+      // Checked after parsing, as another fiber may have adopted it meanwhile.
       if (found.version <= (this.#version?.version ?? 0)) return;
-      // A box that has just started says nothing about propagation.
+      // The first version after a start may be old and would distort the metric.
       if (this.#version !== null) {
         const ageMs = Math.max(0, clock.wallMs() - found.appliedAtMs);
         metrics.observeMs("cairngate_config_propagation_seconds", ageMs);
@@ -133,7 +133,10 @@
     });
   }
 
-  /** Applies a whole file against the version it was written from. */
+  /**
+   * Applies a whole file, on condition that the version in force is the one it
+   * is based on. Applying the same file or `applyId` again changes nothing.
+   */
   apply(req: ApplyRequest) {
     return Effect.gen({ self: this }, function* () {
       const cfg = yield* Config.parseDeployment(req.text);
@@ -166,7 +169,7 @@
     return { version, hash, applyId, appliedAtMs, text };
   }
 
-  /** The version row and the history row change in one transaction. */
+  /** Writes the version row and the history row in one transaction. */
   #write(
     next: Types.ConfigVersion,
     revision: number,
@@ -194,7 +197,8 @@
         return yield* written.failure;
       }
       const stored = yield* this.read(version);
-      // The history row tells whose apply made this version.
+      // An earlier try of this write may have succeeded with its answer lost: the
+      // history row names the request that created this version.
       if (stored?.applyId === applyId) return;
       const [row] = yield* store.read([key]);
       return yield* conflict(req.basedOn, row?.value as CurrentRow);
--- a/packages/box/src/config_test.ts
+++ b/packages/box/src/config_test.ts
@@ -7,18 +7,18 @@
 const { describe, expect, test } = vitest;
 const { TestCluster } = TestUtils;
 
-/** A version has to be in force everywhere within this time. */
+/** A version has to be in force on every box within this time. */
 const MAX_PROPAGATION_MS = 3000;
 
 function createText(cluster: TestUtils.TestCluster, mark: string): string {
   return `${cluster.box("box_1").configs.current!.text}# ${mark}\n`;
 }
 
-describe("two operators at once", () => {
-  test("one wins, the other is told of the version in force", async () => {
+describe("two concurrent applies", () => {
+  test("one succeeds, the other fails with the version in force", async () => {
     const cluster = new TestCluster();
     await cluster.start();
-    // Slow enough that both read the same version before either writes.
+    // The delay lets both read the same version before either writes.
     cluster.faults.set({ delayMs: 100 });
     const applies = ["box_1", "box_2"].map((name) =>
       cluster.begin(Effect.result(
@@ -40,7 +40,7 @@
   });
 });
 
-describe("an accepted file", () => {
+describe("an applied file", () => {
   test("is in force on every box within 3 s", async () => {
     const cluster = new TestCluster();
     await cluster.start();
@@ -63,7 +63,7 @@
     );
   });
 
-  test("took effect although its answer was lost", async () => {
+  test("takes effect although the store's answer was lost", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     cluster.faults.set({ loseAnswers: 1 });
@@ -83,7 +83,7 @@
     expect(again).toMatchObject({ version: 2, changed: false });
   });
 
-  test("is never followed by an older one", async () => {
+  test("is never replaced by an older one", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     const old = cluster.box("box_1").configs.current!;
@@ -98,7 +98,7 @@
     expect(cluster.box("box_1").configs.current?.version).toBe(2);
   });
 
-  test("reaches a box that starts in an outage, from a peer", async () => {
+  test("is fetched from a peer by a box starting in a store outage", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     await cluster.kill("box_3");
@@ -111,8 +111,8 @@
   });
 });
 
-describe("a file that takes a rack away", () => {
-  test("moves the work of that rack and leaves the other alone", async () => {
+describe("a file that removes a rack", () => {
+  test("moves the work of that rack and does not disturb the other", async () => {
     const cfg = TestUtils.buildDeployment({ racks: 2, workersPerRack: 1 });
     const cluster = new TestCluster({ cfg });
     await cluster.start();
@@ -146,8 +146,8 @@
   });
 });
 
-describe("a file that is not valid", () => {
-  test("is refused with every fault and its place", async () => {
+describe("an invalid file", () => {
+  test("is rejected with the path of every fault", async () => {
     const text = "name: x\nweighting: {completionTime: 2, fragmentation: 0}\n" +
       "racks: []\ncells: []\nteams: []\nservices: []\nspare: 1\n";
     const parsed = await Effect.runPromise(
--- a/packages/box/src/gangs_test.ts
+++ b/packages/box/src/gangs_test.ts
@@ -25,7 +25,7 @@
 }
 
 describe("a gang", () => {
-  test("whose hold is refused by one worker runs nowhere until it fits", async () => {
+  test("whose holds are lost at a worker still starts as a whole", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     let refused = 0;
@@ -44,7 +44,7 @@
     expect(starts).toHaveLength(4);
   });
 
-  test("whose start is lost for one member is started again there", async () => {
+  test("whose start orders are lost is started in full by retries", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     let lost = 0;
@@ -58,7 +58,7 @@
     expect(cluster.summary().partial).toEqual([]);
   });
 
-  test("that loses a worker stops as a whole and runs again", async () => {
+  test("that loses a worker is stopped in full and runs again", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     const jobId = await submitGang(cluster, 5000);
@@ -68,11 +68,11 @@
     expect(ended.state).toBe(Types.JobState.Done);
     expect(cluster.summary().partial).toEqual([]);
     const stopped = cluster.ledger.entries.filter((e) => e.event === "stopped");
-    // The two members on the other worker did not go on alone.
+    // The two members on the other worker did not continue alone.
     expect(stopped.filter((e) => e.worker === "w1")).toHaveLength(2);
   });
 
-  test("that yields goes on from its checkpoint", async () => {
+  test("that is preempted resumes from its checkpoint", async () => {
     const teams = [
       TestUtils.buildTeam("a"),
       TestUtils.buildTeam("b", { guarantee: [[16, 1]] }),
@@ -93,13 +93,13 @@
     );
     const startMs = cluster.clock.wallMs();
     expect((await awaitEnd(cluster, jobId)).state).toBe(Types.JobState.Done);
-    // Half of its 20 s were done before it yielded.
+    // Half of its 20 s of work were done before the preemption.
     expect(cluster.clock.wallMs() - startMs).toBeLessThan(15_000);
   });
 });
 
 describe("a worker that is leaving", () => {
-  test("gets no new work after 3 s, also while the store is down", async () => {
+  test("gets no new work after 3 s, even while the store is down", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     cluster.live.mark("w0", true);
--- a/packages/box/src/live_workers.ts
+++ b/packages/box/src/live_workers.ts
@@ -1,21 +1,21 @@
 /**
- * Which workers are leaving: the platform's list, which lags, joined with
- * what peers tell. Leaving beats live.
+ * Leaving workers: the union of the platform's list, which lags behind, and
+ * the names reported by peers. A worker that either reports counts as leaving.
  */
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
 
-/** What peers told counts at least this long, and until the next reading. */
+/** Names reported by peers are kept for at least this long, until the next read. */
 const RETENTION_MS = 10_000;
-/** Names are told to peers for this long after they were first read. */
+/** Names are relayed to peers for this long after they were first read. */
 const RELAY_MS = 5000;
 
-/** Keeps the names of leaving workers. */
+/** Tracks the names of leaving workers. */
 export class LiveWorkers {
   readonly #list: Ports.LiveList;
   readonly #clock: Ports.Clock;
   #tag: string | null = null;
-  /** Leaving workers of the list, and since when this box knows. */
+  /** Leaving workers of the list, with the time of the first read, in ms. */
   #listed: ReadonlyMap<string, number> = new Map();
   readonly #notedAtMs = new Map<string, number>();
 
@@ -24,7 +24,7 @@
     this.#clock = clock;
   }
 
-  /** Reads the platform's list for ever. */
+  /** Polls the platform's list until interrupted. */
   keepReading(intervalMs: number): Effect.Effect<never> {
     const read = Effect.suspend(() => this.#list.workers(this.#tag)).pipe(
       Effect.map((found) => {
@@ -34,13 +34,13 @@
         const leaving = found.workers.filter((entry) => entry.leaving);
         this.#update(leaving.map((entry) => entry.name));
       }),
-      // In an outage the last list stays in force.
+      // During an outage the last list remains valid.
       Effect.catch(() => Effect.void),
     );
     return this.#clock.every(intervalMs, read);
   }
 
-  /** Notes names that a peer read from the list. */
+  /** Records names that a peer read from the list. */
   noteLeaving(workers: readonly string[]): void {
     const nowMs = this.#clock.monotonicMs();
     for (const worker of workers) this.#notedAtMs.set(worker, nowMs);
@@ -52,7 +52,7 @@
     return this.#notedAtMs.has(worker);
   }
 
-  /** Names that this box has read from the list a moment ago. */
+  /** Names that this box has recently read for the first time. */
   namesToRelay(): string[] {
     const nowMs = this.#clock.monotonicMs();
     return [...this.#listed]
@@ -68,7 +68,7 @@
     );
   }
 
-  /** The list was read, so what peers told earlier is no longer needed. */
+  /** Drops old names from peers: this box has now read the list itself. */
   #dropStale(): void {
     const nowMs = this.#clock.monotonicMs();
     for (const [name, notedAtMs] of this.#notedAtMs) {
--- a/packages/box/src/membership.ts
+++ b/packages/box/src/membership.ts
@@ -1,4 +1,4 @@
-/** What this box knows of its peers, from heartbeats on the links. */
+/** Peer states and cell claims, from the heartbeats of the peers. */
 import * as Cell from "@cairngate/cell";
 import type * as Config from "@cairngate/config";
 import type * as Ports from "@cairngate/ports";
@@ -8,7 +8,7 @@
 import * as Fiber from "effect/Fiber";
 import type * as live from "./live_workers.ts";
 
-/** What the membership needs. */
+/** Settings and services of the membership. */
 export interface MembershipOptions {
   readonly box: string;
   readonly clock: Ports.Clock;
@@ -18,23 +18,23 @@
   readonly configVersion: () => number;
 }
 
-/** State of a peer, as last heard. */
+/** The last heartbeat of a peer and the time of its arrival. */
 interface PeerState {
   beatAtMs: number;
   beat: Types.Heartbeat;
 }
 
 /**
- * A box that owns nothing beats this many times less often: its death delays
- * nobody. Whatever is news is told at once.
+ * A box that owns no cell sends heartbeats less often by this factor, as its
+ * failure needs no takeover. Changes are announced at once.
  */
 const IDLE_BEAT_FACTOR = 4;
-/** Claims of others are passed on for this long. */
+/** New claims of other boxes are passed on for this long. */
 const CLAIM_RELAY_MS = 5000;
-/** A beat that is late by this factor counts as missed on a closed link. */
+/** On a closed link, a peer is lost after this many heartbeat intervals. */
 const LATE_BEAT_FACTOR = 1.5;
 
-/** Sends heartbeats and keeps what peers tell. */
+/** Sends heartbeats and keeps the state that peers report in theirs. */
 export class Membership extends Cell.ClusterView {
   readonly #options: MembershipOptions;
   readonly #peers = new Map<string, PeerState>();
@@ -50,7 +50,7 @@
     this.#options = options;
   }
 
-  /** Starts one fiber for each peer. */
+  /** Starts the heartbeats, in one fiber for each peer. */
   start(): void {
     for (const peer of this.#options.network.peers()) {
       this.#fibers.push(Effect.runFork(this.#keepBeating(peer)));
@@ -58,23 +58,23 @@
     this.#fibers.push(Effect.runFork(this.#keepAnnouncing()));
   }
 
-  /** Ends the heartbeats. */
+  /** Stops the heartbeats. */
   stop(): Effect.Effect<void> {
     return Fiber.interruptAll(this.#fibers);
   }
 
-  /** Sets the state that peers are told. */
+  /** Sets the state of this box and announces it to the peers. */
   setState(state: Types.BoxState): void {
     this.#state = state;
     this.announce();
   }
 
-  /** State that peers are told. */
+  /** State of this box, as sent in its heartbeats. */
   get state(): Types.BoxState {
     return this.#state;
   }
 
-  /** Takes in a heartbeat. */
+  /** Records a received heartbeat. */
   noteBeat(beat: Types.Heartbeat): void {
     const beatAtMs = this.#options.clock.monotonicMs();
     this.#peers.set(beat.box, { beatAtMs, beat });
@@ -117,7 +117,7 @@
     if (waits !== undefined) Deferred.doneUnsafe(waits, Effect.void);
   }
 
-  /** Waits until a newer claim on a cell is seen. */
+  /** Waits until a claim with a higher epoch is recorded for a cell. */
   awaitNewerClaim(cell: string): Effect.Effect<void> {
     return Effect.suspend(() => {
       const waits = this.#claimWaits.get(cell) ?? Deferred.makeUnsafe<void>();
@@ -158,7 +158,7 @@
     }
   }
 
-  /** All peers, for `cairngate dump`. */
+  /** Returns all claims and peers for `cairngate dump`. */
   dump() {
     const nowMs = this.#options.clock.monotonicMs();
     return {
@@ -202,7 +202,10 @@
     return clock.every(times.heartbeatMs, beat);
   }
 
-  /** Tells at once when an owner is heard no more, or a worker leaves. */
+  /**
+   * Sends heartbeats early when the set of live owners or of leaving workers
+   * changes. The check runs twice per heartbeat interval.
+   */
   #keepAnnouncing(): Effect.Effect<never> {
     const { clock, times, liveWorkers } = this.#options;
     let announced = "";
@@ -235,7 +238,7 @@
 
   #makeBeat(): Types.Heartbeat {
     const { box, liveWorkers, configVersion } = this.#options;
-    // Others hear of a claim from its holder; a new one is passed on at once.
+    // Holders send their own claims; claims of others are relayed while new.
     const owners = [...this.#claims.values()].filter((claim) =>
       claim.holder === box || this.#isNewClaim(claim)
     );
--- a/packages/box/src/owner_router.ts
+++ b/packages/box/src/owner_router.ts
@@ -1,4 +1,4 @@
-/** Sends a request to the owner of a cell, here or on a peer. */
+/** Routes requests to the owner of a cell, on this box or a peer. */
 import * as Entry from "@cairngate/entry";
 import * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
@@ -6,7 +6,7 @@
 import * as Effect from "effect/Effect";
 import type * as memberships from "./membership.ts";
 
-/** Adapter of the owner directory to membership and peer links. */
+/** Owner directory based on the membership and the peer network. */
 export class OwnerRouter extends Entry.OwnerDirectory {
   readonly #box: string;
   readonly #network: Ports.PeerNetwork;
@@ -41,7 +41,8 @@
       ? this.#local(this.#box, req)
       : this.#network.request(claim.holder, req, timeoutMs);
     const { epoch } = claim;
-    // A paused owner answers nothing; its heir is asked as soon as it is seen.
+    // A paused owner does not answer: a claim of a new owner ends the wait, so
+    // that the caller can retry there.
     const newer = Effect.flatMap(
       this.#membership.awaitNewerClaim(cell),
       () => Effect.fail(new Errors.NotOwnerError({ cell, epoch })),
--- a/packages/box/src/peer_requests.ts
+++ b/packages/box/src/peer_requests.ts
@@ -1,4 +1,4 @@
-/** Answers the requests of other boxes. */
+/** Handles the requests of other boxes. */
 import type * as Cell from "@cairngate/cell";
 import * as Errors from "@cairngate/errors";
 import * as Types from "@cairngate/types";
@@ -6,7 +6,7 @@
 import type * as configs from "./config_keeper.ts";
 import type * as memberships from "./membership.ts";
 
-/** What answers are made from. */
+/** Components that serve the requests. */
 export interface PeerRequestParts {
   readonly membership: memberships.Membership;
   readonly configs: configs.ConfigKeeper;
@@ -15,7 +15,7 @@
 
 type Failure = Errors.NotOwnerError | Errors.NotReadyError;
 
-/** Answers one request. */
+/** Handles one request; fails if this box does not own the cell. */
 export function answerPeer(
   parts: PeerRequestParts,
   req: Types.PeerRequest,
--- a/packages/box/src/random_faults_test.ts
+++ b/packages/box/src/random_faults_test.ts
@@ -7,13 +7,13 @@
 const { describe, expect, test } = vitest;
 const { Loss, SeededRandom, TestCluster } = TestUtils;
 
-/** Raised by hand for a long run; CI takes the default. */
+/** Number of seeds; the default is that of CI. */
 const RUNS = Number(process.env["CAIRNGATE_FAULT_RUNS"] ?? 25);
 const STEPS_PER_RUN = 25;
 const RECOVERY_MS = 20_000;
 const BOXES = ["box_1", "box_2", "box_3"];
 
-/** What one caller was told. */
+/** The answer to one caller. */
 interface CallerOutcome {
   readonly request: string;
   readonly jobId: string | null;
@@ -21,7 +21,7 @@
   readonly result: unknown;
 }
 
-/** Callers and faults, all drawn from one seed. */
+/** Submits random work under random faults, all drawn from one seed. */
 class RandomFaultRun {
   readonly cluster: TestUtils.TestCluster;
   readonly random: TestUtils.SeededRandom;
@@ -78,7 +78,7 @@
     expect(cluster.summary().doubled).toEqual([]);
   }
 
-  /** Each box loses its own share of orders and answers. */
+  /** Makes each box lose a share of its orders to workers and their answers. */
   #drawLosses(): void {
     for (const name of BOXES) this.#setLosses(name);
   }
@@ -116,7 +116,7 @@
       },
       onFailure: () => {},
     });
-    // A box that is killed never answers its callers.
+    // Callers of a killed box get no answer, so the wait ends with the box.
     const boxInstance = this.cluster.box(box);
     const boxDied = Effect.gen({ self: this }, function* () {
       while (this.cluster.boxes.get(box) === boxInstance) {
@@ -195,10 +195,10 @@
   }
 }
 
-describe("faults of all kinds together", () => {
+describe("random faults of all kinds", () => {
   const first = Number(process.env["CAIRNGATE_FAULT_SEED"] ?? 1);
   const seeds = Array.from({ length: RUNS }, (_, i) => first + i);
-  test.each(seeds)("keep every promise, seed %i", async (seed) => {
+  test.each(seeds)("keep all invariants, seed %i", async (seed) => {
     const run = new RandomFaultRun(seed);
     await run.run();
     await run.check();
--- a/packages/box/src/store_outage_test.ts
+++ b/packages/box/src/store_outage_test.ts
@@ -6,7 +6,7 @@
 const { TestCluster } = TestUtils;
 
 describe("while the store is down", () => {
-  test("repeatable urgent work is answered", async () => {
+  test("repeatable urgent work is carried out", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     cluster.faults.set({ down: true });
@@ -21,7 +21,7 @@
     expect(owner.dump().cells[0].holdover).toBe(true);
   });
 
-  test("unrepeatable work is refused as not run, and does not run", async () => {
+  test("unrepeatable work is rejected as not run and does not run", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     cluster.faults.set({ down: true });
@@ -46,7 +46,7 @@
     });
   });
 
-  test("a job that ends is recorded once the store is back", async () => {
+  test("the end of a job is recorded once the store is back", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     const accepted = await cluster.run(
@@ -66,7 +66,7 @@
     expect(starts).toHaveLength(1);
   });
 
-  test("nobody takes a cell over; the heir takes it afterwards", async () => {
+  test("no box takes over a cell; a new owner takes it afterwards", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     const accepted = await cluster.run(
@@ -88,8 +88,8 @@
   });
 });
 
-describe("lost answers of the store", () => {
-  test("neither lose nor double a long job", async () => {
+describe("lost store answers", () => {
+  test("neither lose nor duplicate a long job", async () => {
     const cluster = new TestCluster({ seed: 5 });
     await cluster.start();
     cluster.faults.set({ loseAnswers: 0.5 });
--- a/packages/box/src/takeover_test.ts
+++ b/packages/box/src/takeover_test.ts
@@ -5,10 +5,10 @@
 const { describe, expect, test } = vitest;
 const { Loss, TestCluster } = TestUtils;
 
-/** Urgent work has to start within this time after an owner's death. */
+/** Urgent work has to start within this time after an owner's failure. */
 const MAX_URGENT_START_MS = 2300;
 
-describe("an owner's sudden death", () => {
+describe("the sudden failure of an owner", () => {
   test("delays urgent work by at most 2.3 s", async () => {
     const cluster = new TestCluster();
     await cluster.start();
@@ -27,7 +27,7 @@
     expect(start.atMs - startMs).toBeLessThanOrEqual(MAX_URGENT_START_MS);
   });
 
-  test("cuts nothing that runs, and the heir ends it", async () => {
+  test("does not interrupt running work, which is answered afterwards", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     const owner = cluster.owner()!;
@@ -46,7 +46,7 @@
     expect(cluster.summary().startedJobs).toBe(1);
   });
 
-  test("between the holds and the start of a gang starts it whole", async () => {
+  test("between hold and start of a gang still starts all members", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     const owner = cluster.owner()!;
@@ -73,8 +73,8 @@
   });
 });
 
-describe("an owner that was paused", () => {
-  test("is refused by the workers when it wakes, and steps down", async () => {
+describe("a paused owner", () => {
+  test("gives the cell up when it resumes after a takeover", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     const owner = cluster.owner()!;
@@ -110,13 +110,13 @@
   });
 });
 
-describe("an owner that only some boxes hear", () => {
+describe("an owner that some boxes can't reach", () => {
   test("keeps its cell", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     const owner = cluster.owner()!;
     const other = [...cluster.boxes.keys()].find((name) => name !== owner)!;
-    // The boxes tell each other whom they hear within a beat.
+    // Within a heartbeat, the boxes exchange which owners are alive to them.
     await cluster.clock.advance(500);
     cluster.hub.cut(other);
     await cluster.clock.advance(3000);
@@ -128,7 +128,7 @@
 });
 
 describe("a planned stop", () => {
-  test("hands the cell over and cuts no request in flight", async () => {
+  test("hands over the cell and interrupts no request in flight", async () => {
     const cluster = new TestCluster();
     await cluster.start();
     const owner = cluster.owner()!;
--- a/packages/cell/mod.ts
+++ b/packages/cell/mod.ts
@@ -1,4 +1,4 @@
-/** Ownership of a cell, takeover, and carrying out the scheduler's plans. */
+/** Cell ownership, takeover, and execution of the scheduler's decisions. */
 export { CellManager } from "./src/cell_manager.ts";
 export { CellOwner } from "./src/cell_owner.ts";
 export {
--- a/packages/cell/src/cell_manager.ts
+++ b/packages/cell/src/cell_manager.ts
@@ -1,4 +1,4 @@
-/** Decides when this box takes a cell, and owns it until it is lost. */
+/** Takes over a cell without a live owner and owns it until it is lost. */
 import * as TableClient from "@cairngate/table-client";
 import * as Effect from "effect/Effect";
 import * as crypto from "node:crypto";
@@ -7,11 +7,11 @@
 import type * as ports from "./ports.ts";
 
 const POLL_INTERVAL_MS = 250;
-/** Each heir waits this much longer than the one before it. */
+/** Each takeover candidate waits this much longer than the one ranked before it. */
 const CANDIDATE_DELAY_MS = 250;
 const RETRY_MS = 200;
 
-/** Watches one cell and owns it while no other box does. */
+/** Monitors one cell and takes it over when it has no live owner. */
 export class CellManager {
   readonly cell: string;
   readonly #ports: ports.CellPorts;
@@ -26,12 +26,12 @@
     this.#leaseChangedAtMs = cellPorts.clock.monotonicMs();
   }
 
-  /** The owner, where this box owns the cell now. */
+  /** The owner object while this box owns the cell, else null. */
   get owner(): owners.CellOwner | null {
     return this.#owner;
   }
 
-  /** Watches the cell for ever. */
+  /** Monitors the cell until interrupted. */
   run(): Effect.Effect<never> {
     return Effect.gen({ self: this }, function* () {
       for (;;) {
@@ -46,7 +46,7 @@
     });
   }
 
-  /** Hands the cell over and takes it no more. */
+  /** Hands the cell over and never takes it again. */
   leave(): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       this.#isLeaving = true;
@@ -62,7 +62,7 @@
       );
       if (acquired._tag === "Failure") {
         log.debug(
-          `Cell ${this.cell} was not taken: ${acquired.failure.message}`,
+          `Cell ${this.cell} was not acquired: ${acquired.failure.message}`,
         );
         return yield* this.#ports.clock.sleep(RETRY_MS);
       }
@@ -80,7 +80,7 @@
     });
   }
 
-  /** Later heirs wait longer, so that not all try at once. */
+  /** Waits by rank, so that candidates don't write all at once, and checks again. */
   #isVacantAfterDelay(): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
       const rank = this.#rank();
@@ -90,7 +90,10 @@
     });
   }
 
-  /** Whether the owner row names nobody, or a box that nobody hears. */
+  /**
+   * Whether the cell has no owner, or one without recent heartbeats at any
+   * live box. An unreadable owner row counts as occupied.
+   */
   #isVacant(): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
       const { view, box } = this.#ports;
@@ -103,14 +106,18 @@
       if (row === null || row.holder === "") return true;
       const { epoch, holder } = row;
       view.noteClaim({ cell: this.cell, epoch, holder });
-      // A holder of this name that is not this process has died.
+      // The holder is an earlier process of this box: this process owns nothing now.
       if (holder === box) return true;
       if (view.isAliveAnywhere(holder)) return false;
       return view.livePeers().length > 0 || this.#isLeaseExpired();
     });
   }
 
-  /** Alone, this box trusts only the lease, which the holder keeps renewing. */
+  /**
+   * Whether the lease row has not changed for the duration of a lease. Without
+   * live peers, missing heartbeats may be this box's own network fault; a live
+   * owner would still renew its lease in the store.
+   */
   #isLeaseExpired(): boolean {
     const { clock, times } = this.#ports;
     return clock.monotonicMs() - this.#leaseChangedAtMs > times.ownerLeaseMs;
@@ -135,7 +142,7 @@
     });
   }
 
-  /** Place of this box among the heirs, by rendezvous hash. */
+  /** Rank of this box among the takeover candidates, by rendezvous hashing. */
   #rank(): number {
     const { box, view } = this.#ports;
     const own = rendezvousWeight(this.cell, box);
--- a/packages/cell/src/cell_owner.ts
+++ b/packages/cell/src/cell_owner.ts
@@ -1,4 +1,4 @@
-/** The owner of a cell: takes requests of the boxes and runs the planner. */
+/** The owner of a cell: serves requests of the boxes and runs the planner. */
 import * as Errors from "@cairngate/errors";
 import * as Types from "@cairngate/types";
 import * as Cause from "effect/Cause";
@@ -21,12 +21,12 @@
 const RECONSIDER_EVERY_TICKS = 5;
 const SCAN_EVERY_TICKS = 5;
 
-/** Owns one cell under one epoch. */
+/** Schedules one cell under one epoch. */
 export class CellOwner {
   readonly #state: states.CellState;
   readonly #runner: runners.JobRunner;
   readonly #recovery: recoveries.Recovery;
-  /** Places for short jobs, asked for by the boxes that hold the callers. */
+  /** Placement of short jobs at the request of the boxes of their callers. */
   readonly grants: grants.Grants;
   #isScanWanted = false;
   #isScanning = false;
@@ -38,7 +38,7 @@
     this.grants = new grants.Grants(state, this.#runner);
   }
 
-  /** Creates the owner for a lease that was just taken. */
+  /** Creates the owner for a newly acquired lease. */
   static create(
     cellPorts: ports.CellPorts,
     lease: leases.OwnerLease,
@@ -50,18 +50,18 @@
     });
   }
 
-  /** Epoch under which the cell is owned. */
+  /** The epoch of this ownership. */
   get epoch(): number {
     return this.#state.lease.epoch;
   }
 
-  /** Runs until the ownership is lost; returns why. Nothing running is cut. */
+  /** Runs until the ownership is lost and returns why. Running tasks continue. */
   run(): Effect.Effect<string> {
     return Effect.gen({ self: this }, function* () {
       const { lease, links, scheduler } = this.#state;
       this.#state.fork(lease.keepRenewing());
-      // The rows come first: a running gang that is not known yet would be
-      // taken for a stray and stopped when its worker is sealed.
+      // The rows are read before the workers are fenced: a running gang
+      // without its row would be stopped as an unexpected task.
       yield* Effect.raceFirst(this.#loadStored(), lease.awaitLoss());
       for (const worker of scheduler.layout.workers) {
         if (worker !== undefined) this.#follow(worker);
@@ -71,16 +71,16 @@
       this.#state.fork(this.#keepPlanning());
       this.#state.fork(sweeping.keepSweeping(this.#state.ports, lease));
       this.#state.ports.log.info(
-        `Cell ${lease.cell} is owned, epoch ${lease.epoch}, ` +
-          `${links.size} workers.`,
+        `Owning cell ${lease.cell} under epoch ${lease.epoch}, ` +
+          `with ${links.size} workers.`,
       );
       return yield* lease.awaitLoss();
     }).pipe(Effect.ensuring(this.#shutDown()));
   }
 
   /**
-   * A stored job exists. The message may be old and the job long ended, so
-   * it only makes this owner look at the rows at once.
+   * Called when a job was stored: scans the rows at once. The job isn't added
+   * from the message, which may arrive after the job has ended.
    */
   enqueue(): Effect.Effect<void> {
     return Effect.sync(() => {
@@ -90,7 +90,7 @@
     });
   }
 
-  /** Record of a stored job, waiting for its end if asked. */
+  /** Returns the record of a stored job; waits up to `req.waitMs` for its end. */
   jobStatus(req: Types.JobStatus): Effect.Effect<
     Types.JobRecord | null,
     Errors.StoreUnavailableError
@@ -106,7 +106,7 @@
     });
   }
 
-  /** Cancels a stored job; null where there is none. */
+  /** Cancels a stored job and returns its record; null if there is none. */
   cancel(jobId: string): Effect.Effect<
     Types.JobRecord | null,
     Errors.StoreUnavailableError
@@ -129,28 +129,28 @@
     });
   }
 
-  /** Explains a job; null where it is not here. */
+  /** Explains the state of a job; null if the scheduler does not have it. */
   explain(jobId: string): Types.Explanation | null {
     const nowMs = this.#state.ports.clock.wallMs();
     return this.#state.scheduler.explain(jobId, nowMs);
   }
 
-  /** State of the cell for operators. */
+  /** Returns the state of the cell for operators. */
   status(): Types.CellStatus {
     return views.describeStatus(this.#state);
   }
 
-  /** Everything, for `cairngate dump`. */
+  /** Returns the workers and jobs of the cell for `cairngate dump`. */
   dump(): views.CellDump {
     return views.describeDump(this.#state);
   }
 
-  /** Gives the cell back; tasks on the workers go on. */
+  /** Releases the cell; tasks on the workers continue. */
   handOver(): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       yield* this.#state.lease.release();
       const { epoch } = this.#state.lease;
-      this.#state.lease.noteEpoch(epoch + 1, "the planned stop of this box");
+      this.#state.lease.noteEpoch(epoch + 1, "planned stop of this box");
     });
   }
 
@@ -187,11 +187,11 @@
     for (const decision of decisions) this.#runner.execute(decision);
   }
 
-  /** A defect in one round must not end the planning for good. */
+  /** Logs and counts a defect of one planning round; the next round still runs. */
   #noteDefect(cause: Cause.Cause<never>): void {
     const { log, metrics } = this.#state.ports;
     metrics.count("cairngate_planner_defects_total");
-    log.error(`A round of planning failed: ${Cause.pretty(cause)}`);
+    log.error(`Planning round failed: ${Cause.pretty(cause)}`);
   }
 
   #keepTicking(): Effect.Effect<never> {
@@ -210,7 +210,7 @@
     });
   }
 
-  /** Reads all stored jobs, however long the store is away. */
+  /** Reads all stored jobs, with retries until the store is reachable. */
   #loadStored(): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       while (!(yield* this.#scan())) {
@@ -231,7 +231,7 @@
     });
   }
 
-  /** Picks up stored jobs that are new; false where the store is away. */
+  /** Adds new stored jobs; returns false if the store is unreachable. */
   #scan(): Effect.Effect<boolean> {
     return this.#state.records.loadChanged().pipe(
       Effect.map((found) => {
--- a/packages/cell/src/cell_state.ts
+++ b/packages/cell/src/cell_state.ts
@@ -1,4 +1,4 @@
-/** What the parts of a cell's owner share. */
+/** State shared by the components of a cell's owner. */
 import * as Scheduler from "@cairngate/scheduler";
 import type * as Types from "@cairngate/types";
 import * as Effect from "effect/Effect";
@@ -11,17 +11,20 @@
 import * as taskOrders from "./task_orders.ts";
 import type * as workerLinks from "./worker_link.ts";
 
-/** State of a cell under one epoch. */
+/** State of a cell during one ownership, that is, under one epoch. */
 export class CellState {
   readonly ports: ports.CellPorts;
   readonly lease: leases.OwnerLease;
   readonly records: records.JobRecords;
   readonly orders: taskOrders.TaskOrders;
   readonly jobs = new Map<string, owned.OwnedJob>();
-  /** Stored jobs ended under this epoch; a scan may still show them open. */
+  /**
+   * Ids of stored jobs that ended under this epoch. A scan that was started
+   * earlier may still return them as open.
+   */
   readonly endedIds = new Set<string>();
   readonly links = new Map<string, workerLinks.WorkerLink>();
-  /** Wakes the planner; one element is enough. */
+  /** Wakes the planner; the queue keeps one element at most. */
   readonly wakeups: Queue.Queue<void>;
   readonly #fibers = new Set<Fiber.Fiber<unknown>>();
   scheduler: Scheduler.Scheduler;
@@ -49,18 +52,18 @@
     );
   }
 
-  /** An attempt id that no other owner or attempt has. */
+  /** Returns an attempt id that is unique across owners: epoch and counter. */
   nextAttemptId(): string {
     this.#attempts++;
     return `${this.lease.epoch}-${this.#attempts}`;
   }
 
-  /** Index of a worker in the scheduler; -1 where it has none. */
+  /** Index of a worker in the scheduler's layout; -1 if it is not listed. */
   indexOf(worker: string): number {
     return Scheduler.findWorkerIndex(this.scheduler.layout, worker);
   }
 
-  /** Names of the workers of some slots, and their boot ids. */
+  /** Returns the names and current boot ids of the workers of the given slots. */
   placesOf(
     slots: readonly Types.Slot[],
   ): Pick<owned.Attempt, "workers" | "bootIds"> {
@@ -70,25 +73,25 @@
     return { workers, bootIds };
   }
 
-  /** Has the planner run soon. */
+  /** Requests a planning round. */
   wake(): void {
     Queue.offerUnsafe(this.wakeups, undefined);
   }
 
-  /** Runs work in a fiber that ends with the ownership at the latest. */
+  /** Runs work in a fiber that is interrupted when the ownership ends. */
   fork(work: Effect.Effect<unknown>): void {
     const fiber = Effect.runFork(work);
     this.#fibers.add(fiber);
     fiber.addObserver(() => this.#fibers.delete(fiber));
   }
 
-  /** Ends all work of this ownership. */
+  /** Interrupts all fibers of this ownership. */
   interruptAll(): Effect.Effect<void> {
     return Fiber.interruptAll([...this.#fibers]);
   }
 }
 
-/** A scheduler for a cell under a configuration. */
+/** Creates an empty scheduler for a cell under a configuration. */
 export function createScheduler(
   config: ports.ConfigInForce,
   cell: string,
--- a/packages/cell/src/grants.ts
+++ b/packages/cell/src/grants.ts
@@ -1,4 +1,4 @@
-/** Places for short jobs, asked for by the boxes that hold the callers. */
+/** Placement of short jobs at the request of the boxes of their callers. */
 import * as Errors from "@cairngate/errors";
 import * as Types from "@cairngate/types";
 import * as Deferred from "effect/Deferred";
@@ -7,9 +7,10 @@
 import type * as runners from "./job_runner.ts";
 
 const MAX_RETRY_AFTER_S = 30;
+/** Each such number of jobs in the cell adds a second to the retry time. */
 const JOBS_PER_RETRY_SECOND = 50;
 
-/** Grants places and takes them back. */
+/** Grants places to short jobs and releases them. */
 export class Grants {
   readonly #state: states.CellState;
   readonly #runner: runners.JobRunner;
@@ -19,7 +20,10 @@
     this.#runner = runner;
   }
 
-  /** Finds a place for a short job; answers when it is decided. */
+  /**
+   * Places a short job. Returns a grant, or a refusal if the team has too many
+   * waiting jobs or no place becomes free within `req.waitMs`.
+   */
   place(
     req: Types.Place,
   ): Effect.Effect<Types.Grant, Errors.NotOwnerError> {
@@ -48,11 +52,11 @@
     });
   }
 
-  /** A job that waits will not be dispatched any more. */
+  /** Removes a waiting short job. */
   withdraw(jobId: string): Effect.Effect<void> {
     return Effect.sync(() => {
       const job = this.#state.jobs.get(jobId);
-      // A granted attempt is watched, and taken back if it is not dispatched.
+      // The job runner revokes a granted attempt that is not dispatched in time.
       if (job?.kind !== "short" || job.attempt !== null) return;
       this.#state.scheduler.cancel(jobId);
       this.#state.jobs.delete(jobId);
@@ -60,7 +64,10 @@
     });
   }
 
-  /** A granted attempt has ended, or its end is not known. */
+  /**
+   * Releases the place of a granted attempt. If its end is uncertain, the
+   * attempt is stopped first, and the reply says whether it had run.
+   */
   release(req: Types.Released): Effect.Effect<Types.ReleasedReply> {
     return Effect.gen({ self: this }, function* () {
       const job = this.#state.jobs.get(req.jobId);
@@ -86,7 +93,10 @@
     });
   }
 
-  /** The cell is lost: every waiting box asks the next owner. */
+  /**
+   * Fails all pending requests with `NotOwnerError` after the ownership was
+   * lost; the boxes then ask the next owner.
+   */
   refuseAll(): void {
     const { cell, epoch } = this.#state.lease;
     for (const job of this.#state.jobs.values()) {
@@ -98,7 +108,7 @@
     }
   }
 
-  /** A box that asks again has given its earlier attempt up. */
+  /** Stops an earlier attempt, which its box abandoned by asking again. */
   #stopEarlier(jobId: string): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       const job = this.#state.jobs.get(jobId);
--- a/packages/cell/src/job_records.ts
+++ b/packages/cell/src/job_records.ts
@@ -1,4 +1,7 @@
-/** Rows of stored jobs. Every write requires that the owner's epoch holds. */
+/**
+ * Rows of stored jobs. Every write has the revision of the owner row as a
+ * condition, so a superseded owner can't overwrite a record.
+ */
 import type * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
 import * as TableClient from "@cairngate/table-client";
@@ -7,7 +10,7 @@
 import type * as leases from "./owner_lease.ts";
 import type * as ports from "./ports.ts";
 
-/** Results up to this size stay in the row; larger ones become objects. */
+/** Larger results, measured as JSON text, go to the object store. */
 const MAX_ROW_RESULT_BYTES = 16_000;
 const RETRY_DELAY_MS = 500;
 
@@ -22,7 +25,7 @@
     this.#lease = lease;
   }
 
-  /** Records that changed since the last call. */
+  /** Loads the records that changed since the last call. */
   loadChanged(): Effect.Effect<
     readonly Types.JobRecord[],
     Errors.StoreUnavailableError
@@ -37,7 +40,7 @@
     });
   }
 
-  /** The record of one job; null where there is none. */
+  /** Loads the record of one job; null if there is none. */
   load(
     jobId: string,
   ): Effect.Effect<Types.JobRecord | null, Errors.StoreUnavailableError> {
@@ -52,7 +55,7 @@
     );
   }
 
-  /** Writes a record once. */
+  /** Writes a record, without retries. */
   save(
     record: Types.JobRecord,
   ): Effect.Effect<
@@ -64,7 +67,8 @@
     const value = { ...record, updatedAtMs: this.#ports.clock.wallMs() };
     const writes: Ports.RowWrite[] = [{ key, value }];
     if (Types.isFinalState(record.state)) {
-      // Ended jobs move away, so that an heir reads only what is left to do.
+      // Ended jobs move to keys of their own, so that the next owner scans only
+      // unfinished jobs.
       const endedKey = TableClient.Keys.endedKey(cell, record.job.id);
       writes[0] = { key, value: null };
       writes.push({ key: endedKey, value });
@@ -74,8 +78,8 @@
   }
 
   /**
-   * Writes the end of a job, and tries again until it is written or the cell
-   * is lost. False where the cell was lost: the next owner ends the job.
+   * Writes the end of a job and retries until it is written or the ownership
+   * is lost. Returns false if it was lost: the next owner then ends the job.
    */
   saveEnd(record: Types.JobRecord): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
@@ -94,7 +98,7 @@
     });
   }
 
-  /** Moves a large result into the object store. */
+  /** Moves a large result to the object store and replaces it by its key. */
   #offloadResult(record: Types.JobRecord) {
     return Effect.gen({ self: this }, function* () {
       const size = JSON.stringify(record.result ?? null).length;
--- a/packages/cell/src/job_runner.ts
+++ b/packages/cell/src/job_runner.ts
@@ -1,17 +1,17 @@
-/** Carries out what the scheduler decides, and ends jobs. */
+/** Executes the scheduler's decisions and ends jobs. */
 import * as Types from "@cairngate/types";
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
 import type * as states from "./cell_state.ts";
 import * as owned from "./owned_job.ts";
 
-/** A grant that no worker has reported within this time is taken back. */
+/** A grant that no worker has reported within this time is revoked. */
 const GRANT_TIMEOUT_MS = 4000;
-/** Longest wait for the victims' checkpoints. */
+// The retries also give preempted tasks time to write their checkpoints.
 const STOP_RETRY_DELAY_MS = 500;
 const MAX_STOP_RETRIES = 6;
 
-/** Carries out decisions of one cell. */
+/** Executes the decisions of one cell's scheduler. */
 export class JobRunner {
   readonly #state: states.CellState;
 
@@ -19,7 +19,7 @@
     this.#state = state;
   }
 
-  /** Starts carrying out a decision. */
+  /** Starts the execution of a decision. */
   execute(decision: Types.Decision): void {
     const job = this.#state.jobs.get(decision.jobId);
     if (job === undefined) return;
@@ -33,7 +33,7 @@
     }
   }
 
-  /** A member has finished; ends the job when it is the last. */
+  /** Records a finished member; ends the job once all members have finished. */
   noteFinished(job: owned.OwnedJob, rank: number, result: unknown): void {
     const { attempt } = job;
     if (attempt === null) return;
@@ -43,7 +43,10 @@
     else this.#complete(job, attempt);
   }
 
-  /** A member was lost: the whole job stops, and waits again if it may. */
+  /**
+   * Stops the whole job after the loss of a member. A short job is released; a
+   * stored one waits again if it is repeatable or no member has run.
+   */
   handleMemberLoss(job: owned.OwnedJob, why: string): void {
     const { attempt } = job;
     if (attempt === null || attempt.isStopping) return;
@@ -53,7 +56,7 @@
     this.#state.fork(this.#stopIncomplete(job, attempt, why));
   }
 
-  /** Takes a short job off the books. */
+  /** Removes a short job and frees its place. */
   releaseShort(job: owned.ShortJob): void {
     const { id } = job.shape;
     this.#state.scheduler.finish(id);
@@ -61,7 +64,10 @@
     this.#state.wake();
   }
 
-  /** Writes the end of a stored job and tells everybody who waits for it. */
+  /**
+   * Writes the end of a stored job and completes the requests that wait for
+   * it. Returns false if the ownership was lost before the write.
+   */
   end(job: owned.StoredJob, record: Types.JobRecord): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
       job.isEnding = true;
@@ -105,7 +111,7 @@
     this.#state.fork(this.#revokeUnused(job, attempt));
   }
 
-  /** Takes back a grant whose box never dispatched it. */
+  /** Revokes a grant that its box has not dispatched in time. */
   #revokeUnused(
     job: owned.ShortJob,
     attempt: owned.Attempt,
@@ -145,8 +151,8 @@
   }
 
   /**
-   * Writes that the job starts. In a store outage a repeatable job starts
-   * without it; an unrepeatable one waits.
+   * Writes the start of the job to the store. During a store outage a
+   * repeatable job starts without this record; an unrepeatable one waits.
    */
   #recordStart(
     job: owned.StoredJob,
@@ -186,7 +192,7 @@
     });
   }
 
-  /** Stops what is left of an attempt; then the job waits again or ends. */
+  /** Stops the remaining members of an attempt; the job then waits again or ends. */
   #stopIncomplete(
     job: owned.StoredJob,
     attempt: owned.Attempt,
@@ -194,7 +200,7 @@
   ): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       const { id } = job.shape;
-      this.#state.ports.log.info(`Job ${id} stops as a whole: ${why}.`);
+      this.#state.ports.log.info(`Stopping all members of job ${id}: ${why}.`);
       const stopped = yield* this.#state.orders.stopAll(
         job.shape,
         attempt,
@@ -221,7 +227,7 @@
     this.#state.wake();
   }
 
-  /** Stops a victim; its claimant starts when the scheduler hears of it. */
+  /** Stops a preempted job; its claimant starts once the scheduler is updated. */
   #preempt(
     job: owned.OwnedJob,
     claimant: string | null,
@@ -245,7 +251,7 @@
     });
   }
 
-  /** Stops an attempt; workers that do not answer are tried again. */
+  /** Stops an attempt, with retries while a worker does not answer. */
   stopWithRetries(job: owned.OwnedJob, attempt: owned.Attempt) {
     return Effect.gen({ self: this }, function* () {
       const { orders, ports } = this.#state;
@@ -294,7 +300,7 @@
   }
 }
 
-/** The record of a job that has ended. */
+/** Returns the record of an ended job. */
 export function endRecord(
   job: owned.StoredJob,
   state: Types.JobState,
--- a/packages/cell/src/owned_job.ts
+++ b/packages/cell/src/owned_job.ts
@@ -1,4 +1,4 @@
-/** A job as the owner of its cell keeps it beside the scheduler. */
+/** The owner's state of a job, beyond what the scheduler keeps. */
 import type * as Errors from "@cairngate/errors";
 import type * as Types from "@cairngate/types";
 import * as Deferred from "effect/Deferred";
@@ -9,51 +9,54 @@
   readonly slots: readonly Types.Slot[];
   /** Worker names, by rank. */
   readonly workers: readonly string[];
-  /** Boot ids of those workers when the attempt was made, by rank. */
+  /** Boot ids of those workers when the attempt was created, by rank. */
   readonly bootIds: readonly (string | null)[];
   /** Whether a worker has reported the attempt. */
   isSeen: boolean;
-  /** Whether any member was ordered to start. */
+  /** Whether a start order was sent to any member. */
   isStartOrdered: boolean;
-  /** Whether it is being stopped by this owner. */
+  /** Whether this owner is stopping the attempt. */
   isStopping: boolean;
   /** Results of finished members, by rank. */
   readonly results: Map<number, unknown>;
 }
 
-/** A short job; its box holds the caller and the input. */
+/** A short job. The box of its caller keeps the input and dispatches it. */
 export interface ShortJob {
   readonly kind: "short";
   readonly shape: Types.JobShape;
-  /** Null for a job that an earlier owner granted. */
+  /** Completes with the decision; null for a job that an earlier owner granted. */
   readonly granted:
     | Deferred.Deferred<Types.Grant, Errors.NotOwnerError>
     | null;
   attempt: Attempt | null;
 }
 
-/** A stored job. */
+/** A job that is kept as a row of the store. */
 export interface StoredJob {
   readonly kind: "stored";
   readonly shape: Types.JobShape;
   record: Types.JobRecord;
   attempt: Attempt | null;
-  /** Workers that have to be looked at before it may be placed again. */
+  /**
+   * Workers that may still run the job. It isn't placed again before each of
+   * them has sent its inventory or is gone.
+   */
   readonly workersToPoll: Set<string>;
   /** Members found on workers during recovery, by attempt. */
   readonly found: Map<string, FoundMember[]>;
   readonly ended: Deferred.Deferred<Types.JobRecord>;
-  /** Whether the end is being written. */
+  /** Whether the end of the job is being written to the store. */
   isEnding: boolean;
 }
 
-/** A member of a job found on a worker. */
+/** A member of a job that a worker reported during recovery. */
 export interface FoundMember {
   readonly worker: number;
   readonly report: Types.TaskReport;
 }
 
-/** A job of a cell. */
+/** A job of an owned cell. */
 export type OwnedJob = ShortJob | StoredJob;
 
 /** Creates a stored job from its row. */
@@ -70,7 +73,7 @@
   };
 }
 
-/** Creates an attempt that nobody has seen yet. */
+/** Creates an attempt that no worker has reported yet. */
 export function createAttempt(
   id: string,
   slots: readonly Types.Slot[],
--- a/packages/cell/src/owner_lease.ts
+++ b/packages/cell/src/owner_lease.ts
@@ -1,9 +1,9 @@
 /**
- * The right to decide for a cell. The owner row holds the epoch and changes
- * only when a cell is taken over or released; every store write of an owner
- * has the row's revision as a condition, and every order to a worker carries
- * the epoch, so acts of an earlier owner are refused there. The lease is what
- * the holder itself checks before it acts.
+ * Ownership of a cell. The owner row holds the epoch, which serves as the
+ * fencing token. The row changes only when a cell is taken over or released.
+ * Every store write of an owner has the row's revision as a condition, and
+ * every order to a worker carries the epoch, so that the store and the workers
+ * reject requests of an earlier owner. The holder checks its lease before it acts.
  */
 import type * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
@@ -12,23 +12,26 @@
 import * as Effect from "effect/Effect";
 import type * as ports from "./ports.ts";
 
-/** Value of the owner row. An empty holder means: released. */
+/** Value of the owner row. The holder is empty after a release. */
 export interface OwnerRow {
   readonly epoch: number;
   readonly holder: string;
 }
 
-/** Outcome of a renewal. */
+/** Outcome of a lease renewal. */
 export enum Renewal {
   Renewed = "renewed",
-  /** The store cannot be asked; nobody else can take over either. */
+  /**
+   * The store is unreachable. The owner continues without a renewed lease: a
+   * takeover also needs a write to the store.
+   */
   Holdover = "holdover",
   Lost = "lost",
 }
 
 const RENEWALS_PER_LEASE = 3;
 
-/** Ownership of one cell under one epoch. */
+/** The lease of one cell under one epoch. */
 export class OwnerLease {
   readonly cell: string;
   readonly epoch: number;
@@ -56,7 +59,7 @@
     this.#expiresAtMs = acquired.expiresAtMs;
   }
 
-  /** Takes a cell by raising its epoch; fails when another box was first. */
+  /** Acquires a cell by raising its epoch; fails if another box was first. */
   static acquire(
     cellPorts: ports.CellPorts,
     cell: string,
@@ -80,33 +83,33 @@
     });
   }
 
-  /** Whether the store could not be asked at the last renewal. */
+  /** Whether the store was unreachable at the last renewal. */
   get isHoldover(): boolean {
     return this.#holdover;
   }
 
-  /** Waits until another owner is seen; returns how it was seen. */
+  /** Waits until a higher epoch is observed; returns which one and where. */
   awaitLoss(): Effect.Effect<string> {
     return Deferred.await(this.#lost);
   }
 
-  /** Whether another owner has been seen. */
+  /** Whether a higher epoch has been observed. */
   get isLost(): boolean {
     return Deferred.isDoneUnsafe(this.#lost);
   }
 
-  /** A higher epoch was seen somewhere. */
+  /** Records an observed epoch; a higher one ends this ownership. */
   noteEpoch(epoch: number, where: string): void {
     if (epoch <= this.epoch) return;
     Deferred.doneUnsafe(
       this.#lost,
-      Effect.succeed(`epoch ${epoch} seen at ${where}`),
+      Effect.succeed(`superseded by epoch ${epoch} (${where})`),
     );
   }
 
   /**
-   * True where the holder may act now. A holder that was paused finds its
-   * lease lapsed here and renews before it goes on.
+   * Whether the holder may act now. If the lease has expired, for instance
+   * because the process was paused, it is renewed first.
    */
   check(): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
@@ -117,7 +120,7 @@
     });
   }
 
-  /** Renews for ever, until the lease is lost. */
+  /** Renews the lease periodically until it is lost. */
   keepRenewing(): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       const { clock, times } = this.#ports;
@@ -128,7 +131,7 @@
     });
   }
 
-  /** Writes the lease row under the condition that the epoch still holds. */
+  /** Writes the lease row, on condition that the owner row is unchanged. */
   renew(): Effect.Effect<Renewal> {
     return Effect.gen({ self: this }, function* () {
       const { store, clock, times, box } = this.#ports;
@@ -152,7 +155,7 @@
     });
   }
 
-  /** Gives the cell back, so that another box takes it at once. */
+  /** Releases the cell, so that another box can take it over at once. */
   release(): Effect.Effect<void> {
     const value: OwnerRow = { epoch: this.epoch, holder: "" };
     const { key } = this.condition;
@@ -175,6 +178,6 @@
       this.#holdover = true;
       return;
     }
-    this.noteEpoch(this.epoch + 1, "the owner row");
+    this.noteEpoch(this.epoch + 1, "owner row");
   }
 }
--- a/packages/cell/src/owner_views.ts
+++ b/packages/cell/src/owner_views.ts
@@ -1,4 +1,4 @@
-/** What an owner shows of its cell. */
+/** Status and dump of an owned cell. */
 import * as Scheduler from "@cairngate/scheduler";
 import type * as Types from "@cairngate/types";
 import type * as states from "./cell_state.ts";
@@ -19,7 +19,7 @@
   }[];
 }
 
-/** State of the cell for operators. */
+/** Describes the state of the cell for operators. */
 export function describeStatus(state: states.CellState): Types.CellStatus {
   const { lease, links, scheduler } = state;
   return {
@@ -33,7 +33,7 @@
   };
 }
 
-/** Everything, for `cairngate dump`. */
+/** Describes the workers and jobs of the cell for `cairngate dump`. */
 export function describeDump(state: states.CellState): CellDump {
   const { lease, links, jobs, scheduler } = state;
   return {
--- a/packages/cell/src/ports.ts
+++ b/packages/cell/src/ports.ts
@@ -1,4 +1,4 @@
-/** What the owner of a cell needs from its box. */
+/** Interfaces that a box provides to the owner of a cell. */
 import type * as Config from "@cairngate/config";
 import type * as Logger from "@cairngate/logger";
 import type * as Metrics from "@cairngate/metrics";
@@ -6,31 +6,31 @@
 import type * as TableClient from "@cairngate/table-client";
 import type * as Types from "@cairngate/types";
 
-/** What a box knows of the other boxes, the owners and the workers. */
+/** This box's view of the other boxes, the cell owners and the workers. */
 export abstract class ClusterView {
-  /** The highest claim on a cell that was seen. */
+  /** The claim on a cell with the highest epoch; null if there is none. */
   abstract claimOf(cell: string): Types.OwnerClaim | null;
-  /** Notes a claim; lower epochs are ignored. */
+  /** Records a claim; a claim with an equal or lower epoch is ignored. */
   abstract noteClaim(claim: Types.OwnerClaim): void;
-  /** Whether this box or a peer it hears has heard a box lately. */
+  /** Whether this box or a live peer has received a recent heartbeat from a box. */
   abstract isAliveAnywhere(box: string): boolean;
-  /** Whether a box has told that it is leaving. */
+  /** Whether the last heartbeat of a box announced that it is leaving. */
   abstract isLeaving(box: string): boolean;
-  /** Boxes heard lately that are not leaving. */
+  /** Peers with a recent heartbeat that are in service: not starting, not leaving. */
   abstract livePeers(): readonly string[];
-  /** Whether a worker is known to be leaving. */
+  /** Whether the platform's list or a peer reports a worker as leaving. */
   abstract isWorkerLeaving(worker: string): boolean;
-  /** Tells all peers at once, outside of the heartbeat's interval. */
+  /** Sends a heartbeat to all peers at once, without waiting for the interval. */
   abstract announce(): void;
 }
 
-/** A configuration in force, parsed. */
+/** The parsed configuration in force and its version. */
 export interface ConfigInForce {
   readonly version: number;
   readonly cfg: Types.DeploymentConfig;
 }
 
-/** Ports of a cell. */
+/** Services that the manager and the owner of a cell use. */
 export interface CellPorts {
   readonly box: string;
   readonly clock: Ports.Clock;
--- a/packages/cell/src/reconfigure.ts
+++ b/packages/cell/src/reconfigure.ts
@@ -1,4 +1,7 @@
-/** Moves a cell to a newer configuration without stopping what runs. */
+/**
+ * Applies a newer configuration to a cell. Jobs on workers that remain
+ * configured keep running.
+ */
 import type * as Scheduler from "@cairngate/scheduler";
 import * as Types from "@cairngate/types";
 import * as states from "./cell_state.ts";
@@ -6,8 +9,8 @@
 import type * as ports from "./ports.ts";
 
 /**
- * Builds a scheduler for the new configuration and moves every job into it.
- * Returns the workers that are new and have to be followed.
+ * Creates a scheduler for the new configuration and moves all jobs to it.
+ * Returns the new workers, which need a link each.
  */
 export function applyConfig(
   state: states.CellState,
@@ -31,7 +34,7 @@
   }
   stopOnRemovedWorkers(state, runner);
   state.ports.log.info(
-    `Cell ${state.lease.cell} follows configuration ${config.version}.`,
+    `Cell ${state.lease.cell} uses configuration version ${config.version}.`,
   );
   return listAdded(state);
 }
@@ -53,7 +56,7 @@
   }
 }
 
-/** The same places under the new numbering; null where one is gone. */
+/** The same slots with the new worker indexes; null if a worker was removed. */
 function translateSlots(
   state: states.CellState,
   before: Scheduler.Scheduler,
@@ -69,7 +72,7 @@
   return moved;
 }
 
-/** Jobs on workers that the new file does not list stop and wait again. */
+/** Stops the jobs on workers that the new file does not list, to be placed again. */
 function stopOnRemovedWorkers(
   state: states.CellState,
   runner: runners.JobRunner,
--- a/packages/cell/src/recovery.ts
+++ b/packages/cell/src/recovery.ts
@@ -1,6 +1,7 @@
 /**
- * Merges what workers report into the owner's books: after a takeover from
- * whole inventories, later from changes. A job that is found running goes on.
+ * Reconciles the owner's state with the tasks that workers report: from full
+ * inventories after a takeover, then from incremental reports. Jobs that are
+ * found running continue.
  */
 import * as Types from "@cairngate/types";
 import type * as states from "./cell_state.ts";
@@ -13,7 +14,7 @@
   Types.TaskState.Running,
 ]);
 
-/** Listens to the workers of a cell. */
+/** Applies the reports of a cell's workers to its state. */
 export class Recovery extends workerLinks.WorkerListener {
   readonly #state: states.CellState;
   readonly #runner: runners.JobRunner;
@@ -25,7 +26,7 @@
     this.#runner = runner;
   }
 
-  /** Takes in a stored job from its row. */
+  /** Adds a stored job from its row, unless it is present or has ended. */
   addStored(record: Types.JobRecord): void {
     if (this.#state.jobs.has(record.job.id)) return;
     if (Types.isFinalState(record.state)) return;
@@ -35,7 +36,7 @@
     if (this.#isFencing) this.#settleNew(job);
   }
 
-  /** All rows are read; the workers are sealed from now on. */
+  /** Called once all rows are read, before the workers are fenced. */
   beginFencing(): void {
     this.#isFencing = true;
     for (const job of [...this.#state.jobs.values()]) {
@@ -82,7 +83,7 @@
     this.#state.wake();
   }
 
-  /** Opens or closes a worker, unless it is known to be leaving. */
+  /** Sets a worker's availability; a leaving worker is never available. */
   #setAvailable(worker: string, available: boolean): void {
     const index = this.#state.indexOf(worker);
     if (index < 0) return;
@@ -103,7 +104,7 @@
     this.#runner.handleMemberLoss(job, `worker ${worker} stopped a member`);
   }
 
-  /** A task of a job that this owner has not heard of. */
+  /** Handles a task of a job that is not in the owner's state. */
   #handleUnknown(worker: string, task: Types.TaskReport): void {
     if (!ACTIVE.has(task.state)) {
       this.#state.links.get(worker)?.acknowledge(task);
@@ -115,7 +116,7 @@
     this.#adoptShort(worker, task, task.spec);
   }
 
-  /** A short job that an earlier owner granted: it goes on. */
+  /** Adopts a running short job that an earlier owner granted. */
   #adoptShort(
     worker: string,
     task: Types.TaskReport,
@@ -135,7 +136,7 @@
     this.#state.scheduler.restore(shape, { nowMs, slots, progress });
   }
 
-  /** A task of a job that waits, or whose attempt is still being gathered. */
+  /** Handles a task of a job that has no current attempt. */
   #addFound(
     worker: string,
     job: owned.OwnedJob,
@@ -152,21 +153,21 @@
     this.#settle(job);
   }
 
-  /** A waiting short job that already runs, by a grant of an earlier owner. */
+  /** Stops a task of a waiting short job, granted by an earlier owner. */
   #discardEarlier(
     worker: string,
     job: owned.ShortJob,
     task: Types.TaskReport,
   ): void {
     if (!ACTIVE.has(task.state)) return;
-    // Its box asked again, so it has given this attempt up.
+    // The box asked for a place again, so it has abandoned this attempt.
     this.#discard(worker, task);
     this.#state.ports.log.info(
-      `Job ${job.shape.id} waits again; its old attempt is stopped.`,
+      `Job ${job.shape.id} waits again; its earlier attempt is being stopped.`,
     );
   }
 
-  /** A task of no current attempt is stopped or forgotten. */
+  /** Stops a task of no current attempt; acknowledges it if it is not active. */
   #discard(worker: string, task: Types.TaskReport): void {
     if (ACTIVE.has(task.state)) {
       this.#state.fork(this.#state.orders.stopUnexpected(worker, task));
@@ -175,7 +176,7 @@
     }
   }
 
-  /** Members that the owner believes there, but the worker does not have. */
+  /** Handles the loss of members that are missing from a worker's inventory. */
   #handleMissing(worker: string, found: ReadonlySet<string>): void {
     for (const job of [...this.#state.jobs.values()]) {
       const { attempt } = job;
@@ -195,7 +196,10 @@
     }
   }
 
-  /** Decides on a stored job once every worker it may run on was looked at. */
+  /**
+   * Adopts a stored job as soon as all members of an attempt are found.
+   * Otherwise resolves it once every worker that may run it was polled.
+   */
   #settle(job: owned.StoredJob): void {
     if (job.attempt !== null || job.isEnding) return;
     const members = this.#findComplete(job);
@@ -205,7 +209,7 @@
     if (!isInQueue) this.#resolve(job);
   }
 
-  /** The members of an attempt that is complete on the workers. */
+  /** Returns the members of an attempt found in full on configured workers. */
   #findComplete(job: owned.StoredJob): owned.FoundMember[] | null {
     for (const members of job.found.values()) {
       const usable = members.filter((m) => m.worker >= 0);
@@ -238,11 +242,14 @@
       this.#runner.noteFinished(job, report.rank, report.result);
     }
     const isHeld = sorted.some((m) => m.report.state === Types.TaskState.Held);
-    // All members are here, so the earlier owner's start goes on.
+    // All members are present, so the start of the earlier owner is completed.
     if (isHeld) this.#state.fork(orders.startAll(job.shape, attempt));
   }
 
-  /** No whole attempt exists: what is left stops, and the job waits again. */
+  /**
+   * Handles a job without a complete attempt: its remaining members are stopped
+   * and it waits again. An unrepeatable job that may have run ends as unknown.
+   */
   #resolve(job: owned.StoredJob): void {
     const members = [...job.found.values()].flat();
     for (const { worker, report } of members) {
--- a/packages/cell/src/sweep_ended.ts
+++ b/packages/cell/src/sweep_ended.ts
@@ -1,4 +1,4 @@
-/** Removes the rows of jobs that ended long ago. */
+/** Deletes the rows of jobs that ended long ago. */
 import type * as Ports from "@cairngate/ports";
 import * as TableClient from "@cairngate/table-client";
 import type * as Types from "@cairngate/types";
@@ -11,7 +11,7 @@
 const ROWS_PER_WRITE = 100;
 const WRITE_PAUSE_MS = 1000;
 
-/** Sweeps for ever, slowly; what fails is left for the next time. */
+/** Sweeps periodically; rows left by a failed sweep remain for the next one. */
 export function keepSweeping(
   cellPorts: ports.CellPorts,
   lease: leases.OwnerLease,
@@ -21,7 +21,10 @@
   return Effect.forever(Effect.andThen(pause, sweep));
 }
 
-/** Removes ended jobs and intents that are older than a week. */
+/**
+ * Deletes ended jobs and intents older than a week and returns their number.
+ * Batches with pauses limit the load on the store.
+ */
 export function sweepEnded(
   cellPorts: ports.CellPorts,
   lease: leases.OwnerLease,
--- a/packages/cell/src/sweep_ended_test.ts
+++ b/packages/cell/src/sweep_ended_test.ts
@@ -43,7 +43,7 @@
   return { clock, store, run, put, cellPorts, lease };
 }
 
-test("jobs and intents that ended over a week ago are removed", async () => {
+test("ended jobs and intents older than a week are removed", async () => {
   const { clock, store, run, put, cellPorts, lease } = await createStore();
   const oldMs = clock.wallMs();
   for (let i = 0; i < 150; i++) {
@@ -68,7 +68,7 @@
   ].sort());
 });
 
-test("an owner of the past removes nothing", async () => {
+test("a superseded owner removes nothing", async () => {
   const { clock, store, run, put, cellPorts, lease } = await createStore();
   const key = TableClient.Keys.endedKey("cell", "old");
   await put(key, { updatedAtMs: clock.wallMs() });
--- a/packages/cell/src/task_orders.ts
+++ b/packages/cell/src/task_orders.ts
@@ -1,4 +1,4 @@
-/** Orders to the workers of one attempt: hold, start, stop. */
+/** Hold, start and stop orders to the workers of an attempt. */
 import * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
 import type * as Types from "@cairngate/types";
@@ -7,28 +7,28 @@
 import type * as leases from "./owner_lease.ts";
 import type * as ports from "./ports.ts";
 
-/** A running task whose lease is not renewed for this long is stopped. */
+/** The worker stops a running task whose lease is not renewed for this long. */
 export const TASK_LEASE_MS = 600_000;
-/** A hold that is not started within this time is dropped by the worker. */
+/** The worker drops a hold that is not started within this time. */
 export const HOLD_TIMEOUT_MS = 10_000;
 const ORDER_TIMEOUT_MS = 2000;
 const START_RETRY_DELAY_MS = 100;
-/** Starts are repeated for this long; it ends before the holds lapse. */
+/** Starts are retried for this long; below the hold timeout, so holds still exist. */
 const START_TIMEOUT_MS = 6000;
 
-/** How the stop of an attempt ended. */
+/** Outcome of the stop of an attempt. */
 export interface StopResult {
-  /** Every worker answered. */
+  /** Whether every worker answered. */
   readonly complete: boolean;
-  /** Some member had started. */
+  /** Whether some member had started, or may have on a worker that has restarted. */
   readonly ran: boolean;
-  /** Every member had finished; results by rank. */
+  /** Results by rank if every member had finished, else null. */
   readonly results: readonly unknown[] | null;
-  /** Saved progress of the member that is furthest behind. */
+  /** Least saved progress of all members; 0 unless every worker answered. */
   readonly progress: number;
 }
 
-/** Sends orders under one epoch. */
+/** Sends orders to workers under the epoch of one lease. */
 export class TaskOrders {
   readonly #ports: ports.CellPorts;
   readonly #lease: leases.OwnerLease;
@@ -44,7 +44,7 @@
     this.#endpointOf = endpointOf;
   }
 
-  /** Holds every member; true when all are held. */
+  /** Holds accelerators for every member; returns whether all are held. */
   holdAll(
     stored: owned.StoredJob,
     attempt: owned.Attempt,
@@ -63,7 +63,7 @@
     );
   }
 
-  /** Starts every member, repeating lost orders; true when all started. */
+  /** Starts every member, with retries of lost orders; returns whether all started. */
   startAll(
     shape: Types.JobShape,
     attempt: owned.Attempt,
@@ -78,7 +78,7 @@
     );
   }
 
-  /** Stops every member. */
+  /** Stops every member, on request after a checkpoint. */
   stopAll(
     shape: Types.JobShape,
     attempt: owned.Attempt,
@@ -95,7 +95,7 @@
     return Effect.map(replies, (list) => summarizeStops(list, attempt));
   }
 
-  /** Stops one task that belongs to no current attempt. */
+  /** Stops one task that does not belong to a current attempt. */
   stopUnexpected(worker: string, key: Types.TaskKey): Effect.Effect<void> {
     const { jobId, attempt, rank } = key;
     const { cell, epoch } = this.#lease;
@@ -162,7 +162,7 @@
     };
   }
 
-  /** The reply, or null where it was refused or lost. */
+  /** Returns the reply, or null if the order was refused or lost. */
   #send<A>(
     worker: string,
     order: (endpoint: string) => Effect.Effect<A, Ports.WorkerError>,
@@ -213,7 +213,8 @@
   const values = replies.flatMap((reply) =>
     reply === null ? [] : [reply.value]
   );
-  // A worker that has restarted since has forgotten what it ran.
+  // A worker that restarted after the attempt was created has lost its task
+  // state, so its reply can't show that the member never ran.
   const hasRestarted = replies.some((reply, rank) =>
     reply !== null && reply.value.bootId !== attempt.bootIds[rank]
   );
--- a/packages/cell/src/worker_link.ts
+++ b/packages/cell/src/worker_link.ts
@@ -1,4 +1,7 @@
-/** One fiber for each worker: seals it, then waits for its reports. */
+/**
+ * Connection of a cell's owner to one worker. It fences the worker, which then
+ * rejects orders of lower epochs, and receives its reports by long polling.
+ */
 import * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
 import type * as Types from "@cairngate/types";
@@ -6,11 +9,11 @@
 import type * as leases from "./owner_lease.ts";
 import type * as ports from "./ports.ts";
 
-/** Who hears what a worker says. */
+/** Receives the state changes of workers. */
 export abstract class WorkerListener {
-  /** The worker is sealed under this owner's epoch. */
+  /** The worker has accepted this owner's epoch and listed all its tasks. */
   abstract onInventory(worker: string, inventory: Types.Inventory): void;
-  /** Some of its tasks changed. */
+  /** Some of the worker's tasks have changed. */
   abstract onReport(worker: string, report: Types.WorkerReport): void;
   /** The worker does not answer; its tasks may still run. */
   abstract onUnreachable(worker: string): void;
@@ -19,15 +22,15 @@
 }
 
 const FENCE_TIMEOUT_MS = 2000;
-/** First and longest pause between two tries, in ms. */
+// Bounds of the pause between two attempts, which doubles each time.
 const MIN_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 2000;
-/** A worker that does not answer for this long is taken as gone. */
+/** A worker that does not answer for this long counts as gone. */
 export const GONE_AFTER_MS = 10_000;
-/** Allowance for the answer to a report after its wait. */
+/** Time for the reply to a report request beyond its long-polling wait. */
 const REPORT_MARGIN_MS = 2000;
 
-/** Follows one worker. */
+/** Fences one worker and receives its reports. */
 export class WorkerLink {
   readonly worker: Types.WorkerSpec;
   readonly #ports: ports.CellPorts;
@@ -52,32 +55,32 @@
     this.#listener = options.listener;
   }
 
-  /** Changes when the worker restarts; null before it is sealed. */
+  /** Changes when the worker restarts; null before the worker is fenced. */
   get bootId(): string | null {
     return this.#bootId;
   }
 
-  /** Whether the worker is sealed and answering. */
+  /** Whether the worker is fenced and answers. */
   get isFenced(): boolean {
     return this.#bootId !== null && this.#silentSinceMs === null;
   }
 
-  /** The worker may forget a finished task; sent with the next report. */
+  /** Lets the worker forget a finished task; sent with the next report request. */
   acknowledge(key: Types.TaskKey): void {
     const { jobId, attempt, rank } = key;
     this.#acknowledged.push({ jobId, attempt, rank });
   }
 
-  /** Seals and follows the worker for ever. */
+  /** Keeps the worker fenced and receives its reports until interrupted. */
   run(): Effect.Effect<never> {
     return Effect.gen({ self: this }, function* () {
       const { clock, random } = this.#ports;
       let backoffMs = MIN_BACKOFF_MS;
       for (;;) {
-        const inventory = yield* this.#seal();
+        const inventory = yield* this.#fence();
         if (inventory !== null) {
           backoffMs = MIN_BACKOFF_MS;
-          yield* this.#follow(inventory);
+          yield* this.#receiveReports(inventory);
         }
         this.#noteUnreachable();
         yield* clock.sleep(random.jitter(backoffMs));
@@ -86,14 +89,14 @@
     });
   }
 
-  #seal(): Effect.Effect<Types.Inventory | null> {
+  #fence(): Effect.Effect<Types.Inventory | null> {
     const { cell, epoch } = this.#lease;
     const { endpoint } = this.worker;
-    const seal = this.#ports.workers.seal(endpoint, { cell, epoch });
-    return this.#call(FENCE_TIMEOUT_MS, seal);
+    const request = this.#ports.workers.seal(endpoint, { cell, epoch });
+    return this.#call(FENCE_TIMEOUT_MS, request);
   }
 
-  #follow(inventory: Types.Inventory): Effect.Effect<void> {
+  #receiveReports(inventory: Types.Inventory): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       this.#noteAlive(inventory.bootId);
       this.#listener.onInventory(this.worker.name, inventory);
@@ -124,7 +127,7 @@
     return this.#call(waitMs + REPORT_MARGIN_MS, report);
   }
 
-  /** The answer, or null where none came in time. */
+  /** Returns the reply, or null after a timeout or failure. */
   #call<A>(
     timeoutMs: number,
     call: Effect.Effect<A, Ports.WorkerError>,
