--- a/packages/naive/src/naive_scheduler.ts
+++ b/packages/naive/src/naive_scheduler.ts
@@ -7,7 +7,7 @@
 import * as Types from "@cairngate/types";
 
 const WORKERS_PER_RACK = 8;
-const ACCELERATORS = 8;
+const ACCELERATORS_PER_WORKER = 8;
 
 interface NaiveJob {
   readonly shape: Types.JobShape;
@@ -17,17 +17,17 @@
 /** The naive scheduler. */
 export class NaiveScheduler extends Scheduler.SchedulerCore {
   readonly #free: number[];
-  readonly #own: readonly number[];
+  readonly #allMasks: readonly number[];
   readonly #available: boolean[];
   readonly #jobs = new Map<string, NaiveJob>();
   #queue: NaiveJob[] = [];
 
   constructor(layout: Scheduler.CellLayout) {
     super();
-    this.#own = layout.workers.map((w) =>
+    this.#allMasks = layout.workers.map((w) =>
       w === undefined ? 0 : (1 << w.accelerators) - 1
     );
-    this.#free = [...this.#own];
+    this.#free = [...this.#allMasks];
     this.#available = layout.workers.map(() => false);
   }
 
@@ -86,9 +86,13 @@
       ? 1
       : WORKERS_PER_RACK;
     const isAny = shape.adjacency === Types.Adjacency.Any;
-    const whole = this.#free.length;
-    for (let first = 0; first < whole; first += isAny ? whole : step) {
-      const end = isAny ? whole : first + step;
+    const workerCount = this.#free.length;
+    for (
+      let first = 0;
+      first < workerCount;
+      first += isAny ? workerCount : step
+    ) {
+      const end = isAny ? workerCount : first + step;
       const slots = this.#fillRange(shape, first, end);
       if (slots !== null) return slots;
     }
@@ -119,11 +123,11 @@
 /** The lowest `count` bits set in a mask; null where there are fewer. */
 function lowestBits(mask: number, count: number): number | null {
   let chosen = 0;
-  let left = count;
-  for (let bit = 0; bit < ACCELERATORS && left > 0; bit++) {
+  let remaining = count;
+  for (let bit = 0; bit < ACCELERATORS_PER_WORKER && remaining > 0; bit++) {
     if ((mask & (1 << bit)) === 0) continue;
     chosen |= 1 << bit;
-    left--;
+    remaining--;
   }
-  return left === 0 ? chosen : null;
+  return remaining === 0 ? chosen : null;
 }
--- a/packages/placement/mod.ts
+++ b/packages/placement/mod.ts
@@ -12,7 +12,7 @@
 export {
   type BoundBlock,
   type GuaranteeDemand,
-  GuaranteeLedger,
+  GuaranteeTracker,
 } from "./src/guarantee_ledger.ts";
 export {
   computeFragmentation,
--- a/packages/placement/src/blocks.ts
+++ b/packages/placement/src/blocks.ts
@@ -18,7 +18,7 @@
 /** Block sizes for which fragmentation is reported. */
 export const BLOCK_SIZES: readonly number[] = [8, 16, 32, 64];
 
-const MASKS = 256;
+const MASK_COUNT = 256;
 
 /** Smallest order whose blocks hold this many accelerators. */
 export function orderOf(accelerators: number): number {
@@ -47,16 +47,16 @@
 }
 
 function buildBitCounts(): Uint8Array {
-  const counts = new Uint8Array(MASKS);
-  for (let mask = 1; mask < MASKS; mask++) {
+  const counts = new Uint8Array(MASK_COUNT);
+  for (let mask = 1; mask < MASK_COUNT; mask++) {
     counts[mask] = counts[mask >> 1] + (mask & 1);
   }
   return counts;
 }
 
 function buildMaximalCounts(): Uint8Array {
-  const counts = new Uint8Array(MASKS * 4);
-  for (let mask = 0; mask < MASKS; mask++) countMaximal(counts, mask);
+  const counts = new Uint8Array(MASK_COUNT * 4);
+  for (let mask = 0; mask < MASK_COUNT; mask++) countMaximal(counts, mask);
   return counts;
 }
 
--- a/packages/placement/src/buddy_space.ts
+++ b/packages/placement/src/buddy_space.ts
@@ -40,13 +40,13 @@
   /** Replaces the mask of taken accelerators of a worker. */
   setUsedMask(worker: number, mask: number): void {
     if (this.#used[worker] === mask) return;
-    this.#remember(worker);
+    this.#recordForTrial(worker);
     this.#used[worker] = mask;
     this.#recount(Math.floor(worker / blocks.WORKERS_PER_RACK));
   }
 
   /** Runs a search that takes accelerators, then gives them all back. */
-  tryOut<T>(search: () => T): T {
+  runTrial<T>(search: () => T): T {
     const outer = this.#trial;
     const before = new Map<number, number>();
     this.#trial = before;
@@ -135,7 +135,7 @@
     return null;
   }
 
-  #remember(worker: number): void {
+  #recordForTrial(worker: number): void {
     if (this.#trial === null || this.#trial.has(worker)) return;
     this.#trial.set(worker, this.#used[worker]);
   }
@@ -152,23 +152,23 @@
     this.#maximal.fill(0, base, base + ORDERS);
     const first = rack * blocks.WORKERS_PER_RACK;
     let free = 0;
-    let whole = 0;
+    let freeWorkers = 0;
     for (let i = 0; i < blocks.WORKERS_PER_RACK; i++) {
       const mask = this.#used[first + i];
       free += blocks.ACCELERATORS_PER_WORKER - blocks.BIT_COUNT[mask];
       for (let k = 0; k < blocks.WORKER_ORDER; k++) {
         this.#maximal[base + k] += blocks.MAXIMAL[mask * 4 + k];
       }
-      if (mask === 0) whole |= 1 << i;
+      if (mask === 0) freeWorkers |= 1 << i;
     }
     this.#free[rack] = free;
-    this.#countWholeWorkers(base, whole);
+    this.#countWholeWorkers(base, freeWorkers);
   }
 
-  #countWholeWorkers(base: number, whole: number): void {
+  #countWholeWorkers(base: number, freeWorkers: number): void {
     // Whole free workers of a rack form the same buddy tree as the
     // accelerators of a worker, three orders higher.
-    const used = ~whole & blocks.FULL_MASK;
+    const used = ~freeWorkers & blocks.FULL_MASK;
     for (let k = 0; k <= blocks.WORKER_ORDER; k++) {
       this.#maximal[base + blocks.WORKER_ORDER + k] = blocks.MAXIMAL[
         used * 4 + k
--- a/packages/placement/src/fragmentation.ts
+++ b/packages/placement/src/fragmentation.ts
@@ -17,9 +17,9 @@
 ): FragmentationReading[] {
   const free = racks.freeTotal();
   return blocks.BLOCK_SIZES.map((block) => {
-    const whole = Math.floor(free / block) * block;
-    if (whole === 0) return { block, value: null };
+    const inWholeBlocks = Math.floor(free / block) * block;
+    if (inWholeBlocks === 0) return { block, value: null };
     const inBlocks = racks.blocksTotal(blocks.orderOf(block)) * block;
-    return { block, value: 1 - inBlocks / whole };
+    return { block, value: 1 - inBlocks / inWholeBlocks };
   });
 }
--- a/packages/placement/src/guarantee_ledger.ts
+++ b/packages/placement/src/guarantee_ledger.ts
@@ -26,20 +26,20 @@
 const ORDERS = blocks.LARGEST_ORDER + 1;
 
 /** Bound and unbound blocks of all teams over one set of racks. */
-export class GuaranteeLedger {
+export class GuaranteeTracker {
   /** Accelerators that no other team's unbound block may count on. */
   readonly space: space.BuddySpace;
   readonly #unbound = new Map<string, number[]>();
   readonly #total = new Array<number>(ORDERS).fill(0);
   readonly #bound = new Map<number, BoundBlock>();
   readonly #byTeam = new Map<string, Set<BoundBlock>>();
-  readonly #marks: Uint8Array;
+  readonly #markCounts: Uint8Array;
   #nextId = 1;
 
   /** Starts with every demand unbound on free racks. */
   constructor(rackCount: number, demands: readonly GuaranteeDemand[]) {
     this.space = new space.BuddySpace(rackCount);
-    this.#marks = new Uint8Array(rackCount * blocks.ACCELERATORS_PER_RACK);
+    this.#markCounts = new Uint8Array(rackCount * blocks.ACCELERATORS_PER_RACK);
     for (const demand of demands) this.#addDemand(demand);
   }
 
@@ -86,12 +86,12 @@
 
   /** Marks accelerators as fixed or unavailable; calls nest. */
   mark(worker: number, mask: number): void {
-    this.#change(worker, mask, 1);
+    this.#changeMarks(worker, mask, 1);
   }
 
   /** Takes back a mark. */
   unmark(worker: number, mask: number): void {
-    this.#change(worker, mask, -1);
+    this.#changeMarks(worker, mask, -1);
   }
 
   /** Binds an unbound block of a team to a place. */
@@ -111,13 +111,13 @@
   }
 
   /** Counts a job into a bound block. */
-  enter(id: number, jobId: string, accelerators: number): void {
+  addJob(id: number, jobId: string, accelerators: number): void {
     const jobs = this.#bound.get(id)!.jobs;
     jobs.set(jobId, (jobs.get(jobId) ?? 0) + accelerators);
   }
 
   /** Takes a job out of a bound block; unbinds the block when it is empty. */
-  leave(id: number, jobId: string): void {
+  removeJob(id: number, jobId: string): void {
     const bound = this.#bound.get(id);
     if (bound === undefined) return;
     bound.jobs.delete(jobId);
@@ -162,23 +162,27 @@
     return set;
   }
 
-  #markBlock(position: space.BlockPosition, by: number): void {
+  #markBlock(position: space.BlockPosition, delta: number): void {
     const first = position.rack * blocks.WORKERS_PER_RACK;
     const end = position.offset + blocks.sizeOf(position.order);
     for (let at = position.offset; at < end;) {
       const size = Math.min(end - at, blocks.ACCELERATORS_PER_WORKER);
-      this.#change(first + (at >> 3), blocks.blockMask(at & 7, size), by);
+      this.#changeMarks(
+        first + (at >> 3),
+        blocks.blockMask(at & 7, size),
+        delta,
+      );
       at += size;
     }
   }
 
-  #change(worker: number, mask: number, by: number): void {
+  #changeMarks(worker: number, mask: number, delta: number): void {
     let used = this.space.usedMask(worker);
     for (let bit = 0; bit < blocks.ACCELERATORS_PER_WORKER; bit++) {
       if ((mask & (1 << bit)) === 0) continue;
       const at = worker * blocks.ACCELERATORS_PER_WORKER + bit;
-      this.#marks[at] += by;
-      if (this.#marks[at] > 0) used |= 1 << bit;
+      this.#markCounts[at] += delta;
+      if (this.#markCounts[at] > 0) used |= 1 << bit;
       else used &= ~(1 << bit);
     }
     this.space.setUsedMask(worker, used);
@@ -190,13 +194,13 @@
   supply: readonly number[],
   demand: readonly number[],
 ): number[] {
-  const short = new Array<number>(ORDERS).fill(0);
+  const shortfall = new Array<number>(ORDERS).fill(0);
   let available = 0;
   for (let order = ORDERS - 1; order >= 0; order--) {
     available = available * 2 + supply[order] - demand[order];
     if (available >= 0) continue;
-    short[order] = -available;
+    shortfall[order] = -available;
     available = 0;
   }
-  return short;
+  return shortfall;
 }
--- a/packages/scheduler/src/adopt_running.ts
+++ b/packages/scheduler/src/adopt_running.ts
@@ -14,38 +14,38 @@
 ): number[] | null {
   const boundIds: number[] = [];
   for (const slot of entry.slots) {
-    const id = boundAround(entry, slot, occupancy) ??
-      bindAround(entry, slot, occupancy);
+    const id = findBoundBlock(entry, slot, occupancy) ??
+      bindNewBlock(entry, slot, occupancy);
     if (id === null) {
-      dropAll(boundIds, entry, occupancy);
+      releaseBlocks(boundIds, entry, occupancy);
       return null;
     }
     // Entering at once keeps the block bound while later slots are tried.
-    occupancy.ledger.enter(id, entry.shape.id, 0);
+    occupancy.tracker.addJob(id, entry.shape.id, 0);
     boundIds.push(id);
   }
   return boundIds;
 }
 
-function dropAll(
+function releaseBlocks(
   boundIds: readonly number[],
   entry: entries.JobEntry,
   occupancy: occupancies.Occupancy,
 ): void {
   for (const id of new Set(boundIds)) {
-    const rack = occupancy.ledger.get(id)?.rack;
-    occupancy.ledger.leave(id, entry.shape.id);
+    const rack = occupancy.tracker.get(id)?.rack;
+    occupancy.tracker.removeJob(id, entry.shape.id);
     if (rack !== undefined) occupancy.refreshRack(rack);
   }
 }
 
-function boundAround(
+function findBoundBlock(
   entry: entries.JobEntry,
   slot: Types.Slot,
   occupancy: occupancies.Occupancy,
 ): number | null {
   const place = locate(slot);
-  for (const bound of occupancy.ledger.boundOf(entry.shape.team)) {
+  for (const bound of occupancy.tracker.boundOf(entry.shape.team)) {
     const size = Placement.sizeOf(bound.order);
     const isInside = bound.rack === place.rack &&
       bound.offset <= place.offset && place.offset < bound.offset + size;
@@ -54,23 +54,23 @@
   return null;
 }
 
-function bindAround(
+function bindNewBlock(
   entry: entries.JobEntry,
   slot: Types.Slot,
   occupancy: occupancies.Occupancy,
 ): number | null {
-  const { ledger } = occupancy;
-  const unbound = ledger.unboundOf(entry.shape.team);
+  const { tracker } = occupancy;
+  const unbound = tracker.unboundOf(entry.shape.team);
   const place = locate(slot);
-  const whole = Placement.orderOf(entry.size);
-  const orders = [whole, ...range(entry.order, Placement.LARGEST_ORDER)];
+  const jobOrder = Placement.orderOf(entry.size);
+  const orders = [jobOrder, ...range(entry.order, Placement.LARGEST_ORDER)];
   for (const order of orders) {
     if (!(unbound[order] > 0)) continue;
     const offset = place.offset & ~(Placement.sizeOf(order) - 1);
     const position = { rack: place.rack, offset, order };
-    if (!ledger.space.isFree(position)) continue;
-    if (!ledger.holdsAfterBinding(position)) continue;
-    const bound = ledger.bind(entry.shape.team, position);
+    if (!tracker.space.isFree(position)) continue;
+    if (!tracker.holdsAfterBinding(position)) continue;
+    const bound = tracker.bind(entry.shape.team, position);
     occupancy.refreshRack(place.rack);
     return bound.id;
   }
--- a/packages/scheduler/src/check_guarantees.ts
+++ b/packages/scheduler/src/check_guarantees.ts
@@ -21,25 +21,25 @@
 export function checkGuarantees(
   layout: layouts.CellLayout,
 ): Errors.InfeasibleGuaranteeError | null {
-  const ledger = new Placement.GuaranteeLedger(
+  const tracker = new Placement.GuaranteeTracker(
     layout.racks.length,
     listDemands(layout.teams),
   );
-  markMissing(layout, ledger);
-  const short = ledger.shortfall();
-  const order = short.findLastIndex((missing) => missing > 0);
+  markMissing(layout, tracker);
+  const shortfall = tracker.shortfall();
+  const order = shortfall.findLastIndex((missing) => missing > 0);
   if (order < 0) return null;
-  return describeShortfall(layout, { order, missing: short[order] });
+  return describeShortfall(layout, { order, missing: shortfall[order] });
 }
 
 /** Marks places of a rack that have no worker or fewer accelerators. */
 export function markMissing(
   layout: layouts.CellLayout,
-  ledger: Placement.GuaranteeLedger,
+  tracker: Placement.GuaranteeTracker,
 ): void {
   layout.workers.forEach((worker, index) => {
     const missing = missingMask(worker);
-    if (missing !== 0) ledger.mark(index, missing);
+    if (missing !== 0) tracker.mark(index, missing);
   });
 }
 
@@ -51,19 +51,19 @@
 
 function describeShortfall(
   layout: layouts.CellLayout,
-  short: { order: number; missing: number },
+  shortfall: { order: number; missing: number },
 ): Errors.InfeasibleGuaranteeError {
-  const block = Placement.sizeOf(short.order);
-  const wanted = layout.teams.filter((team) =>
+  const block = Placement.sizeOf(shortfall.order);
+  const affectedTeams = layout.teams.filter((team) =>
     team.guarantee.some((b) => b.accelerators === block)
   );
-  const asked = wanted.flatMap((t) => t.guarantee)
+  const total = affectedTeams.flatMap((t) => t.guarantee)
     .filter((b) => b.accelerators === block)
     .reduce((sum, b) => sum + b.count, 0);
   return new Errors.InfeasibleGuaranteeError({
-    team: wanted.at(-1)?.name ?? "?",
+    team: affectedTeams.at(-1)?.name ?? "?",
     block,
-    missing: short.missing,
-    wouldFit: `${asked - short.missing} of ${asked} blocks of ${block}`,
+    missing: shortfall.missing,
+    wouldFit: `${total - shortfall.missing} of ${total} blocks of ${block}`,
   });
 }
--- a/packages/scheduler/src/choose_in_region.ts
+++ b/packages/scheduler/src/choose_in_region.ts
@@ -10,7 +10,7 @@
   readonly occupancy: occupancies.Occupancy;
   readonly nowMs: number;
   /** Whether running work may be made to yield. */
-  readonly mayEvict: boolean;
+  readonly mayPreempt: boolean;
   /** Racks to look at. */
   readonly racks: readonly number[];
 }
@@ -31,19 +31,19 @@
   const { region } = search;
   const size = Placement.sizeOf(entry.order);
   if (members * size > Placement.sizeOf(region.order)) return null;
-  const priced: { slot: Types.Slot; cost: number }[] = [];
+  const candidates: { slot: Types.Slot; cost: number }[] = [];
   const end = region.offset + Placement.sizeOf(region.order);
   for (let offset = region.offset; offset < end; offset += size) {
     const slot = packing.slotAt(region.rack, offset, size);
-    const cost = priceOfSlot(entry, slot, search);
-    if (cost !== null) priced.push({ slot, cost });
+    const cost = costOfSlot(entry, slot, search);
+    if (cost !== null) candidates.push({ slot, cost });
   }
-  if (priced.length < members) return null;
-  priced.sort((a, b) => a.cost - b.cost);
-  return sumChoice(priced.slice(0, members), search);
+  if (candidates.length < members) return null;
+  candidates.sort((a, b) => a.cost - b.cost);
+  return toChoice(candidates.slice(0, members), search);
 }
 
-function sumChoice(
+function toChoice(
   chosen: { slot: Types.Slot; cost: number }[],
   search: GuaranteedSearch,
 ): RegionChoice {
@@ -57,7 +57,7 @@
 }
 
 /** Null where the slot cannot be had. */
-function priceOfSlot(
+function costOfSlot(
   entry: entries.JobEntry,
   slot: Types.Slot,
   search: GuaranteedSearch,
@@ -67,7 +67,7 @@
   if (occupancy.layout.workers[slot.worker] === undefined) return null;
   const free = (occupancy.space.usedMask(slot.worker) & slot.mask) === 0;
   if (free) return 0;
-  if (!search.mayEvict) return null;
+  if (!search.mayPreempt) return null;
   if (occupancy.isClaimed(slot)) return null;
   let cost = 0;
   const victims = occupancy.tasksIn(slot);
--- a/packages/scheduler/src/consolidation.ts
+++ b/packages/scheduler/src/consolidation.ts
@@ -6,11 +6,11 @@
 import type * as packing from "./packing_policy.ts";
 
 /** Racks with more in use than this are left as they are. */
-const MOST_USED = 16;
+const MAX_USED_ACCELERATORS = 16;
 /** Work that started less than this ago is not moved again. */
-const RESTED_MS = 600_000;
+const MIN_RUN_MS = 600_000;
 /** Largest part of the gained rack time that the move may cost. */
-const COST_SHARE = 0.05;
+const MAX_COST_SHARE = 0.05;
 
 /** What a consolidation looks at. */
 export interface ConsolidationSearch {
@@ -31,10 +31,10 @@
   );
   for (const rack of byFree) {
     const used = Placement.ACCELERATORS_PER_RACK - space.freeInRack(rack);
-    if (used > MOST_USED) return [];
+    if (used > MAX_USED_ACCELERATORS) return [];
     const others = racks.filter((other) => other !== rack);
     const jobs = movableJobs(rack, search);
-    if (jobs !== null && fitElsewhere(jobs, others, search)) return jobs;
+    if (jobs !== null && canFitElsewhere(jobs, others, search)) return jobs;
   }
   return [];
 }
@@ -60,7 +60,7 @@
   const all = [...jobs];
   const isMovable = all.length > 0 &&
     all.every((job) => mayMove(job, rack, search.nowMs));
-  return isMovable && pays(all, search.nowMs) ? all : null;
+  return isMovable && isJustified(all, search.nowMs) ? all : null;
 }
 
 function mayMove(
@@ -74,10 +74,13 @@
   return isInside && entries.canYield(job) &&
     job.shape.checkpointMs !== null &&
     job.shape.tier !== Types.Tier.Urgent &&
-    nowMs - job.startedAtMs >= RESTED_MS;
+    nowMs - job.startedAtMs >= MIN_RUN_MS;
 }
 
-function pays(jobs: readonly entries.JobEntry[], nowMs: number): boolean {
+function isJustified(
+  jobs: readonly entries.JobEntry[],
+  nowMs: number,
+): boolean {
   let cost = 0;
   let longest = 0;
   for (const job of jobs) {
@@ -85,10 +88,10 @@
     const left = entries.estimatedEndMs(job, nowMs) - nowMs;
     longest = Math.max(longest, left);
   }
-  return cost < COST_SHARE * longest * Placement.ACCELERATORS_PER_RACK;
+  return cost < MAX_COST_SHARE * longest * Placement.ACCELERATORS_PER_RACK;
 }
 
-function fitElsewhere(
+function canFitElsewhere(
   jobs: readonly entries.JobEntry[],
   racks: readonly number[],
   search: ConsolidationSearch,
@@ -96,7 +99,7 @@
   const { space } = search.occupancy;
   const allowed = (rack: number) => racks.includes(rack);
   const largestFirst = [...jobs].sort((a, b) => b.size - a.size);
-  return space.tryOut(() =>
+  return space.runTrial(() =>
     largestFirst.every((job) => {
       const slots = search.packing.find(space, job, { racks, allowed });
       for (const { worker, mask } of slots ?? []) {
--- a/packages/scheduler/src/describe_cell.ts
+++ b/packages/scheduler/src/describe_cell.ts
@@ -4,7 +4,7 @@
 import type * as layouts from "./layout.ts";
 import type * as schedulers from "./scheduler.ts";
 
-const BITS = 8;
+const MASK_BITS = 8;
 
 /** The part of a cell's status that the scheduler knows. */
 export type CellDescription = Pick<
@@ -21,7 +21,7 @@
   return {
     racks: scheduler.layout.racks.map((name, rack) => ({
       name,
-      workers: drawRack(scheduler, rack),
+      workers: renderRack(scheduler, rack),
     })),
     teams: scheduler.layout.teams.map((team) => describeTeam(scheduler, team)),
     fragmentation: Placement.computeFragmentation(scheduler.occupancy.space)
@@ -31,23 +31,23 @@
   };
 }
 
-function drawRack(scheduler: schedulers.Scheduler, rack: number): string[] {
+function renderRack(scheduler: schedulers.Scheduler, rack: number): string[] {
   const first = rack * Placement.WORKERS_PER_RACK;
-  const drawn: string[] = [];
+  const lines: string[] = [];
   for (let i = 0; i < Placement.WORKERS_PER_RACK; i++) {
     const worker = scheduler.layout.workers[first + i];
-    if (worker !== undefined) drawn.push(drawWorker(scheduler, worker));
+    if (worker !== undefined) lines.push(renderWorker(scheduler, worker));
   }
-  return drawn;
+  return lines;
 }
 
-function drawWorker(
+function renderWorker(
   scheduler: schedulers.Scheduler,
   worker: layouts.CellWorker,
 ): string {
   const { occupancy } = scheduler;
   let text = "";
-  for (let bit = 0; bit < Math.min(BITS, worker.accelerators); bit++) {
+  for (let bit = 0; bit < Math.min(MASK_BITS, worker.accelerators); bit++) {
     const task = occupancy.taskAt(worker.index, bit);
     if (task === null) text += occupancy.isAvailable(worker.index) ? "." : "x";
     else if (task.entitlement === Types.Entitlement.Guaranteed) text += "g";
@@ -60,20 +60,25 @@
   scheduler: schedulers.Scheduler,
   team: Types.TeamSpec,
 ): Types.TeamStatus {
-  const own = [...scheduler.jobs()].filter((j) => j.shape.team === team.name);
-  const guaranteed = own.filter((j) =>
+  const teamJobs = [...scheduler.jobs()].filter((j) =>
+    j.shape.team === team.name
+  );
+  const guaranteedJobs = teamJobs.filter((j) =>
     j.entitlement === Types.Entitlement.Guaranteed
   );
-  const paid = team.guarantee.reduce((n, b) => n + b.accelerators * b.count, 0);
-  const usedGuaranteed = guaranteed.reduce((n, j) => n + j.size, 0);
+  const guaranteedCount = team.guarantee.reduce(
+    (n, b) => n + b.accelerators * b.count,
+    0,
+  );
+  const usedGuaranteed = guaranteedJobs.reduce((n, j) => n + j.size, 0);
   return {
     team: team.name,
     tier: team.tier,
-    guaranteed: paid,
+    guaranteed: guaranteedCount,
     used: scheduler.usedBy(team.name),
     usedGuaranteed,
-    reclaimable: paid - usedGuaranteed,
-    waiting: own.filter((j) => j.state === Types.JobState.Waiting).length,
+    reclaimable: guaranteedCount - usedGuaranteed,
+    waiting: teamJobs.filter((j) => j.state === Types.JobState.Waiting).length,
     shortfall: teamShortfall(scheduler, team),
   };
 }
@@ -83,11 +88,11 @@
   scheduler: schedulers.Scheduler,
   team: Types.TeamSpec,
 ): number {
-  const { ledger } = scheduler.occupancy;
-  const short = ledger.shortfall();
-  const unbound = ledger.unboundOf(team.name);
+  const { tracker } = scheduler.occupancy;
+  const shortfall = tracker.shortfall();
+  const unbound = tracker.unboundOf(team.name);
   let missing = 0;
-  short.forEach((count, order) => {
+  shortfall.forEach((count, order) => {
     const blocks = Math.min(count, unbound[order] ?? 0);
     missing += blocks * Placement.sizeOf(order);
   });
--- a/packages/scheduler/src/explain.ts
+++ b/packages/scheduler/src/explain.ts
@@ -14,7 +14,7 @@
 }
 
 /** Waiting jobs named in an explanation. */
-const AHEAD_LIMIT = 5;
+const MAX_AHEAD = 5;
 
 /** Explains a job that waits or runs. */
 export function explainJob(
@@ -90,16 +90,20 @@
   context: ExplainContext,
 ): Types.Reason {
   const atMs = context.nowMs;
-  const held = context.reservations.get(entry.shape.id);
-  if (held !== undefined) {
-    const racks = [...held.racks].map((r) => context.layout.racks[r]);
+  const reservation = context.reservations.get(entry.shape.id);
+  if (reservation !== undefined) {
+    const racks = [...reservation.racks].map((r) => context.layout.racks[r]);
     const detail = `rack(s) ${racks.join(", ")} are reserved for it`;
     return { kind: Types.ReasonKind.WaitsForReservation, atMs, detail };
   }
-  return { kind: Types.ReasonKind.WaitsForBlock, atMs, detail: wanted(entry) };
+  return {
+    kind: Types.ReasonKind.WaitsForBlock,
+    atMs,
+    detail: describeNeed(entry),
+  };
 }
 
-function wanted(entry: entries.JobEntry): string {
+function describeNeed(entry: entries.JobEntry): string {
   const { gang, accelerators, adjacency, repeatable } = entry.shape;
   // Work that cannot yield may not take what a team has been guaranteed.
   const where = repeatable ? "" : " outside of all guarantees";
@@ -129,7 +133,7 @@
     Types.rankTier(a.shape.tier) - Types.rankTier(b.shape.tier) ||
     entries.compareOrder(a, b)
   );
-  return ahead.slice(0, AHEAD_LIMIT).map((other) => other.shape.id);
+  return ahead.slice(0, MAX_AHEAD).map((other) => other.shape.id);
 }
 
 function describeStart(
@@ -140,13 +144,13 @@
     return "as soon as the stopping jobs have saved their progress";
   }
   if (entry.state !== Types.JobState.Waiting) return null;
-  const held = context.reservations.get(entry.shape.id);
-  if (held !== undefined) {
-    const seconds = Math.ceil((held.atMs - context.nowMs) / 1000);
+  const reservation = context.reservations.get(entry.shape.id);
+  if (reservation !== undefined) {
+    const seconds = Math.ceil((reservation.atMs - context.nowMs) / 1000);
     return `about ${Math.max(0, seconds)} s from now, by the estimates`;
   }
   if (quotaReason(entry, context) !== null) {
     return "when work of the same team ends, or its quota is raised";
   }
-  return `when ${wanted(entry)} become free`;
+  return `when ${describeNeed(entry)} become free`;
 }
--- a/packages/scheduler/src/find_guaranteed.ts
+++ b/packages/scheduler/src/find_guaranteed.ts
@@ -20,7 +20,7 @@
 }
 
 /** Trial bindings before the search gives up on one order. */
-const BINDING_TRIES = 24;
+const MAX_BINDING_TRIALS = 24;
 
 /**
  * Finds a place and binds the blocks it needs. The caller has to enter the
@@ -30,8 +30,8 @@
   entry: entries.JobEntry,
   search: regions.GuaranteedSearch,
 ): GuaranteedPlace | null {
-  const whole = findInOneRegion(entry, entry.shape.gang, search);
-  if (whole !== null) return whole;
+  const inOneBlock = findInOneRegion(entry, entry.shape.gang, search);
+  if (inOneBlock !== null) return inOneBlock;
   if (entry.shape.gang === 1) return null;
   if (entry.shape.adjacency !== Types.Adjacency.Any) return null;
   // Members may lie in several racks, so one released rack can be enough.
@@ -40,14 +40,14 @@
 }
 
 /** Unbinds the blocks of a place that no job has entered. */
-export function dropEmptyBlocks(
+export function unbindEmptyBlocks(
   occupancy: occupancies.Occupancy,
   boundIds: readonly number[],
 ): void {
   for (const id of boundIds) {
-    const bound = occupancy.ledger.get(id);
+    const bound = occupancy.tracker.get(id);
     if (bound === undefined || bound.jobs.size > 0) continue;
-    occupancy.ledger.leave(id, "");
+    occupancy.tracker.removeJob(id, "");
     occupancy.refreshRack(bound.rack);
   }
 }
@@ -61,8 +61,8 @@
   if (bound !== null && bound.cost === 0) return toPlace(bound, bound.id);
   const fresh = findNewBinding(entry, members, search);
   if (fresh !== null && (bound === null || fresh.cost < bound.cost)) {
-    const { ledger } = search.occupancy;
-    const block = ledger.bind(entry.shape.team, fresh.position);
+    const { tracker } = search.occupancy;
+    const block = tracker.bind(entry.shape.team, fresh.position);
     search.occupancy.refreshRack(block.rack);
     return toPlace(fresh, block.id);
   }
@@ -98,7 +98,7 @@
   occupancy.unclaim(entry);
   entry.slots = [];
   if (slots.length === entry.shape.gang) return { slots, boundIds, victims };
-  dropEmptyBlocks(occupancy, boundIds);
+  unbindEmptyBlocks(occupancy, boundIds);
   return null;
 }
 
@@ -108,7 +108,7 @@
   search: regions.GuaranteedSearch,
 ): (regions.RegionChoice & { id: number }) | null {
   let best: (regions.RegionChoice & { id: number }) | null = null;
-  for (const bound of search.occupancy.ledger.boundOf(entry.shape.team)) {
+  for (const bound of search.occupancy.tracker.boundOf(entry.shape.team)) {
     if (!search.racks.includes(bound.rack)) continue;
     const choice = regions.chooseInRegion(entry, members, {
       ...search,
@@ -127,12 +127,12 @@
   members: number,
   search: regions.GuaranteedSearch,
 ): Candidate | null {
-  const unbound = search.occupancy.ledger.unboundOf(entry.shape.team);
-  const least = Math.max(
+  const unbound = search.occupancy.tracker.unboundOf(entry.shape.team);
+  const minOrder = Math.max(
     entry.order,
     Placement.orderOf(members << entry.order),
   );
-  for (let order = least; order <= Placement.LARGEST_ORDER; order++) {
+  for (let order = minOrder; order <= Placement.LARGEST_ORDER; order++) {
     if (!(unbound[order] > 0)) continue;
     const found = bestBinding(entry, members, { ...search, order });
     if (found !== null) return found;
@@ -145,18 +145,18 @@
   members: number,
   search: regions.GuaranteedSearch & { order: number },
 ): Candidate | null {
-  const { ledger } = search.occupancy;
+  const { tracker } = search.occupancy;
   // Guarantees that are already short do not take away one that still fits.
-  const mayBind = ledger.holds()
-    ? (found: Candidate) => ledger.holdsAfterBinding(found.position)
+  const mayBind = tracker.holds()
+    ? (found: Candidate) => tracker.holdsAfterBinding(found.position)
     : () => true;
-  if (!search.mayEvict) {
+  if (!search.mayPreempt) {
     return firstFreeBinding(entry, members, search, mayBind);
   }
   const candidates = rankRacks(entry, members, search)
     .flatMap((rack) => listInRack(entry, members, { ...search, ...rack }));
   candidates.sort((a, b) => a.cost - b.cost);
-  return candidates.slice(0, BINDING_TRIES).find(mayBind) ?? null;
+  return candidates.slice(0, MAX_BINDING_TRIALS).find(mayBind) ?? null;
 }
 
 /** The best rack that has room for the job right now. */
@@ -169,7 +169,7 @@
   for (const rack of rankRacks(entry, members, search)) {
     const found = listInRack(entry, members, { ...search, ...rack });
     found.sort((a, b) => a.cost - b.cost);
-    const usable = found.slice(0, BINDING_TRIES).find(mayBind);
+    const usable = found.slice(0, MAX_BINDING_TRIALS).find(mayBind);
     if (usable !== undefined) return usable;
   }
   return null;
@@ -187,16 +187,16 @@
   members: number,
   search: regions.GuaranteedSearch & { order: number },
 ): RankedRack[] {
-  const { ledger, space } = search.occupancy;
+  const { tracker, space } = search.occupancy;
   const ranked: RankedRack[] = [];
   for (const rack of search.racks) {
-    const fit = ledger.space.smallestFit(rack, search.order);
+    const fit = tracker.space.smallestFit(rack, search.order);
     if (fit < 0) continue;
     const hasRoom = space.blocksInRack(rack, entry.order) >= members;
-    if (!search.mayEvict && !hasRoom) continue;
+    if (!search.mayPreempt && !hasRoom) continue;
     // Where the job breaks a block counts before where its guarantee does.
-    const breaks = space.smallestFit(rack, entry.order);
-    const rank = breaks * 1e4 + fit * 1e2 + space.freeInRack(rack);
+    const splitOrder = space.smallestFit(rack, entry.order);
+    const rank = splitOrder * 1e4 + fit * 1e2 + space.freeInRack(rack);
     ranked.push({ rack, fit, rank });
   }
   return ranked.sort((a, b) => a.rank - b.rank);
@@ -216,7 +216,7 @@
     offset += step
   ) {
     const position = { rack, offset, order };
-    if (!occupancy.ledger.space.isFree(position)) continue;
+    if (!occupancy.tracker.space.isFree(position)) continue;
     const choice = regions.chooseInRegion(entry, members, {
       ...search,
       region: position,
--- a/packages/scheduler/src/find_with_eviction.ts
+++ b/packages/scheduler/src/find_with_eviction.ts
@@ -6,7 +6,7 @@
 import * as packing from "./packing_policy.ts";
 
 /** A place with the work that has to yield, and its price. */
-export interface EvictionPlace {
+export interface PreemptionPlace {
   readonly slots: Types.Slot[];
   readonly victims: Set<entries.JobEntry>;
   /** In accelerator-milliseconds. */
@@ -14,26 +14,26 @@
 }
 
 /** Limits of the search. */
-export interface EvictionSearch {
+export interface PreemptionSearch {
   readonly occupancy: occupancies.Occupancy;
   readonly nowMs: number;
-  readonly mayEvict: (victim: entries.JobEntry) => boolean;
+  readonly mayPreempt: (victim: entries.JobEntry) => boolean;
   readonly allowed: packing.RackFilter;
   /** Racks to look at. */
   readonly racks: readonly number[];
 }
 
-interface PricedSlot {
+interface SlotCandidate {
   readonly slot: Types.Slot;
   readonly cost: number;
 }
 
 /** The cheapest place in one rack; null where no rack can be opened. */
-export function findWithEviction(
+export function findWithPreemption(
   entry: entries.JobEntry,
-  search: EvictionSearch,
-): EvictionPlace | null {
-  let best: EvictionPlace | null = null;
+  search: PreemptionSearch,
+): PreemptionPlace | null {
+  let best: PreemptionPlace | null = null;
   for (const rack of search.racks) {
     if (!search.allowed(rack)) continue;
     const place = cheapestInRack(entry, rack, search);
@@ -46,17 +46,17 @@
 function cheapestInRack(
   entry: entries.JobEntry,
   rack: number,
-  search: EvictionSearch,
-): EvictionPlace | null {
+  search: PreemptionSearch,
+): PreemptionPlace | null {
   const { gang, adjacency } = entry.shape;
   if (adjacency !== Types.Adjacency.Worker || gang === 1) {
-    return cheapestSlots(entry, priceRack(entry, rack, search), search);
+    return cheapestSlots(entry, listCandidates(entry, rack, search), search);
   }
-  let best: EvictionPlace | null = null;
+  let best: PreemptionPlace | null = null;
   const first = rack * Placement.WORKERS_PER_RACK;
-  const priced = priceRack(entry, rack, search);
+  const candidates = listCandidates(entry, rack, search);
   for (let i = 0; i < Placement.WORKERS_PER_RACK; i++) {
-    const inWorker = priced.filter((p) => p.slot.worker === first + i);
+    const inWorker = candidates.filter((p) => p.slot.worker === first + i);
     const place = cheapestSlots(entry, inWorker, search);
     if (place !== null && (best === null || place.cost < best.cost)) {
       best = place;
@@ -65,22 +65,22 @@
   return best;
 }
 
-function priceRack(
+function listCandidates(
   entry: entries.JobEntry,
   rack: number,
-  search: EvictionSearch,
-): PricedSlot[] {
+  search: PreemptionSearch,
+): SlotCandidate[] {
   const size = Placement.sizeOf(entry.order);
-  const priced: PricedSlot[] = [];
+  const candidates: SlotCandidate[] = [];
   for (let at = 0; at < Placement.ACCELERATORS_PER_RACK; at += size) {
     const slot = packing.slotAt(rack, at, size);
-    const cost = priceSlot(slot, search);
-    if (cost !== null) priced.push({ slot, cost });
+    const cost = costOfSlot(slot, search);
+    if (cost !== null) candidates.push({ slot, cost });
   }
-  return priced;
+  return candidates;
 }
 
-function priceSlot(slot: Types.Slot, search: EvictionSearch): number | null {
+function costOfSlot(slot: Types.Slot, search: PreemptionSearch): number | null {
   const { occupancy, nowMs } = search;
   if (!occupancy.isAvailable(slot.worker)) return null;
   if ((occupancy.space.usedMask(slot.worker) & slot.mask) === 0) return 0;
@@ -89,7 +89,7 @@
   if (victims.length === 0) return null;
   let cost = 0;
   for (const victim of victims) {
-    if (!entries.canYield(victim) || !search.mayEvict(victim)) return null;
+    if (!entries.canYield(victim) || !search.mayPreempt(victim)) return null;
     cost += entries.yieldCost(victim, nowMs);
   }
   return cost;
@@ -97,12 +97,12 @@
 
 function cheapestSlots(
   entry: entries.JobEntry,
-  priced: PricedSlot[],
-  search: EvictionSearch,
-): EvictionPlace | null {
-  if (priced.length < entry.shape.gang) return null;
-  priced.sort((a, b) => a.cost - b.cost);
-  const slots = priced.slice(0, entry.shape.gang).map((p) => p.slot);
+  candidates: SlotCandidate[],
+  search: PreemptionSearch,
+): PreemptionPlace | null {
+  if (candidates.length < entry.shape.gang) return null;
+  candidates.sort((a, b) => a.cost - b.cost);
+  const slots = candidates.slice(0, entry.shape.gang).map((p) => p.slot);
   const victims = new Set<entries.JobEntry>();
   for (const slot of slots) {
     for (const victim of search.occupancy.tasksIn(slot)) victims.add(victim);
--- a/packages/scheduler/src/histories_test.ts
+++ b/packages/scheduler/src/histories_test.ts
@@ -23,7 +23,7 @@
   buildTeam("c"),
 ];
 
-enum Step {
+enum OperationKind {
   Submit,
   Finish,
   Cancel,
@@ -31,8 +31,8 @@
   ReturnWorker,
 }
 
-interface Move {
-  readonly step: Step;
+interface Operation {
+  readonly kind: OperationKind;
   readonly pick: number;
   readonly shape: Types.JobShape;
 }
@@ -51,17 +51,17 @@
   estimateMs: fc.option(fc.integer({ min: 1000, max: 500_000 })),
 });
 
-const moves: fc.Arbitrary<Move[]> = fc.array(
+const operationLists: fc.Arbitrary<Operation[]> = fc.array(
   fc.record({
-    step: fc.constantFrom(
-      Step.Submit,
-      Step.Submit,
-      Step.Submit,
-      Step.Finish,
-      Step.Finish,
-      Step.Cancel,
-      Step.LoseWorker,
-      Step.ReturnWorker,
+    kind: fc.constantFrom(
+      OperationKind.Submit,
+      OperationKind.Submit,
+      OperationKind.Submit,
+      OperationKind.Finish,
+      OperationKind.Finish,
+      OperationKind.Cancel,
+      OperationKind.LoseWorker,
+      OperationKind.ReturnWorker,
     ),
     pick: fc.nat(),
     shape: shapes.map((changes) => buildJobShape("x", changes)),
@@ -70,7 +70,7 @@
 );
 
 /** Keeps books of its own over what a scheduler decides. */
-class Books {
+class Simulation {
   readonly scheduler: cores.SchedulerCore;
   readonly layout: layouts.CellLayout;
   readonly running = new Map<string, readonly Types.Slot[]>();
@@ -89,23 +89,23 @@
     }
   }
 
-  apply(move: Move, index: number): void {
+  apply(operation: Operation, index: number): void {
     this.nowMs += 1000;
-    switch (move.step) {
-      case Step.Submit: {
+    switch (operation.kind) {
+      case OperationKind.Submit: {
         const id = `j${index}`;
-        const shape = { ...move.shape, id, submittedAtMs: this.nowMs };
+        const shape = { ...operation.shape, id, submittedAtMs: this.nowMs };
         this.waiting.set(id, shape);
         return this.scheduler.submit(shape, { nowMs: this.nowMs });
       }
-      case Step.Finish:
-        return this.#finish(pickOf([...this.running.keys()], move.pick));
-      case Step.Cancel:
-        return this.#finish(pickOf([...this.waiting.keys()], move.pick));
-      case Step.LoseWorker:
-        return this.#loseWorker(move.pick);
-      case Step.ReturnWorker: {
-        const worker = pickOf([...this.lost], move.pick);
+      case OperationKind.Finish:
+        return this.#finish(pickOf([...this.running.keys()], operation.pick));
+      case OperationKind.Cancel:
+        return this.#finish(pickOf([...this.waiting.keys()], operation.pick));
+      case OperationKind.LoseWorker:
+        return this.#loseWorker(operation.pick);
+      case OperationKind.ReturnWorker: {
+        const worker = pickOf([...this.lost], operation.pick);
         if (worker === undefined) return;
         this.lost.delete(worker);
         return this.scheduler.setWorkerAvailable(worker, true);
@@ -114,7 +114,7 @@
   }
 
   /** Plans until nothing more happens; victims stop at once. */
-  settle(): void {
+  planUntilStable(): void {
     for (let round = 0; round < 200; round++) {
       const decisions = this.scheduler.plan(this.nowMs);
       if (decisions.length === 0) return;
@@ -180,8 +180,8 @@
   }
 
   #loseWorker(pick: number): void {
-    const known = this.layout.workers.flatMap((w) => w?.index ?? []);
-    const worker = pickOf(known.filter((w) => !this.lost.has(w)), pick)!;
+    const workers = this.layout.workers.flatMap((w) => w?.index ?? []);
+    const worker = pickOf(workers.filter((w) => !this.lost.has(w)), pick)!;
     if (this.lost.size > 3) return;
     this.lost.add(worker);
     this.scheduler.setWorkerAvailable(worker, false);
@@ -205,24 +205,24 @@
 /** Guarantees recomputed from nothing but the running jobs, by brute force. */
 function guaranteesFit(
   scheduler: schedulers.Scheduler,
-  books: Books,
+  simulation: Simulation,
 ): boolean {
-  const { ledger } = scheduler.occupancy;
-  const space = new Placement.BuddySpace(books.layout.racks.length);
-  books.layout.workers.forEach((worker, index) => {
+  const { tracker } = scheduler.occupancy;
+  const space = new Placement.BuddySpace(simulation.layout.racks.length);
+  simulation.layout.workers.forEach((worker, index) => {
     const own = worker === undefined ? 0 : 0xff;
-    const usable = books.lost.has(index) ? 0 : own;
+    const usable = simulation.lost.has(index) ? 0 : own;
     space.setUsedMask(index, 0xff & ~usable);
   });
   const take = (worker: number, mask: number) =>
     space.setUsedMask(worker, space.usedMask(worker) | mask);
-  for (const [id, slots] of books.running) {
+  for (const [id, slots] of simulation.running) {
     const entry = scheduler.get(id)!;
     const isFixed = !entry.shape.repeatable &&
       entry.entitlement === Types.Entitlement.Opportunistic;
     if (isFixed) { for (const { worker, mask } of slots) take(worker, mask); }
   }
-  for (const bound of ledger.allBound()) {
+  for (const bound of tracker.allBound()) {
     for (let at = bound.offset; at < bound.offset + (1 << bound.order); at++) {
       take(bound.rack * 8 + (at >> 3), 1 << (at & 7));
     }
@@ -233,7 +233,7 @@
 function unboundOrders(scheduler: schedulers.Scheduler): number[] {
   const orders: number[] = [];
   for (const { name } of TEAMS) {
-    scheduler.occupancy.ledger.unboundOf(name).forEach((count, order) => {
+    scheduler.occupancy.tracker.unboundOf(name).forEach((count, order) => {
       for (let i = 0; i < count; i++) orders.push(order);
     });
   }
@@ -264,18 +264,18 @@
 describe("generated histories", () => {
   test("never break a guarantee that the workers left could keep", () => {
     fc.assert(
-      fc.property(moves, (history) => {
+      fc.property(operationLists, (history) => {
         const layout = makeLayout();
         const chosen = policies.createPolicies(layout.weighting);
         const scheduler = new schedulers.Scheduler(layout, chosen);
-        const books = new Books(scheduler, layout);
-        history.forEach((move, i) => {
-          books.apply(move, i);
-          books.settle();
-          books.check();
-          const holds = scheduler.occupancy.ledger.holds();
-          expect(holds).toBe(guaranteesFit(scheduler, books));
-          if (books.lost.size === 0 && everyLossHealed(history, i)) {
+        const simulation = new Simulation(scheduler, layout);
+        history.forEach((operation, i) => {
+          simulation.apply(operation, i);
+          simulation.planUntilStable();
+          simulation.check();
+          const holds = scheduler.occupancy.tracker.holds();
+          expect(holds).toBe(guaranteesFit(scheduler, simulation));
+          if (simulation.lost.size === 0 && hasNoLoss(history, i)) {
             expect(holds).toBe(true);
           }
         });
@@ -286,23 +286,23 @@
 
   test("end every job once the others are gone, as naive does", () => {
     fc.assert(
-      fc.property(moves, (history) => {
+      fc.property(operationLists, (history) => {
         const layout = makeLayout();
         const chosen = policies.createPolicies(layout.weighting);
-        const ours = new Books(
+        const own = new Simulation(
           new schedulers.Scheduler(layout, chosen),
           layout,
         );
-        const naive = new Books(new Naive.NaiveScheduler(layout), layout);
-        const submits = history.filter((m) => m.step === Step.Submit);
-        for (const books of [ours, naive]) {
-          submits.forEach((move, i) => books.apply(move, i));
-          drain(books);
+        const naive = new Simulation(new Naive.NaiveScheduler(layout), layout);
+        const submits = history.filter((m) => m.kind === OperationKind.Submit);
+        for (const simulation of [own, naive]) {
+          submits.forEach((operation, i) => simulation.apply(operation, i));
+          drain(simulation);
         }
         // A job that fits on an empty cell ends under both; no other does.
-        expect([...ours.waiting.keys()].filter(fitsQuota(ours))).toEqual(
+        expect([...own.waiting.keys()].filter(fitsQuota(own))).toEqual(
           [...naive.waiting.keys()].filter(fitsQuota(naive)).filter(
-            (id) => ours.waiting.has(id),
+            (id) => own.waiting.has(id),
           ),
         );
       }),
@@ -312,13 +312,15 @@
 });
 
 /** Whether no worker was lost up to a move. */
-function everyLossHealed(history: readonly Move[], until: number): boolean {
-  return history.slice(0, until + 1).every((m) => m.step !== Step.LoseWorker);
+function hasNoLoss(history: readonly Operation[], until: number): boolean {
+  return history.slice(0, until + 1).every((m) =>
+    m.kind !== OperationKind.LoseWorker
+  );
 }
 
-function fitsQuota(books: Books): (id: string) => boolean {
+function fitsQuota(simulation: Simulation): (id: string) => boolean {
   return (id) => {
-    const shape = books.waiting.get(id)!;
+    const shape = simulation.waiting.get(id)!;
     const team = TEAMS.find((t) => t.name === shape.team)!;
     // What cannot yield may rightly wait for ever beside guarantees.
     if (!shape.repeatable) return false;
@@ -328,14 +330,14 @@
 }
 
 /** Ends running jobs one after another until nothing starts any more. */
-function drain(books: Books): void {
-  books.settle();
-  while (books.running.size > 0) {
-    const [id] = books.running.keys();
-    books.nowMs += 60_000;
-    books.running.delete(id);
-    books.scheduler.finish(id);
-    books.settle();
-    books.check();
+function drain(simulation: Simulation): void {
+  simulation.planUntilStable();
+  while (simulation.running.size > 0) {
+    const [id] = simulation.running.keys();
+    simulation.nowMs += 60_000;
+    simulation.running.delete(id);
+    simulation.scheduler.finish(id);
+    simulation.planUntilStable();
+    simulation.check();
   }
 }
--- a/packages/scheduler/src/holdings.ts
+++ b/packages/scheduler/src/holdings.ts
@@ -4,7 +4,7 @@
 import type * as occupancies from "./occupancy.ts";
 
 /** A job that has its slots; the victims still have to stop. */
-export interface Placed {
+export interface PlacedJob {
   readonly victims: ReadonlySet<entries.JobEntry>;
 }
 
@@ -17,7 +17,7 @@
 }
 
 /** Gives places to jobs and takes them back. */
-export class Holdings {
+export class Allocator {
   readonly #occupancy: occupancies.Occupancy;
   readonly #used = new Map<string, number>();
 
@@ -35,9 +35,9 @@
     if (entry.slots.length === 0) return;
     this.#occupancy.unclaim(entry);
     this.#occupancy.vacate(entry);
-    this.#leaveGuarantee(entry);
-    if (entry.fixed) this.#setFixed(entry, false);
-    this.#count(entry, -entry.size);
+    this.#releaseBlocks(entry);
+    if (entry.isFixed) this.#setFixed(entry, false);
+    this.#addUse(entry, -entry.size);
     for (const victim of entry.victims) victim.claimant = null;
     entry.victims = new Set();
     entry.claimant = null;
@@ -46,11 +46,11 @@
   }
 
   /** Claims a place; the job starts when its victims have stopped. */
-  take(
+  claim(
     entry: entries.JobEntry,
     place: FoundPlace,
     nowMs: number,
-  ): Placed {
+  ): PlacedJob {
     const victims = place.victims ?? new Set<entries.JobEntry>();
     this.hold(entry, place);
     this.#occupancy.claim(entry, entry.slots);
@@ -60,7 +60,7 @@
     if (victims.size > 0) {
       const detail = `${victims.size} job(s) have to yield first`;
       const atMs = nowMs;
-      entries.note(entry, Types.ReasonKind.Claiming, { atMs, detail });
+      entries.addHistory(entry, Types.ReasonKind.Claiming, { atMs, detail });
     }
     return { victims };
   }
@@ -77,35 +77,35 @@
       ? Types.Entitlement.Guaranteed
       : Types.Entitlement.Opportunistic;
     for (const id of entry.boundIds) {
-      this.#occupancy.ledger.enter(id, entry.shape.id, 1 << entry.order);
+      this.#occupancy.tracker.addJob(id, entry.shape.id, 1 << entry.order);
     }
     if (!isGuaranteed && !entry.shape.repeatable) this.#setFixed(entry, true);
-    this.#count(entry, entry.size);
+    this.#addUse(entry, entry.size);
   }
 
   #setFixed(entry: entries.JobEntry, fixed: boolean): void {
-    const { ledger } = this.#occupancy;
-    entry.fixed = fixed;
+    const { tracker } = this.#occupancy;
+    entry.isFixed = fixed;
     for (const slot of entry.slots) {
-      if (fixed) ledger.mark(slot.worker, slot.mask);
-      else ledger.unmark(slot.worker, slot.mask);
+      if (fixed) tracker.mark(slot.worker, slot.mask);
+      else tracker.unmark(slot.worker, slot.mask);
       this.#occupancy.refresh(slot.worker);
     }
   }
 
-  #leaveGuarantee(entry: entries.JobEntry): void {
-    const { ledger } = this.#occupancy;
+  #releaseBlocks(entry: entries.JobEntry): void {
+    const { tracker } = this.#occupancy;
     for (const id of new Set(entry.boundIds)) {
-      const rack = ledger.get(id)?.rack;
-      ledger.leave(id, entry.shape.id);
+      const rack = tracker.get(id)?.rack;
+      tracker.removeJob(id, entry.shape.id);
       if (rack !== undefined) this.#occupancy.refreshRack(rack);
     }
     entry.boundIds = [];
   }
 
-  #count(entry: entries.JobEntry, by: number): void {
+  #addUse(entry: entries.JobEntry, delta: number): void {
     const { team } = entry.shape;
-    this.#used.set(team, this.usedBy(team) + by);
+    this.#used.set(team, this.usedBy(team) + delta);
   }
 }
 
@@ -116,7 +116,7 @@
 ): void {
   victim.state = Types.JobState.Yielding;
   victim.claimant = claimant;
-  entries.note(victim, Types.ReasonKind.Yielded, {
+  entries.addHistory(victim, Types.ReasonKind.Yielded, {
     atMs: nowMs,
     detail: `to ${claimant.shape.id} of ${claimant.shape.team}`,
   });
--- a/packages/scheduler/src/job_entry.ts
+++ b/packages/scheduler/src/job_entry.ts
@@ -5,11 +5,11 @@
 /** Time to stop a job and start it elsewhere, in milliseconds. */
 export const RESTART_MS = 30_000;
 /** Cost of breaking a gang, in accelerator-milliseconds for each member. */
-export const GANG_BREAK_MS = 10_000;
+export const GANG_BREAK_COST_MS = 10_000;
 /** Assumed run time where nothing is known, in milliseconds. */
 export const DEFAULT_ESTIMATE_MS = 600_000;
 /** Lines of history kept for each job. */
-const HISTORY_LIMIT = 24;
+const MAX_HISTORY_LENGTH = 24;
 
 /** A job in the scheduler, waiting or running. */
 export interface JobEntry {
@@ -24,8 +24,8 @@
   entitlement: Types.Entitlement | null;
   /** Bound guaranteed blocks that the job lies in. */
   boundIds: number[];
-  /** Whether the ledger counts the job's accelerators as fixed. */
-  fixed: boolean;
+  /** Whether the tracker counts the job's accelerators as fixed. */
+  isFixed: boolean;
   /** Where the job runs now, when it started there; 0 while waiting. */
   startedAtMs: number;
   /** Share of the work that is done and saved, 0 to 1. */
@@ -55,7 +55,7 @@
     slots: [],
     entitlement: null,
     boundIds: [],
-    fixed: false,
+    isFixed: false,
     startedAtMs: 0,
     progress,
     victims: new Set(),
@@ -76,13 +76,13 @@
 }
 
 /** Adds a line to a job's history. */
-export function note(
+export function addHistory(
   entry: JobEntry,
   kind: Types.ReasonKind,
   at: { atMs: number; detail: string },
 ): void {
   entry.history.push({ kind, ...at });
-  if (entry.history.length > HISTORY_LIMIT) entry.history.splice(1, 1);
+  if (entry.history.length > MAX_HISTORY_LENGTH) entry.history.splice(1, 1);
 }
 
 /** Estimated time until a job would end if it started now. */
@@ -106,9 +106,9 @@
 
 /** Accelerator-milliseconds lost when a running job is stopped now. */
 export function yieldCost(entry: JobEntry, nowMs: number): number {
-  const ran = Math.max(0, nowMs - entry.startedAtMs);
-  const interval = entry.shape.checkpointMs;
-  const lost = interval === null ? ran : Math.min(ran, interval);
-  return entry.size * (lost + RESTART_MS) +
-    entry.shape.gang * GANG_BREAK_MS;
+  const ranMs = Math.max(0, nowMs - entry.startedAtMs);
+  const intervalMs = entry.shape.checkpointMs;
+  const lostMs = intervalMs === null ? ranMs : Math.min(ranMs, intervalMs);
+  return entry.size * (lostMs + RESTART_MS) +
+    entry.shape.gang * GANG_BREAK_COST_MS;
 }
--- a/packages/scheduler/src/layout.ts
+++ b/packages/scheduler/src/layout.ts
@@ -30,8 +30,8 @@
   ).fill(undefined);
   names.forEach((name, rack) => {
     const spec = cfg.racks.find((r) => r.name === name);
-    spec?.workers.forEach((worker, place) => {
-      const index = rack * Placement.WORKERS_PER_RACK + place;
+    spec?.workers.forEach((worker, position) => {
+      const index = rack * Placement.WORKERS_PER_RACK + position;
       workers[index] = { ...worker, index, rack };
     });
   });
--- a/packages/scheduler/src/occupancy.ts
+++ b/packages/scheduler/src/occupancy.ts
@@ -5,16 +5,16 @@
 import type * as entries from "./job_entry.ts";
 import type * as layouts from "./layout.ts";
 
-const BITS = 8;
+const MASK_BITS = 8;
 
-/** Occupancy of a cell, with its ledger of guaranteed shapes. */
+/** Occupancy of a cell, with its tracker of guaranteed shapes. */
 export class Occupancy {
   readonly layout: layouts.CellLayout;
   /** Free means: no task, no claim, available. */
   readonly space: Placement.BuddySpace;
-  /** Free means: free in `space` and not bound or fixed in the ledger. */
-  readonly open: Placement.BuddySpace;
-  readonly ledger: Placement.GuaranteeLedger;
+  /** Free means: free in `space` and not bound or fixed in the tracker. */
+  readonly unguaranteed: Placement.BuddySpace;
+  readonly tracker: Placement.GuaranteeTracker;
   readonly #tasks: (entries.JobEntry | null)[];
   readonly #claims: (entries.JobEntry | null)[];
   readonly #missing: Uint8Array;
@@ -29,21 +29,21 @@
     const racks = layout.racks.length;
     this.layout = layout;
     this.space = new Placement.BuddySpace(racks);
-    this.open = new Placement.BuddySpace(racks);
-    this.ledger = new Placement.GuaranteeLedger(
+    this.unguaranteed = new Placement.BuddySpace(racks);
+    this.tracker = new Placement.GuaranteeTracker(
       racks,
       guarantees.listDemands(layout.teams),
     );
     const workers = layout.workers.length;
-    this.#tasks = new Array(workers * BITS).fill(null);
-    this.#claims = new Array(workers * BITS).fill(null);
+    this.#tasks = new Array(workers * MASK_BITS).fill(null);
+    this.#claims = new Array(workers * MASK_BITS).fill(null);
     this.#available = new Array(workers).fill(false);
     this.#releasedAt = new Int32Array(racks);
     this.#allRacks = layout.racks.map((_, rack) => rack);
     this.#changed = { since: -1, at: 0, racks: this.#allRacks };
     this.#missing = Uint8Array.from(layout.workers, guarantees.missingMask);
     for (let worker = 0; worker < workers; worker++) {
-      this.ledger.mark(worker, Placement.FULL_MASK);
+      this.tracker.mark(worker, Placement.FULL_MASK);
       this.refresh(worker);
     }
   }
@@ -80,23 +80,23 @@
     if (this.#available[worker] === available) return;
     const own = Placement.FULL_MASK & ~this.#missing[worker];
     this.#available[worker] = available;
-    if (available) this.ledger.unmark(worker, own);
-    else this.ledger.mark(worker, own);
+    if (available) this.tracker.unmark(worker, own);
+    else this.tracker.mark(worker, own);
     this.refresh(worker);
     this.noteRelease(Math.floor(worker / Placement.WORKERS_PER_RACK));
   }
 
   /** The job whose task occupies an accelerator. */
   taskAt(worker: number, bit: number): entries.JobEntry | null {
-    return this.#tasks[worker * BITS + bit];
+    return this.#tasks[worker * MASK_BITS + bit];
   }
 
   /** Jobs whose tasks overlap a slot; each once. */
   tasksIn(slot: Types.Slot): entries.JobEntry[] {
     const found: entries.JobEntry[] = [];
-    for (let bit = 0; bit < BITS; bit++) {
+    for (let bit = 0; bit < MASK_BITS; bit++) {
       if ((slot.mask & (1 << bit)) === 0) continue;
-      const entry = this.#tasks[slot.worker * BITS + bit];
+      const entry = this.#tasks[slot.worker * MASK_BITS + bit];
       if (entry !== null && !found.includes(entry)) found.push(entry);
     }
     return found;
@@ -104,9 +104,9 @@
 
   /** Whether a job has claimed a part of a slot. */
   isClaimed(slot: Types.Slot): boolean {
-    for (let bit = 0; bit < BITS; bit++) {
+    for (let bit = 0; bit < MASK_BITS; bit++) {
       if ((slot.mask & (1 << bit)) === 0) continue;
-      if (this.#claims[slot.worker * BITS + bit] !== null) return true;
+      if (this.#claims[slot.worker * MASK_BITS + bit] !== null) return true;
     }
     return false;
   }
@@ -135,14 +135,17 @@
   refresh(worker: number): void {
     let used = this.#missing[worker];
     if (!this.#available[worker]) used = Placement.FULL_MASK;
-    for (let bit = 0; bit < BITS; bit++) {
-      const at = worker * BITS + bit;
+    for (let bit = 0; bit < MASK_BITS; bit++) {
+      const at = worker * MASK_BITS + bit;
       if (this.#tasks[at] !== null || this.#claims[at] !== null) {
         used |= 1 << bit;
       }
     }
     this.space.setUsedMask(worker, used);
-    this.open.setUsedMask(worker, used | this.ledger.space.usedMask(worker));
+    this.unguaranteed.setUsedMask(
+      worker,
+      used | this.tracker.space.usedMask(worker),
+    );
   }
 
   /** Recomputes the masks of the workers of a rack. */
@@ -159,8 +162,8 @@
     entry: entries.JobEntry | null,
   ): void {
     for (const slot of slots) {
-      for (let bit = 0; bit < BITS; bit++) {
-        if (slot.mask & (1 << bit)) into[slot.worker * BITS + bit] = entry;
+      for (let bit = 0; bit < MASK_BITS; bit++) {
+        if (slot.mask & (1 << bit)) into[slot.worker * MASK_BITS + bit] = entry;
       }
       this.refresh(slot.worker);
     }
@@ -172,8 +175,8 @@
     entry: entries.JobEntry,
   ): void {
     for (const slot of entry.slots) {
-      for (let bit = 0; bit < BITS; bit++) {
-        const at = slot.worker * BITS + bit;
+      for (let bit = 0; bit < MASK_BITS; bit++) {
+        const at = slot.worker * MASK_BITS + bit;
         if ((slot.mask & (1 << bit)) && from[at] === entry) from[at] = null;
       }
       this.refresh(slot.worker);
--- a/packages/scheduler/src/packing_policy.ts
+++ b/packages/scheduler/src/packing_policy.ts
@@ -33,9 +33,11 @@
     }
     const want = { order: entry.order, count: gang };
     const rack = this.#bestRack(space, want, search);
-    if (rack >= 0) return space.tryOut(() => takeBlocks(space, rack, want));
+    if (rack >= 0) return space.runTrial(() => takeBlocks(space, rack, want));
     if (adjacency === Types.Adjacency.Rack || gang === 1) return null;
-    return space.tryOut(() => this.#spread(space, want, search.allowed));
+    return space.runTrial(() =>
+      this.#findAcrossRacks(space, want, search.allowed)
+    );
   }
 
   #findInWorker(
@@ -49,7 +51,7 @@
     if (rack < 0) return null;
     const within = space.smallestFit(rack, order);
     const block = space.findIn(rack, order, within)!;
-    return carveMembers(block, entry);
+    return splitBlock(block, entry);
   }
 
   #bestRack(
@@ -70,22 +72,24 @@
   }
 
   /** Few racks: the fullest contribution first, the rest in one best rack. */
-  #spread(
+  #findAcrossRacks(
     space: Placement.BuddySpace,
     want: { order: number; count: number },
     allowed: RackFilter,
   ): Types.Slot[] | null {
     const slots: Types.Slot[] = [];
     const racks = Array.from({ length: space.rackCount }, (_, rack) => rack);
-    let left = want.count;
-    while (left > 0) {
-      const rest = { order: want.order, count: left };
+    let remaining = want.count;
+    while (remaining > 0) {
+      const rest = { order: want.order, count: remaining };
       const rack = this.#bestRack(space, rest, { racks, allowed });
-      const from = rack >= 0 ? rack : roomiestRack(space, want.order, allowed);
+      const from = rack >= 0
+        ? rack
+        : rackWithMostBlocks(space, want.order, allowed);
       if (from < 0) return null;
-      const count = Math.min(left, space.blocksInRack(from, want.order));
+      const count = Math.min(remaining, space.blocksInRack(from, want.order));
       slots.push(...takeBlocks(space, from, { order: want.order, count }));
-      left -= count;
+      remaining -= count;
     }
     return slots;
   }
@@ -120,7 +124,7 @@
 }
 
 /** Cuts a block into one slot for each member. */
-export function carveMembers(
+export function splitBlock(
   block: { rack: number; offset: number },
   entry: entries.JobEntry,
 ): Types.Slot[] {
@@ -144,7 +148,7 @@
   };
 }
 
-function roomiestRack(
+function rackWithMostBlocks(
   space: Placement.BuddySpace,
   order: number,
   allowed: RackFilter,
--- a/packages/scheduler/src/placer.ts
+++ b/packages/scheduler/src/placer.ts
@@ -6,14 +6,14 @@
  * has waited.
  */
 import * as Types from "@cairngate/types";
-import * as guaranteed from "./find_guaranteed.ts";
-import * as eviction from "./find_with_eviction.ts";
-import * as holdings from "./holdings.ts";
+import * as guarantees from "./find_guaranteed.ts";
+import * as preemption from "./find_with_eviction.ts";
+import * as allocator from "./holdings.ts";
 import * as entries from "./job_entry.ts";
 import type * as occupancies from "./occupancy.ts";
 import type * as policies from "./policies.ts";
 import type * as reservations from "./reservations.ts";
-import * as adoption from "./adopt_running.ts";
+import * as bindings from "./adopt_running.ts";
 
 /** What a placer works on. */
 export interface PlacerOptions {
@@ -23,25 +23,25 @@
 }
 
 /** When a job is tried, and the racks that have changed since the last try. */
-export interface PlaceTime {
+export interface PlaceAttempt {
   readonly nowMs: number;
   readonly racks: readonly number[];
 }
 
 /** Gangs smaller than this are not worth moving work for. */
-const REPAIR_FROM_SIZE = 8;
+const MIN_REPAIR_SIZE = 8;
 
 /** Finds places for jobs. */
 export class Placer {
   readonly #occupancy: occupancies.Occupancy;
   readonly #reservations: reservations.Reservations;
   readonly #policies: policies.SchedulerPolicies;
-  readonly #holdings: holdings.Holdings;
+  readonly #allocator: allocator.Allocator;
   readonly #teams: ReadonlyMap<string, Types.TeamSpec>;
 
   constructor(options: PlacerOptions) {
     this.#occupancy = options.occupancy;
-    this.#holdings = new holdings.Holdings(options.occupancy);
+    this.#allocator = new allocator.Allocator(options.occupancy);
     this.#reservations = options.reservations;
     this.#policies = options.policies;
     this.#teams = new Map(
@@ -51,19 +51,22 @@
 
   /** Accelerators that a team has in use or claimed. */
   usedBy(team: string): number {
-    return this.#holdings.usedBy(team);
+    return this.#allocator.usedBy(team);
   }
 
   /** Gives back everything the job holds. */
   release(entry: entries.JobEntry): void {
-    this.#holdings.release(entry);
+    this.#allocator.release(entry);
   }
 
   /** Use of a team as a share of its guarantee, at least one accelerator. */
   shareInUse(team: string): number {
     const guarantee = this.#teams.get(team)?.guarantee ?? [];
-    const paid = guarantee.reduce((n, b) => n + b.accelerators * b.count, 0);
-    return this.usedBy(team) / Math.max(1, paid);
+    const guaranteedCount = guarantee.reduce(
+      (n, b) => n + b.accelerators * b.count,
+      0,
+    );
+    return this.usedBy(team) / Math.max(1, guaranteedCount);
   }
 
   /** Whether the job would take its team over its quota. */
@@ -73,15 +76,18 @@
   }
 
   /** Gives the job its slots; null where it has to wait. */
-  place(entry: entries.JobEntry, when: PlaceTime): holdings.Placed | null {
+  place(
+    entry: entries.JobEntry,
+    attempt: PlaceAttempt,
+  ): allocator.PlacedJob | null {
     if (this.isOverQuota(entry)) return null;
-    if (when.racks.length === 0) return null;
-    return this.#placePacked(entry, when) ??
-      this.#placeGuaranteed(entry, when, false) ??
-      this.#placeFree(entry, when) ??
-      this.#placeGuaranteed(entry, when, true) ??
-      this.#displaceLowerTiers(entry, when) ??
-      this.#openBlock(entry, when);
+    if (attempt.racks.length === 0) return null;
+    return this.#placePacked(entry, attempt) ??
+      this.#placeGuaranteed(entry, attempt, false) ??
+      this.#placeFree(entry, attempt) ??
+      this.#placeGuaranteed(entry, attempt, true) ??
+      this.#preemptLowerTiers(entry, attempt) ??
+      this.#repairBlock(entry, attempt);
   }
 
   /** The job's victims are gone: its tasks take their slots. */
@@ -94,7 +100,7 @@
       ? Types.ReasonKind.PlacedGuaranteed
       : Types.ReasonKind.PlacedOpportunistic;
     const detail = `on ${entry.slots.length} worker place(s)`;
-    entries.note(entry, kind, { atMs: nowMs, detail });
+    entries.addHistory(entry, kind, { atMs: nowMs, detail });
   }
 
   /** Takes in a job that already runs on these slots. */
@@ -104,22 +110,22 @@
     nowMs: number,
   ): void {
     entry.slots = slots;
-    const boundIds = adoption.bindRunning(entry, this.#occupancy);
-    if (boundIds === null) this.#holdings.hold(entry, { slots, boundIds: [] });
-    else this.#holdings.hold(entry, { slots, boundIds });
+    const boundIds = bindings.bindRunning(entry, this.#occupancy);
+    if (boundIds === null) this.#allocator.hold(entry, { slots, boundIds: [] });
+    else this.#allocator.hold(entry, { slots, boundIds });
     this.start(entry, nowMs);
   }
 
   #placeGuaranteed(
     entry: entries.JobEntry,
-    when: PlaceTime,
-    mayEvict: boolean,
-  ): holdings.Placed | null {
+    attempt: PlaceAttempt,
+    mayPreempt: boolean,
+  ): allocator.PlacedJob | null {
     const occupancy = this.#occupancy;
-    const search = { ...when, occupancy, mayEvict };
-    const place = guaranteed.findGuaranteedPlace(entry, search);
+    const search = { ...attempt, occupancy, mayPreempt };
+    const place = guarantees.findGuaranteedPlace(entry, search);
     if (place === null) return null;
-    return this.#holdings.take(entry, place, when.nowMs);
+    return this.#allocator.claim(entry, place, attempt.nowMs);
   }
 
   /**
@@ -129,10 +135,10 @@
    */
   #placePacked(
     entry: entries.JobEntry,
-    when: PlaceTime,
-  ): holdings.Placed | null {
+    attempt: PlaceAttempt,
+  ): allocator.PlacedJob | null {
     if (!this.#policies.packFirst || !entry.shape.repeatable) return null;
-    const { nowMs, racks } = when;
+    const { nowMs, racks } = attempt;
     const allowed = (rack: number) =>
       this.#reservations.allows(rack, entry, nowMs);
     const slots = this.#policies.packing.find(
@@ -142,56 +148,62 @@
     );
     if (slots === null) return null;
     entry.slots = slots;
-    const boundIds = adoption.bindRunning(entry, this.#occupancy) ?? [];
-    return this.#holdings.take(entry, { slots, boundIds }, nowMs);
+    const boundIds = bindings.bindRunning(entry, this.#occupancy) ?? [];
+    return this.#allocator.claim(entry, { slots, boundIds }, nowMs);
   }
 
-  #placeFree(entry: entries.JobEntry, when: PlaceTime): holdings.Placed | null {
-    const { nowMs, racks } = when;
-    const { space, open, ledger } = this.#occupancy;
+  #placeFree(
+    entry: entries.JobEntry,
+    attempt: PlaceAttempt,
+  ): allocator.PlacedJob | null {
+    const { nowMs, racks } = attempt;
+    const { space, unguaranteed, tracker } = this.#occupancy;
     const allowed = (rack: number) =>
       this.#reservations.allows(rack, entry, nowMs);
     const search = { racks, allowed };
     if (entry.shape.repeatable) {
       const slots = this.#policies.packing.find(space, entry, search);
       if (slots === null) return null;
-      return this.#holdings.take(entry, { slots, boundIds: [] }, nowMs);
+      return this.#allocator.claim(entry, { slots, boundIds: [] }, nowMs);
     }
-    const slots = this.#policies.packing.find(open, entry, search);
-    if (slots === null || !ledger.holdsAfterMarking(slots)) return null;
-    return this.#holdings.take(entry, { slots, boundIds: [] }, nowMs);
+    const slots = this.#policies.packing.find(unguaranteed, entry, search);
+    if (slots === null || !tracker.holdsAfterMarking(slots)) return null;
+    return this.#allocator.claim(entry, { slots, boundIds: [] }, nowMs);
   }
 
-  #displaceLowerTiers(
+  #preemptLowerTiers(
     entry: entries.JobEntry,
-    when: PlaceTime,
-  ): holdings.Placed | null {
+    attempt: PlaceAttempt,
+  ): allocator.PlacedJob | null {
     const isUrgent = entry.shape.tier === Types.Tier.Urgent;
-    if (!this.#policies.urgentDisplaces || !isUrgent) return null;
-    const mayEvict = (victim: entries.JobEntry) =>
+    if (!this.#policies.urgentPreempts || !isUrgent) return null;
+    const mayPreempt = (victim: entries.JobEntry) =>
       victim.entitlement === Types.Entitlement.Opportunistic &&
       victim.shape.tier !== Types.Tier.Urgent;
-    const place = this.#findEviction(entry, when, mayEvict);
+    const place = this.#findPreemption(entry, attempt, mayPreempt);
     return place === null
       ? null
-      : this.#holdings.take(entry, place, when.nowMs);
+      : this.#allocator.claim(entry, place, attempt.nowMs);
   }
 
-  #openBlock(entry: entries.JobEntry, when: PlaceTime): holdings.Placed | null {
-    if (entry.size < REPAIR_FROM_SIZE) return null;
+  #repairBlock(
+    entry: entries.JobEntry,
+    attempt: PlaceAttempt,
+  ): allocator.PlacedJob | null {
+    if (entry.size < MIN_REPAIR_SIZE) return null;
     const { repair } = this.#policies;
-    const { nowMs } = when;
-    if (!repair.mayPay(entry, nowMs)) return null;
-    const mayEvict = (victim: entries.JobEntry) =>
+    const { nowMs } = attempt;
+    if (!repair.hasBudget(entry, nowMs)) return null;
+    const mayPreempt = (victim: entries.JobEntry) =>
       repair.mayMove(victim, entry);
-    const place = this.#findEviction(entry, when, mayEvict);
-    if (place === null || !repair.pays(entry, place, nowMs)) return null;
+    const place = this.#findPreemption(entry, attempt, mayPreempt);
+    if (place === null || !repair.isJustified(entry, place, nowMs)) return null;
     if (!this.#hasRoomElsewhere(place)) return null;
-    return this.#holdings.take(entry, place, nowMs);
+    return this.#allocator.claim(entry, place, nowMs);
   }
 
   /** Moved work must have somewhere to go, or it only trades places. */
-  #hasRoomElsewhere(place: eviction.EvictionPlace): boolean {
+  #hasRoomElsewhere(place: preemption.PreemptionPlace): boolean {
     const { space } = this.#occupancy;
     let needed = 0;
     for (const victim of place.victims) needed += victim.size;
@@ -202,28 +214,28 @@
     return space.freeTotal() - inside >= needed;
   }
 
-  #findEviction(
+  #findPreemption(
     entry: entries.JobEntry,
-    when: PlaceTime,
-    mayEvict: (victim: entries.JobEntry) => boolean,
-  ): eviction.EvictionPlace | null {
-    const place = eviction.findWithEviction(entry, {
-      ...when,
+    attempt: PlaceAttempt,
+    mayPreempt: (victim: entries.JobEntry) => boolean,
+  ): preemption.PreemptionPlace | null {
+    const place = preemption.findWithPreemption(entry, {
+      ...attempt,
       occupancy: this.#occupancy,
-      mayEvict,
-      allowed: (rack) => this.#reservations.allows(rack, entry, when.nowMs),
+      mayPreempt,
+      allowed: (rack) => this.#reservations.allows(rack, entry, attempt.nowMs),
     });
     if (place === null || entry.shape.repeatable) return place;
-    return this.#mayFix(place.slots) ? place : null;
+    return this.#fitsBesideGuarantees(place.slots) ? place : null;
   }
 
   /** Work that cannot yield must not stand in the way of a guarantee. */
-  #mayFix(slots: readonly Types.Slot[]): boolean {
-    const { ledger } = this.#occupancy;
+  #fitsBesideGuarantees(slots: readonly Types.Slot[]): boolean {
+    const { tracker } = this.#occupancy;
     const isFree = slots.every((slot) =>
-      (ledger.space.usedMask(slot.worker) & slot.mask) === 0
+      (tracker.space.usedMask(slot.worker) & slot.mask) === 0
     );
-    return isFree && ledger.holdsAfterMarking(slots);
+    return isFree && tracker.holdsAfterMarking(slots);
   }
 }
 
--- a/packages/scheduler/src/policies.ts
+++ b/packages/scheduler/src/policies.ts
@@ -16,7 +16,7 @@
   /** Whether work is moved to make racks whole while nothing waits. */
   readonly consolidates: boolean;
   /** Whether urgent work may displace lower tiers on unclaimed capacity. */
-  readonly urgentDisplaces: boolean;
+  readonly urgentPreempts: boolean;
 }
 
 /** Names that the bench accepts. */
@@ -57,7 +57,7 @@
     case "guarantee-first":
       return { ...base, packFirst: false };
     case "no-displacement":
-      return { ...base, urgentDisplaces: false };
+      return { ...base, urgentPreempts: false };
     default:
       return base;
   }
@@ -69,10 +69,10 @@
   return {
     order: new order.AgedShortestFirst(ageing, FAIR_SHARE_MS),
     packing: new packing.BestFit(),
-    repair: new repair.OpenBlocks(repairShare),
+    repair: new repair.BudgetedRepair(repairShare),
     reservedShare: RESERVED_SHARE,
     packFirst: true,
     consolidates: weighting.fragmentation > weighting.completionTime,
-    urgentDisplaces: true,
+    urgentPreempts: true,
   };
 }
--- a/packages/scheduler/src/queue.ts
+++ b/packages/scheduler/src/queue.ts
@@ -4,9 +4,9 @@
 import * as entries from "./job_entry.ts";
 
 /** Time between two tries of a lane on every rack. */
-const FULL_TRY_MS = 20_000;
+const FULL_TRY_INTERVAL_MS = 20_000;
 /** Lanes tried on every rack in one round, so that no round takes long. */
-const FULL_TRIES_PER_ROUND = 8;
+const MAX_FULL_TRIES_PER_ROUND = 8;
 
 /** Waiting jobs of one team, tier and shape, smallest key first. */
 export class Lane {
@@ -15,11 +15,11 @@
   readonly tierRank: number;
   readonly #heap: TinyQueue<entries.JobEntry>;
   /** Count of releases when the head last failed to fit; -1 if never. */
-  blockedAt = -1;
+  blockedAtRelease = -1;
   /** When the head was last tried on every rack. */
   fullyTriedAtMs = -Infinity;
   /** The quota stood in the way, so no rack was looked at. */
-  blockedByQuota = false;
+  isBlockedByQuota = false;
 
   constructor(name: string, first: entries.JobEntry) {
     this.name = name;
@@ -42,13 +42,13 @@
   push(entry: entries.JobEntry): void {
     const before = this.head();
     this.#heap.push(entry);
-    if (this.head() !== before) this.blockedAt = -1;
+    if (this.head() !== before) this.blockedAtRelease = -1;
   }
 
   /** Takes out the head. */
   pop(): void {
     this.#heap.pop();
-    this.blockedAt = -1;
+    this.blockedAtRelease = -1;
   }
 }
 
@@ -78,12 +78,14 @@
   }
 
   /** Lanes that may start something now, in the order to try them. */
-  openLanes(releases: number, keyOf: (lane: Lane) => number): Lane[] {
-    const open = this.lanes()
-      .filter((lane) => lane.blockedAt !== releases)
+  unblockedLanes(releases: number, keyOf: (lane: Lane) => number): Lane[] {
+    const unblocked = this.lanes()
+      .filter((lane) => lane.blockedAtRelease !== releases)
       .map((lane) => ({ lane, key: keyOf(lane) }));
-    open.sort((a, b) => a.lane.tierRank - b.lane.tierRank || a.key - b.key);
-    return open.map((o) => o.lane);
+    unblocked.sort((a, b) =>
+      a.lane.tierRank - b.lane.tierRank || a.key - b.key
+    );
+    return unblocked.map((o) => o.lane);
   }
 
   /**
@@ -91,11 +93,11 @@
    * lane is tried on all racks now and then; a few in each round.
    */
   unblockSome(nowMs: number): void {
-    let left = FULL_TRIES_PER_ROUND;
+    let left = MAX_FULL_TRIES_PER_ROUND;
     for (const lane of this.lanes()) {
-      if (nowMs - lane.fullyTriedAtMs < FULL_TRY_MS) continue;
+      if (nowMs - lane.fullyTriedAtMs < FULL_TRY_INTERVAL_MS) continue;
       lane.fullyTriedAtMs = nowMs;
-      lane.blockedAt = -1;
+      lane.blockedAtRelease = -1;
       left--;
       if (left === 0) return;
     }
@@ -103,7 +105,7 @@
 
   /** Has every lane tried on all racks in the next round. */
   unblockAll(): void {
-    for (const lane of this.lanes()) lane.blockedAt = -1;
+    for (const lane of this.lanes()) lane.blockedAtRelease = -1;
   }
 }
 
--- a/packages/scheduler/src/reservations.ts
+++ b/packages/scheduler/src/reservations.ts
@@ -36,21 +36,21 @@
 
   /** Whether a job may be placed in a rack without delaying a reservation. */
   allows(rack: number, entry: entries.JobEntry, nowMs: number): boolean {
-    const held = this.#byRack.get(rack);
-    if (held === undefined || held.entry === entry) return true;
+    const reservation = this.#byRack.get(rack);
+    if (reservation === undefined || reservation.entry === entry) return true;
     const isAbove = Types.rankTier(entry.shape.tier) <
-      Types.rankTier(held.entry.shape.tier);
+      Types.rankTier(reservation.entry.shape.tier);
     if (isAbove) return true;
     if (entry.shape.estimateMs === null) return false;
-    return nowMs + entries.remainingMs(entry) <= held.atMs;
+    return nowMs + entries.remainingMs(entry) <= reservation.atMs;
   }
 
   /** Drops a job's reservation. */
   drop(jobId: string, occupancy: occupancies.Occupancy): void {
-    const held = this.#byJob.get(jobId);
-    if (held === undefined) return;
+    const reservation = this.#byJob.get(jobId);
+    if (reservation === undefined) return;
     this.#byJob.delete(jobId);
-    for (const rack of held.racks) {
+    for (const rack of reservation.racks) {
       this.#byRack.delete(rack);
       occupancy.noteRelease(rack);
     }
@@ -62,13 +62,13 @@
     occupancy: occupancies.Occupancy,
     nowMs: number,
   ): void {
-    const held = this.#byJob.get(entry.shape.id);
+    const current = this.#byJob.get(entry.shape.id);
     // A reservation that was missed stays: with its time in the past, no more
     // work is let in, however wrong the estimates of the running work are.
-    if (held !== undefined && this.#isUsable(held, occupancy)) return;
+    if (current !== undefined && this.#isUsable(current, occupancy)) return;
     this.drop(entry.shape.id, occupancy);
     if (this.#byRack.size >= this.#limit) return;
-    const found = this.#findSoonest(entry, occupancy, nowMs);
+    const found = this.#findEarliest(entry, occupancy, nowMs);
     if (found === null) return;
     if (this.#byRack.size + found.racks.size > this.#limit) return;
     this.#byJob.set(entry.shape.id, found);
@@ -76,8 +76,11 @@
   }
 
   /** Whether every rack still has a worker that takes new work. */
-  #isUsable(held: Reservation, occupancy: occupancies.Occupancy): boolean {
-    return [...held.racks].every((rack) => {
+  #isUsable(
+    reservation: Reservation,
+    occupancy: occupancies.Occupancy,
+  ): boolean {
+    return [...reservation.racks].every((rack) => {
       const first = rack * Placement.WORKERS_PER_RACK;
       for (let i = first; i < first + Placement.WORKERS_PER_RACK; i++) {
         if (occupancy.isAvailable(i)) return true;
@@ -86,7 +89,7 @@
     });
   }
 
-  #findSoonest(
+  #findEarliest(
     entry: entries.JobEntry,
     occupancy: occupancies.Occupancy,
     nowMs: number,
@@ -96,8 +99,8 @@
       rack,
       ends: blockEnds(entry, rack, { occupancy, nowMs }),
     }));
-    if (inOneRack) return soonestRack(entry, times);
-    return soonestRack(entry, times) ?? soonestSpread(entry, times);
+    if (inOneRack) return earliestInOneRack(entry, times);
+    return earliestInOneRack(entry, times) ?? earliestAcrossRacks(entry, times);
   }
 
   #freeRacks(occupancy: occupancies.Occupancy): number[] {
@@ -113,7 +116,7 @@
   readonly ends: number[];
 }
 
-function soonestRack(
+function earliestInOneRack(
   entry: entries.JobEntry,
   times: readonly RackTimes[],
 ): Reservation | null {
@@ -129,7 +132,7 @@
   return best;
 }
 
-function soonestSpread(
+function earliestAcrossRacks(
   entry: entries.JobEntry,
   times: readonly RackTimes[],
 ): Reservation | null {
--- a/packages/scheduler/src/scheduler.ts
+++ b/packages/scheduler/src/scheduler.ts
@@ -6,7 +6,7 @@
 import * as Types from "@cairngate/types";
 import * as consolidations from "./consolidation.ts";
 import * as explanations from "./explain.ts";
-import type * as holdings from "./holdings.ts";
+import type * as allocator from "./holdings.ts";
 import * as entries from "./job_entry.ts";
 import type * as layouts from "./layout.ts";
 import * as occupancies from "./occupancy.ts";
@@ -24,10 +24,10 @@
 }
 
 /** Time between two looks for a rack to make whole. */
-const CONSOLIDATE_MS = 20_000;
+const CONSOLIDATION_INTERVAL_MS = 20_000;
 
 /** Gangs at least this large get a reservation while they wait. */
-const RESERVE_FROM_SIZE = 8;
+const MIN_RESERVED_SIZE = 8;
 
 /** Scheduler of one cell. */
 export class Scheduler extends cores.SchedulerCore {
@@ -81,7 +81,7 @@
     const entry = entries.createEntry(shape, options.progress ?? 0);
     const detail = `${shape.service} for ${shape.team}`;
     const atMs = options.nowMs;
-    entries.note(entry, Types.ReasonKind.Submitted, { atMs, detail });
+    entries.addHistory(entry, Types.ReasonKind.Submitted, { atMs, detail });
     this.#jobs.set(shape.id, entry);
     this.#enqueue(entry);
   }
@@ -122,7 +122,7 @@
     this.#release(entry);
     entry.progress = Math.max(entry.progress, options.progress);
     entry.state = Types.JobState.Waiting;
-    entries.note(entry, Types.ReasonKind.Requeued, {
+    entries.addHistory(entry, Types.ReasonKind.Requeued, {
       atMs: options.nowMs,
       detail: options.detail,
     });
@@ -139,12 +139,12 @@
     const decisions: Types.Decision[] = [];
     this.#startReady(decisions, nowMs);
     this.#queue.unblockSome(nowMs);
-    if (nowMs - this.#consolidatedAtMs >= CONSOLIDATE_MS) {
+    if (nowMs - this.#consolidatedAtMs >= CONSOLIDATION_INTERVAL_MS) {
       this.#consolidatedAtMs = nowMs;
       this.#consolidate(decisions, nowMs);
     }
     const { releases } = this.occupancy;
-    const lanes = this.#queue.openLanes(
+    const lanes = this.#queue.unblockedLanes(
       releases,
       (lane) => this.#laneKey(lane),
     );
@@ -181,7 +181,10 @@
     for (const entry of moved) {
       entry.state = Types.JobState.Yielding;
       const detail = "to make a rack whole";
-      entries.note(entry, Types.ReasonKind.Moved, { atMs: nowMs, detail });
+      entries.addHistory(entry, Types.ReasonKind.Moved, {
+        atMs: nowMs,
+        detail,
+      });
       const kind = Types.DecisionKind.Preempt as const;
       decisions.push({ kind, jobId: entry.shape.id, claimant: null });
     }
@@ -214,7 +217,7 @@
         this.#expire(entry, decisions);
         continue;
       }
-      const since = lane.blockedByQuota ? -1 : lane.blockedAt;
+      const since = lane.isBlockedByQuota ? -1 : lane.blockedAtRelease;
       const racks = this.occupancy.racksReleasedSince(since);
       const placed = this.#placer.place(entry, { nowMs, racks });
       if (placed === null) break;
@@ -222,20 +225,20 @@
       this.reservations.drop(entry.shape.id, this.occupancy);
       this.#accept(entry, placed, decisions);
     }
-    lane.blockedAt = this.occupancy.releases;
-    lane.blockedByQuota = this.#placer.isOverQuota(lane.head()!);
+    lane.blockedAtRelease = this.occupancy.releases;
+    lane.isBlockedByQuota = this.#placer.isOverQuota(lane.head()!);
     this.#reserveFor(lane.head()!, nowMs);
   }
 
   #reserveFor(entry: entries.JobEntry, nowMs: number): void {
-    if (entry.size < RESERVE_FROM_SIZE) return;
+    if (entry.size < MIN_RESERVED_SIZE) return;
     if (this.#placer.isOverQuota(entry)) return;
     this.reservations.reserve(entry, this.occupancy, nowMs);
   }
 
   #accept(
     entry: entries.JobEntry,
-    placed: holdings.Placed,
+    placed: allocator.PlacedJob,
     decisions: Types.Decision[],
   ): void {
     for (const victim of placed.victims) {
--- a/packages/scheduler/src/scheduler_test.ts
+++ b/packages/scheduler/src/scheduler_test.ts
@@ -82,7 +82,7 @@
     }
     // One of the two workers has to stay reclaimable for team a.
     expect(startsOf(scheduler.plan(0))).toHaveLength(1);
-    expect(scheduler.occupancy.ledger.holds()).toBe(true);
+    expect(scheduler.occupancy.tracker.holds()).toBe(true);
   });
 
   test("claimed on a worker that is lost are claimed elsewhere", () => {
@@ -113,9 +113,9 @@
     const cfg = buildDeployment({ workersPerRack: 2, teams });
     const scheduler = createScheduler(cfg);
     scheduler.setWorkerAvailable(0, false);
-    expect(scheduler.occupancy.ledger.shortfall()[4]).toBe(1);
+    expect(scheduler.occupancy.tracker.shortfall()[4]).toBe(1);
     scheduler.setWorkerAvailable(0, true);
-    expect(scheduler.occupancy.ledger.holds()).toBe(true);
+    expect(scheduler.occupancy.tracker.holds()).toBe(true);
   });
 });
 
