--- a/packages/naive/mod.ts
+++ b/packages/naive/mod.ts
@@ -1,2 +1,2 @@
-/** The reference scheduler: first come, first fit. */
+/** A reference scheduler: first come, first served, first fit. */
 export { NaiveScheduler } from "./src/naive_scheduler.ts";
--- a/packages/naive/src/naive_scheduler.ts
+++ b/packages/naive/src/naive_scheduler.ts
@@ -1,7 +1,7 @@
 /**
- * First come, first served, first fit, one job after another. It knows no
- * tiers, guarantees, quotas or preemption, and is short enough to be plainly
- * right; the bench measures every policy against it.
+ * Reference scheduler: first come, first served, first fit. It has no tiers,
+ * guarantees, quotas or preemption, so that its correctness is easy to see; the
+ * bench compares every policy with it.
  */
 import * as Scheduler from "@cairngate/scheduler";
 import * as Types from "@cairngate/types";
@@ -14,7 +14,7 @@
   slots: Types.Slot[];
 }
 
-/** The naive scheduler. */
+/** Starts jobs in order of arrival; a job that doesn't fit blocks all later ones. */
 export class NaiveScheduler extends Scheduler.SchedulerCore {
   readonly #free: number[];
   readonly #allMasks: readonly number[];
@@ -80,7 +80,7 @@
     job.slots = [];
   }
 
-  /** The first worker, rack or cell in which every member fits. */
+  /** Slots in the first worker, rack or cell that fits all members. */
   #firstFit(shape: Types.JobShape): Types.Slot[] | null {
     const step = shape.adjacency === Types.Adjacency.Worker || shape.gang === 1
       ? 1
@@ -120,7 +120,7 @@
   }
 }
 
-/** The lowest `count` bits set in a mask; null where there are fewer. */
+/** The lowest `count` set bits of a mask; null if there are fewer. */
 function lowestBits(mask: number, count: number): number | null {
   let chosen = 0;
   let remaining = count;
--- a/packages/placement/mod.ts
+++ b/packages/placement/mod.ts
@@ -1,4 +1,4 @@
-/** Occupancy of racks as buddy blocks, and the ledger of guaranteed shapes. */
+/** Occupancy of racks as buddy blocks, and the feasibility of guarantees. */
 export {
   ACCELERATORS_PER_RACK,
   BLOCK_SIZES,
--- a/packages/placement/src/blocks.ts
+++ b/packages/placement/src/blocks.ts
@@ -1,26 +1,27 @@
 /**
- * Sizes and tables of buddy blocks. A rack is 8 workers of 8 accelerators;
- * a block of order k has 2^k accelerators and starts at a multiple of its size.
+ * Sizes and lookup tables of buddy blocks. A rack has up to 8 workers of up to 8
+ * accelerators; a block of order k has 2^k accelerators and starts at a multiple
+ * of its size.
  */
 
-/** Workers of a rack; smaller racks leave the rest unavailable. */
+/** Workers per rack; positions without a worker count as unavailable. */
 export const WORKERS_PER_RACK = 8;
-/** Accelerators of a worker; smaller workers leave the rest unavailable. */
+/** Accelerators per worker; those that a worker lacks count as unavailable. */
 export const ACCELERATORS_PER_WORKER = 8;
-/** Accelerators of a whole rack. */
+/** Accelerators per rack. */
 export const ACCELERATORS_PER_RACK = WORKERS_PER_RACK * ACCELERATORS_PER_WORKER;
-/** Order of a block that is a whole worker. */
+/** Order of a block that spans a whole worker. */
 export const WORKER_ORDER = 3;
-/** Order of a block that is a whole rack. */
+/** Order of a block that spans a whole rack. */
 export const LARGEST_ORDER = 6;
-/** Mask of a worker with every accelerator taken. */
+/** Mask of all accelerators of a worker. */
 export const FULL_MASK = 0xff;
 /** Block sizes for which fragmentation is reported. */
 export const BLOCK_SIZES: readonly number[] = [8, 16, 32, 64];
 
 const MASK_COUNT = 256;
 
-/** Smallest order whose blocks hold this many accelerators. */
+/** Smallest order whose blocks have at least this many accelerators. */
 export function orderOf(accelerators: number): number {
   let order = 0;
   while ((1 << order) < accelerators) order++;
@@ -32,16 +33,16 @@
   return 1 << order;
 }
 
-/** Number of bits set in a worker's mask. */
+/** Number of bits set, indexed by a worker's mask. */
 export const BIT_COUNT: Uint8Array = buildBitCounts();
 
 /**
- * MAXIMAL[mask * 4 + k]: free blocks of order k within a worker that are not
- * part of a larger free block of the same worker.
+ * Number of maximal free blocks of a worker, which are not part of a larger free
+ * block of it. Indexed by used mask * 4 + order.
  */
 export const MAXIMAL: Uint8Array = buildMaximalCounts();
 
-/** Mask of `size` accelerators that starts at bit `offset`. */
+/** Mask of `size` accelerators from bit `offset` on. */
 export function blockMask(offset: number, size: number): number {
   return ((1 << size) - 1) << offset;
 }
--- a/packages/placement/src/buddy_space.ts
+++ b/packages/placement/src/buddy_space.ts
@@ -1,4 +1,4 @@
-/** Which accelerators are taken, and which whole blocks are free. */
+/** Which accelerators are used, and which whole blocks are free. */
 import * as blocks from "./blocks.ts";
 
 const ORDERS = blocks.LARGEST_ORDER + 1;
@@ -12,15 +12,15 @@
 }
 
 /**
- * Occupancy of a number of racks. Every accelerator is free or taken; the
- * number of maximal free blocks of each order is kept for each rack.
+ * Occupancy of a number of racks. Every accelerator is free or used; the number
+ * of maximal free blocks of each order is maintained for each rack.
  */
 export class BuddySpace {
   readonly rackCount: number;
   readonly #used: Uint8Array;
   readonly #maximal: Uint8Array;
   readonly #free: Uint8Array;
-  /** Masks before a trial, by worker; null outside of trials. */
+  /** Masks before the current trial, by worker; null outside of trials. */
   #trial: Map<number, number> | null = null;
 
   /** Starts with every accelerator free. */
@@ -32,12 +32,12 @@
     for (let rack = 0; rack < rackCount; rack++) this.#recount(rack);
   }
 
-  /** Mask of the taken accelerators of a worker. */
+  /** Mask of the used accelerators of a worker. */
   usedMask(worker: number): number {
     return this.#used[worker];
   }
 
-  /** Replaces the mask of taken accelerators of a worker. */
+  /** Replaces the mask of the used accelerators of a worker. */
   setUsedMask(worker: number, mask: number): void {
     if (this.#used[worker] === mask) return;
     this.#recordForTrial(worker);
@@ -45,13 +45,13 @@
     this.#recount(Math.floor(worker / blocks.WORKERS_PER_RACK));
   }
 
-  /** Runs a search that takes accelerators, then gives them all back. */
+  /** Runs a search that changes masks, then restores them. */
   runTrial<T>(search: () => T): T {
     const outer = this.#trial;
     const before = new Map<number, number>();
     this.#trial = before;
     const found = search();
-    // A trial within a trial gives back to the outer one.
+    // Restores as part of the outer trial, which records these changes too.
     this.#trial = outer;
     for (const [worker, mask] of before) this.setUsedMask(worker, mask);
     return found;
@@ -69,7 +69,7 @@
     return total;
   }
 
-  /** Number of free blocks of an order in a rack, larger ones split. */
+  /** Number of free blocks of an order in a rack, if larger ones are split. */
   blocksInRack(rack: number, order: number): number {
     let count = 0;
     for (let k = order; k < ORDERS; k++) {
@@ -78,7 +78,7 @@
     return count;
   }
 
-  /** Number of free blocks of an order in all racks, larger ones split. */
+  /** Number of free blocks of an order in all racks, if larger ones are split. */
   blocksTotal(order: number): number {
     let count = 0;
     for (let rack = 0; rack < this.rackCount; rack++) {
@@ -87,7 +87,7 @@
     return count;
   }
 
-  /** Order of the smallest maximal free block that is large enough; -1 if none. */
+  /** Order of the smallest maximal free block of at least `order`; -1 if none. */
   smallestFit(rack: number, order: number): number {
     for (let k = order; k < ORDERS; k++) {
       if (this.#maximal[rack * ORDERS + k] > 0) return k;
@@ -166,8 +166,8 @@
   }
 
   #countWholeWorkers(base: number, freeWorkers: number): void {
-    // Whole free workers of a rack form the same buddy tree as the
-    // accelerators of a worker, three orders higher.
+    // The 8 workers of a rack form the same buddy tree as the 8 accelerators of
+    // a worker, three orders higher.
     const used = ~freeWorkers & blocks.FULL_MASK;
     for (let k = 0; k <= blocks.WORKER_ORDER; k++) {
       this.#maximal[base + blocks.WORKER_ORDER + k] = blocks.MAXIMAL[
--- a/packages/placement/src/fragmentation.ts
+++ b/packages/placement/src/fragmentation.ts
@@ -1,8 +1,8 @@
-/** How much of the free capacity lies outside whole free blocks. */
+/** Measures how much free capacity lies outside whole free blocks. */
 import * as blocks from "./blocks.ts";
 import type * as space from "./buddy_space.ts";
 
-/** Fragmentation for one block size; null where less than a block is free. */
+/** Fragmentation for one block size, 0 to 1; null if less than a block is free. */
 export interface FragmentationReading {
   readonly block: number;
   readonly value: number | null;
--- a/packages/placement/src/guarantee_ledger.ts
+++ b/packages/placement/src/guarantee_ledger.ts
@@ -1,22 +1,22 @@
 /**
- * The ledger of guaranteed shapes. Each block of a team's shape is unbound
- * until the team first uses it; then it is bound to a physical block, and
- * unbound again when the team's last job leaves it. The accelerators that are
- * neither bound, nor fixed by work that cannot yield, nor unavailable must
- * always have room for all unbound blocks at once.
+ * Tracks the guaranteed blocks of all teams. A block is unbound until its team
+ * uses it; then it is bound to a position, and unbound again when the last job
+ * leaves it. The guarantees hold as long as all unbound blocks fit at once on the
+ * accelerators that are not bound, not unavailable and not fixed by jobs that
+ * cannot yield.
  */
 import * as blocks from "./blocks.ts";
 import * as space from "./buddy_space.ts";
 
-/** One block of a team's guaranteed shape, bound to a place. */
+/** A guaranteed block of a team that is bound to a position. */
 export interface BoundBlock extends space.BlockPosition {
   readonly id: number;
   readonly team: string;
-  /** Jobs of the team inside, with the accelerators each takes. */
+  /** Jobs in the block by id, with the accelerators that each uses. */
   readonly jobs: Map<string, number>;
 }
 
-/** Blocks of one order that a team has paid for. */
+/** Number of blocks of one order that a team is guaranteed. */
 export interface GuaranteeDemand {
   readonly team: string;
   readonly order: number;
@@ -27,7 +27,7 @@
 
 /** Bound and unbound blocks of all teams over one set of racks. */
 export class GuaranteeTracker {
-  /** Accelerators that no other team's unbound block may count on. */
+  /** Used here: bound, fixed or unavailable, so not open to unbound blocks. */
   readonly space: space.BuddySpace;
   readonly #unbound = new Map<string, number[]>();
   readonly #total = new Array<number>(ORDERS).fill(0);
@@ -36,7 +36,7 @@
   readonly #markCounts: Uint8Array;
   #nextId = 1;
 
-  /** Starts with every demand unbound on free racks. */
+  /** Starts with all blocks unbound and all accelerators free. */
   constructor(rackCount: number, demands: readonly GuaranteeDemand[]) {
     this.space = new space.BuddySpace(rackCount);
     this.#markCounts = new Uint8Array(rackCount * blocks.ACCELERATORS_PER_RACK);
@@ -51,7 +51,7 @@
     this.#unbound.set(demand.team, counts);
   }
 
-  /** Unbound blocks of a team, by order. */
+  /** Number of unbound blocks of a team, by order. */
   unboundOf(team: string): readonly number[] {
     return this.#unbound.get(team) ?? [];
   }
@@ -66,35 +66,35 @@
     return this.#bound.values();
   }
 
-  /** A bound block by id. */
+  /** The bound block of an id. */
   get(id: number): BoundBlock | undefined {
     return this.#bound.get(id);
   }
 
   /**
-   * Blocks of each order that are short when all unbound blocks are placed,
-   * largest first. All zero when the guarantees hold.
+   * Number of unbound blocks of each order that do not fit if all are placed,
+   * largest first. All zero if the guarantees hold.
    */
   shortfall(): number[] {
     return computeShortfall(this.space.maximalCounts(), this.#total);
   }
 
-  /** Whether all unbound blocks still fit, all at once. */
+  /** Whether all unbound blocks fit at once. */
   holds(): boolean {
     return this.shortfall().every((missing) => missing === 0);
   }
 
-  /** Marks accelerators as fixed or unavailable; calls nest. */
+  /** Marks accelerators as fixed or unavailable; marks are counted. */
   mark(worker: number, mask: number): void {
     this.#changeMarks(worker, mask, 1);
   }
 
-  /** Takes back a mark. */
+  /** Removes one mark from each accelerator. */
   unmark(worker: number, mask: number): void {
     this.#changeMarks(worker, mask, -1);
   }
 
-  /** Binds an unbound block of a team to a place. */
+  /** Binds an unbound block of a team to a position. */
   bind(team: string, position: space.BlockPosition): BoundBlock {
     const bound: BoundBlock = {
       ...position,
@@ -110,13 +110,13 @@
     return bound;
   }
 
-  /** Counts a job into a bound block. */
+  /** Adds a job, or more accelerators of it, to a bound block. */
   addJob(id: number, jobId: string, accelerators: number): void {
     const jobs = this.#bound.get(id)!.jobs;
     jobs.set(jobId, (jobs.get(jobId) ?? 0) + accelerators);
   }
 
-  /** Takes a job out of a bound block; unbinds the block when it is empty. */
+  /** Removes a job from a bound block; unbinds the block if it is then empty. */
   removeJob(id: number, jobId: string): void {
     const bound = this.#bound.get(id);
     if (bound === undefined) return;
@@ -125,7 +125,7 @@
     this.#unbind(bound);
   }
 
-  /** Whether the guarantees would hold after binding a block there. */
+  /** Whether the guarantees would hold with a block bound at a position. */
   holdsAfterBinding(position: space.BlockPosition): boolean {
     this.#markBlock(position, 1);
     this.#total[position.order]--;
@@ -189,7 +189,7 @@
   }
 }
 
-/** Blocks short at each order when `demand` is placed on `supply`. */
+/** Number of blocks of each order in `demand` that do not fit into `supply`. */
 export function computeShortfall(
   supply: readonly number[],
   demand: readonly number[],
--- a/packages/scheduler/mod.ts
+++ b/packages/scheduler/mod.ts
@@ -1,4 +1,4 @@
-/** Decides what runs where: takes events, returns a plan as plain data. */
+/** Scheduler of one cell: takes events and returns decisions as plain data. */
 export {
   type CellLayout,
   createCellLayout,
--- a/packages/scheduler/src/adopt_running.ts
+++ b/packages/scheduler/src/adopt_running.ts
@@ -1,12 +1,13 @@
-/** Binds guaranteed blocks around a job that already runs. */
+/** Binds guaranteed blocks to the place of a job that already has its slots. */
 import * as Placement from "@cairngate/placement";
 import type * as Types from "@cairngate/types";
 import type * as entries from "./job_entry.ts";
 import type * as occupancies from "./occupancy.ts";
 
 /**
- * Ids of bound blocks around each slot of a running job, or null where its
- * team has no block for it there. Used when a cell is taken over.
+ * Ids of the bound block that contains each slot of a job, or null if the
+ * guarantee of its team does not cover one of the slots. Used for jobs that are
+ * restored at a takeover, and for places that the packing policy chose.
  */
 export function bindRunning(
   entry: entries.JobEntry,
@@ -20,7 +21,7 @@
       releaseBlocks(boundIds, entry, occupancy);
       return null;
     }
-    // Entering at once keeps the block bound while later slots are tried.
+    // The job is added at once so that the block stays bound for later slots.
     occupancy.tracker.addJob(id, entry.shape.id, 0);
     boundIds.push(id);
   }
--- a/packages/scheduler/src/check_guarantees.ts
+++ b/packages/scheduler/src/check_guarantees.ts
@@ -1,10 +1,10 @@
-/** Whether all guaranteed shapes of a file fit at once. */
+/** Checks that the guarantees of a configuration can all be met at once. */
 import * as Errors from "@cairngate/errors";
 import * as Placement from "@cairngate/placement";
 import type * as Types from "@cairngate/types";
 import * as layouts from "./layout.ts";
 
-/** Every guaranteed block of the teams, by team and order. */
+/** Lists the guaranteed blocks of the teams by team and order. */
 export function listDemands(
   teams: readonly Types.TeamSpec[],
 ): Placement.GuaranteeDemand[] {
@@ -17,7 +17,7 @@
   );
 }
 
-/** Null where the guarantees of a cell fit all at once, else what is short. */
+/** Null if all guarantees of a cell fit at once, else an error on the largest block. */
 export function checkGuarantees(
   layout: layouts.CellLayout,
 ): Errors.InfeasibleGuaranteeError | null {
@@ -32,7 +32,7 @@
   return describeShortfall(layout, { order, missing: shortfall[order] });
 }
 
-/** Marks places of a rack that have no worker or fewer accelerators. */
+/** Marks the accelerators that racks of the cell lack as unavailable. */
 export function markMissing(
   layout: layouts.CellLayout,
   tracker: Placement.GuaranteeTracker,
@@ -43,7 +43,7 @@
   });
 }
 
-/** Mask of the accelerators that a place in a rack does not have. */
+/** Mask of the accelerators that a rack position lacks; full without a worker. */
 export function missingMask(worker: Types.WorkerSpec | undefined): number {
   if (worker === undefined) return Placement.FULL_MASK;
   return Placement.FULL_MASK & ~((1 << worker.accelerators) - 1);
--- a/packages/scheduler/src/choose_in_region.ts
+++ b/packages/scheduler/src/choose_in_region.ts
@@ -1,28 +1,29 @@
-/** Chooses places inside one block of a team's guarantee. */
+/** Chooses slots inside one block of a team's guarantee. */
 import * as Placement from "@cairngate/placement";
 import * as Types from "@cairngate/types";
 import * as entries from "./job_entry.ts";
 import type * as occupancies from "./occupancy.ts";
 import * as packing from "./packing_policy.ts";
 
-/** Where and when to search. */
+/** Scope of a search for a guaranteed place. */
 export interface GuaranteedSearch {
   readonly occupancy: occupancies.Occupancy;
   readonly nowMs: number;
-  /** Whether running work may be made to yield. */
+  /** Whether running jobs may be preempted. */
   readonly mayPreempt: boolean;
-  /** Racks to look at. */
+  /** Indices of the racks to search. */
   readonly racks: readonly number[];
 }
 
-/** A choice of sub-blocks in one region, with its price. */
+/** Sub-blocks chosen in one region, with the cost of preempting their jobs. */
 export interface RegionChoice {
   readonly slots: Types.Slot[];
   readonly victims: Set<entries.JobEntry>;
+  /** In accelerator-milliseconds. */
   readonly cost: number;
 }
 
-/** The cheapest sub-blocks of a region for a number of members. */
+/** The cheapest sub-blocks of a region for `members` members; null if too few. */
 export function chooseInRegion(
   entry: entries.JobEntry,
   members: number,
@@ -56,7 +57,7 @@
   return { slots: chosen.map((c) => c.slot), victims, cost };
 }
 
-/** Null where the slot cannot be had. */
+/** Cost of clearing a slot, in accelerator-milliseconds; null if it can't be used. */
 function costOfSlot(
   entry: entries.JobEntry,
   slot: Types.Slot,
@@ -79,7 +80,7 @@
   return cost;
 }
 
-/** Whether running work has to give way to a claim on a guarantee. */
+/** Whether a running job has to yield to a claim on a guarantee. */
 export function mustYieldTo(
   victim: entries.JobEntry,
   claimant: entries.JobEntry,
--- a/packages/scheduler/src/consolidation.ts
+++ b/packages/scheduler/src/consolidation.ts
@@ -1,25 +1,25 @@
-/** Chooses work to move so that a rack becomes whole again. */
+/** Chooses running jobs to move so that a partly used rack becomes empty. */
 import * as Placement from "@cairngate/placement";
 import * as Types from "@cairngate/types";
 import * as entries from "./job_entry.ts";
 import type * as occupancies from "./occupancy.ts";
 import type * as packing from "./packing_policy.ts";
 
-/** Racks with more in use than this are left as they are. */
+/** A rack with more accelerators in use is not emptied. */
 const MAX_USED_ACCELERATORS = 16;
-/** Work that started less than this ago is not moved again. */
+/** Jobs that have run for less than this are not moved, in milliseconds. */
 const MIN_RUN_MS = 600_000;
-/** Largest part of the gained rack time that the move may cost. */
+/** Largest cost of a move, as a share of the accelerator time that it frees. */
 const MAX_COST_SHARE = 0.05;
 
-/** What a consolidation looks at. */
+/** Inputs of a search for jobs to move. */
 export interface ConsolidationSearch {
   readonly occupancy: occupancies.Occupancy;
   readonly packing: packing.PackingPolicy;
   readonly nowMs: number;
 }
 
-/** The work of one rack that fits into other racks in use; empty if none. */
+/** Jobs of one rack that fit into other partly used racks; empty if none. */
 export function findConsolidation(
   search: ConsolidationSearch,
 ): entries.JobEntry[] {
@@ -44,7 +44,7 @@
   return free > 0 && free < Placement.ACCELERATORS_PER_RACK;
 }
 
-/** All jobs of a rack, or null where one of them has to stay. */
+/** All jobs of a rack, or null if one can't be moved or the move costs too much. */
 function movableJobs(
   rack: number,
   search: ConsolidationSearch,
--- a/packages/scheduler/src/describe_cell.ts
+++ b/packages/scheduler/src/describe_cell.ts
@@ -1,18 +1,23 @@
-/** Describes a cell for the status page. */
+/** Describes the state of a cell for status requests. */
 import * as Placement from "@cairngate/placement";
 import * as Types from "@cairngate/types";
 import type * as layouts from "./layout.ts";
 import type * as schedulers from "./scheduler.ts";
 
+/** Bits of a worker's mask, one per accelerator. */
 const MASK_BITS = 8;
 
-/** The part of a cell's status that the scheduler knows. */
+/** The part of a cell's status that comes from the scheduler. */
 export type CellDescription = Pick<
   Types.CellStatus,
   "racks" | "teams" | "fragmentation" | "waiting" | "running"
 >;
 
-/** Racks drawn as blocks, teams, and fragmentation. */
+/**
+ * Describes racks, teams and fragmentation. Each worker of a rack is a text with
+ * a character per accelerator: `g` with a guaranteed task, `o` with an
+ * opportunistic one, `.` without a task, `x` unavailable.
+ */
 export function describeCell(
   scheduler: schedulers.Scheduler,
 ): CellDescription {
@@ -83,7 +88,7 @@
   };
 }
 
-/** Accelerators of a team's unbound blocks that have no room now. */
+/** Accelerators of a team's unbound blocks for which there is no room now. */
 function teamShortfall(
   scheduler: schedulers.Scheduler,
   team: Types.TeamSpec,
--- a/packages/scheduler/src/explain.ts
+++ b/packages/scheduler/src/explain.ts
@@ -1,10 +1,10 @@
-/** Explains in one screen why a job runs, waits or yields. */
+/** Explains why a job runs, waits or yields. */
 import * as Types from "@cairngate/types";
 import * as entries from "./job_entry.ts";
 import type * as layouts from "./layout.ts";
 import type * as reservations from "./reservations.ts";
 
-/** What an explanation is made from. */
+/** Inputs of an explanation. */
 export interface ExplainContext {
   readonly nowMs: number;
   readonly layout: layouts.CellLayout;
@@ -13,7 +13,7 @@
   readonly usedBy: (team: string) => number;
 }
 
-/** Waiting jobs named in an explanation. */
+/** Number of waiting jobs that an explanation lists. */
 const MAX_AHEAD = 5;
 
 /** Explains a job that waits or runs. */
@@ -56,7 +56,7 @@
   const atMs = context.nowMs;
   if (entry.state === Types.JobState.Claiming) {
     const names = [...entry.victims].map((v) => v.shape.id).join(", ");
-    const detail = `these jobs are stopping for it: ${names}`;
+    const detail = `it starts after these jobs have stopped: ${names}`;
     return [{ kind: Types.ReasonKind.WaitsForVictims, atMs, detail }];
   }
   if (entry.state !== Types.JobState.Waiting) return [];
@@ -65,7 +65,7 @@
   const reasons = [blockReason(entry, context)];
   const ahead = listAhead(entry, context).length;
   if (ahead > 0) {
-    const detail = `${ahead} job(s) or more are in front`;
+    const detail = `at least ${ahead} job(s) are ahead in the queue`;
     reasons.push({ kind: Types.ReasonKind.WaitsBehind, atMs, detail });
   }
   return reasons;
@@ -93,7 +93,7 @@
   const reservation = context.reservations.get(entry.shape.id);
   if (reservation !== undefined) {
     const racks = [...reservation.racks].map((r) => context.layout.racks[r]);
-    const detail = `rack(s) ${racks.join(", ")} are reserved for it`;
+    const detail = `rack(s) ${racks.join(", ")} are reserved for this job`;
     return { kind: Types.ReasonKind.WaitsForReservation, atMs, detail };
   }
   return {
@@ -105,12 +105,13 @@
 
 function describeNeed(entry: entries.JobEntry): string {
   const { gang, accelerators, adjacency, repeatable } = entry.shape;
-  // Work that cannot yield may not take what a team has been guaranteed.
-  const where = repeatable ? "" : " outside of all guarantees";
+  // A job that cannot yield must not occupy guaranteed blocks: a claim on the
+  // guarantee could not preempt it.
+  const where = repeatable ? "" : " outside all guaranteed blocks";
   const members = `${gang} block(s) of ${accelerators}${where}`;
   switch (adjacency) {
     case Types.Adjacency.Worker:
-      return `${members} in one worker`;
+      return `${members} on one worker`;
     case Types.Adjacency.Rack:
       return `${members} in one rack`;
     default:
@@ -150,7 +151,7 @@
     return `about ${Math.max(0, seconds)} s from now, by the estimates`;
   }
   if (quotaReason(entry, context) !== null) {
-    return "when work of the same team ends, or its quota is raised";
+    return "when a job of the same team ends or the quota of the team is raised";
   }
   return `when ${describeNeed(entry)} become free`;
 }
--- a/packages/scheduler/src/find_guaranteed.ts
+++ b/packages/scheduler/src/find_guaranteed.ts
@@ -1,6 +1,7 @@
 /**
- * Finds a place for a job inside its team's guaranteed shape, and the work
- * that has to yield there. Bound blocks come first, then a new binding.
+ * Finds a place for a job inside its team's guarantee, and the jobs to preempt
+ * there. A bound block without preemption is preferred to a new binding; else
+ * the cheaper of the two is taken.
  */
 import * as Placement from "@cairngate/placement";
 import * as Types from "@cairngate/types";
@@ -8,9 +9,10 @@
 import type * as entries from "./job_entry.ts";
 import type * as occupancies from "./occupancy.ts";
 
-/** A place within the guarantee. */
+/** A place inside the guarantee of a team. */
 export interface GuaranteedPlace {
   readonly slots: Types.Slot[];
+  /** Id of the bound block of each slot. */
   readonly boundIds: number[];
   readonly victims: Set<entries.JobEntry>;
 }
@@ -19,12 +21,12 @@
   readonly position: Placement.BlockPosition;
 }
 
-/** Trial bindings before the search gives up on one order. */
+/** Bindings tried per order, or per rack if nothing may be preempted. */
 const MAX_BINDING_TRIALS = 24;
 
 /**
- * Finds a place and binds the blocks it needs. The caller has to enter the
- * job into them, or release them with `dropEmptyBlocks`.
+ * Finds a place and binds the blocks it needs. The caller has to add the job to
+ * these blocks or unbind them with `unbindEmptyBlocks`.
  */
 export function findGuaranteedPlace(
   entry: entries.JobEntry,
@@ -34,12 +36,13 @@
   if (inOneBlock !== null) return inOneBlock;
   if (entry.shape.gang === 1) return null;
   if (entry.shape.adjacency !== Types.Adjacency.Any) return null;
-  // Members may lie in several racks, so one released rack can be enough.
+  // The members may be in several racks: all racks are searched, since a
+  // release in one may complete a place that includes unchanged racks.
   const racks = search.occupancy.racksReleasedSince(-1);
   return findMemberByMember(entry, { ...search, racks });
 }
 
-/** Unbinds the blocks of a place that no job has entered. */
+/** Unbinds those of the given blocks that contain no job. */
 export function unbindEmptyBlocks(
   occupancy: occupancies.Occupancy,
   boundIds: readonly number[],
@@ -88,7 +91,7 @@
   for (let i = 0; i < entry.shape.gang; i++) {
     const place = findInOneRegion(entry, 1, search);
     if (place === null) break;
-    // The claim keeps the next member away from this one's place.
+    // Claims the slots so that the search for the next member skips them.
     occupancy.claim(entry, place.slots);
     slots.push(...place.slots);
     boundIds.push(...place.boundIds);
@@ -146,7 +149,7 @@
   search: regions.GuaranteedSearch & { order: number },
 ): Candidate | null {
   const { tracker } = search.occupancy;
-  // Guarantees that are already short do not take away one that still fits.
+  // If the guarantees are infeasible already, this one may still be used.
   const mayBind = tracker.holds()
     ? (found: Candidate) => tracker.holdsAfterBinding(found.position)
     : () => true;
@@ -159,7 +162,7 @@
   return candidates.slice(0, MAX_BINDING_TRIALS).find(mayBind) ?? null;
 }
 
-/** The best rack that has room for the job right now. */
+/** A binding in the best rack that has room for the job without preemption. */
 function firstFreeBinding(
   entry: entries.JobEntry,
   members: number,
@@ -177,11 +180,13 @@
 
 interface RankedRack {
   readonly rack: number;
+  /** Order of the smallest free block in which the guarantee can be bound. */
   readonly fit: number;
+  /** Smaller is better. */
   readonly rank: number;
 }
 
-/** Racks in which a block can be bound, smallest sufficient blocks first. */
+/** Racks in which a block can be bound, best first. */
 function rankRacks(
   entry: entries.JobEntry,
   members: number,
@@ -194,7 +199,8 @@
     if (fit < 0) continue;
     const hasRoom = space.blocksInRack(rack, entry.order) >= members;
     if (!search.mayPreempt && !hasRoom) continue;
-    // Where the job breaks a block counts before where its guarantee does.
+    // Prefers to split the smallest free block for the job, then the smallest
+    // one for the binding, then the rack with the fewest free accelerators.
     const splitOrder = space.smallestFit(rack, entry.order);
     const rank = splitOrder * 1e4 + fit * 1e2 + space.freeInRack(rack);
     ranked.push({ rack, fit, rank });
@@ -222,7 +228,7 @@
       region: position,
     });
     if (choice === null) continue;
-    // Among equal places, the one in a block that is already broken is best.
+    // Breaks ties in favour of a block that is already partly used.
     const isWhole = occupancy.space.isFree(position) ? 1 : 0;
     found.push({ ...choice, cost: choice.cost + isWhole * 1e-3, position });
   }
--- a/packages/scheduler/src/find_with_eviction.ts
+++ b/packages/scheduler/src/find_with_eviction.ts
@@ -1,11 +1,11 @@
-/** Finds the cheapest place that opens when running work yields. */
+/** Finds the cheapest place for a job that preemption can free. */
 import * as Placement from "@cairngate/placement";
 import * as Types from "@cairngate/types";
 import * as entries from "./job_entry.ts";
 import type * as occupancies from "./occupancy.ts";
 import * as packing from "./packing_policy.ts";
 
-/** A place with the work that has to yield, and its price. */
+/** A place, the jobs to preempt for it and the cost of doing so. */
 export interface PreemptionPlace {
   readonly slots: Types.Slot[];
   readonly victims: Set<entries.JobEntry>;
@@ -13,13 +13,13 @@
   readonly cost: number;
 }
 
-/** Limits of the search. */
+/** Scope of a search with preemption. */
 export interface PreemptionSearch {
   readonly occupancy: occupancies.Occupancy;
   readonly nowMs: number;
   readonly mayPreempt: (victim: entries.JobEntry) => boolean;
   readonly allowed: packing.RackFilter;
-  /** Racks to look at. */
+  /** Indices of the racks to search. */
   readonly racks: readonly number[];
 }
 
@@ -28,7 +28,7 @@
   readonly cost: number;
 }
 
-/** The cheapest place in one rack; null where no rack can be opened. */
+/** The cheapest place within a single rack; null if no rack can be cleared. */
 export function findWithPreemption(
   entry: entries.JobEntry,
   search: PreemptionSearch,
--- a/packages/scheduler/src/histories_test.ts
+++ b/packages/scheduler/src/histories_test.ts
@@ -13,7 +13,7 @@
 const { describe, expect, test } = vitest;
 const { buildDeployment, buildJobShape, buildTeam } = TestUtils;
 
-/** Raised by hand for a long run; CI takes the default. */
+/** Number of generated histories per test; CI uses the default. */
 const HISTORIES = Number(process.env["CAIRNGATE_HISTORIES"] ?? 150);
 const SEED = 42;
 
@@ -69,7 +69,7 @@
   { minLength: 10, maxLength: 60 },
 );
 
-/** Keeps books of its own over what a scheduler decides. */
+/** Carries out the decisions of a scheduler and tracks their result independently. */
 class Simulation {
   readonly scheduler: cores.SchedulerCore;
   readonly layout: layouts.CellLayout;
@@ -113,7 +113,7 @@
     }
   }
 
-  /** Plans until nothing more happens; victims stop at once. */
+  /** Plans until there are no more decisions; preempted jobs stop at once. */
   planUntilStable(): void {
     for (let round = 0; round < 200; round++) {
       const decisions = this.scheduler.plan(this.nowMs);
@@ -121,10 +121,10 @@
       for (const decision of decisions) this.#carryOut(decision);
       for (const id of [...this.yielding]) this.#requeue(id);
     }
-    throw new Error("the plan never comes to rest");
+    throw new Error("200 rounds of planning did not reach a stable state");
   }
 
-  /** Nobody shares an accelerator, and no gang is in parts. */
+  /** Checks that no accelerator is shared and that no job is on a lost worker. */
   check(): void {
     const used = new Map<string, string>();
     for (const [id, slots] of this.running) {
@@ -164,7 +164,7 @@
   #requeue(id: string): void {
     this.yielding.delete(id);
     const shape = this.shapes.get(id)!;
-    // Work that cannot be repeated is never made to yield.
+    // Jobs that cannot be repeated must never be preempted.
     expect(shape.repeatable).toBe(true);
     this.running.delete(id);
     this.waiting.set(id, shape);
@@ -202,7 +202,10 @@
   return layouts.createCellLayout(cfg, "cell");
 }
 
-/** Guarantees recomputed from nothing but the running jobs, by brute force. */
+/**
+ * Whether all guarantees fit, recomputed by brute force from the running jobs
+ * and the bound blocks.
+ */
 function guaranteesFit(
   scheduler: schedulers.Scheduler,
   simulation: Simulation,
@@ -240,7 +243,7 @@
   return orders.sort((a, b) => b - a);
 }
 
-/** Largest first, each in the first free place. */
+/** Places blocks largest first, each at the first free position. */
 function placeAll(
   space: Placement.BuddySpace,
   orders: readonly number[],
@@ -262,7 +265,7 @@
 }
 
 describe("generated histories", () => {
-  test("never break a guarantee that the workers left could keep", () => {
+  test("keep every guarantee that fits on the available workers", () => {
     fc.assert(
       fc.property(operationLists, (history) => {
         const layout = makeLayout();
@@ -284,7 +287,7 @@
     );
   });
 
-  test("end every job once the others are gone, as naive does", () => {
+  test("leave no job waiting that the naive scheduler completes", () => {
     fc.assert(
       fc.property(operationLists, (history) => {
         const layout = makeLayout();
@@ -299,7 +302,7 @@
           submits.forEach((operation, i) => simulation.apply(operation, i));
           drain(simulation);
         }
-        // A job that fits on an empty cell ends under both; no other does.
+        // Every repeatable job within its quota that waits here waits there too.
         expect([...own.waiting.keys()].filter(fitsQuota(own))).toEqual(
           [...naive.waiting.keys()].filter(fitsQuota(naive)).filter(
             (id) => own.waiting.has(id),
@@ -311,7 +314,7 @@
   });
 });
 
-/** Whether no worker was lost up to a move. */
+/** Whether no worker was lost up to an operation. */
 function hasNoLoss(history: readonly Operation[], until: number): boolean {
   return history.slice(0, until + 1).every((m) =>
     m.kind !== OperationKind.LoseWorker
@@ -322,14 +325,14 @@
   return (id) => {
     const shape = simulation.waiting.get(id)!;
     const team = TEAMS.find((t) => t.name === shape.team)!;
-    // What cannot yield may rightly wait for ever beside guarantees.
+    // Jobs that cannot yield may wait for ever, to keep guarantees feasible.
     if (!shape.repeatable) return false;
     const order = Placement.orderOf(shape.accelerators);
     return shape.gang << order <= Math.min(team.quota, 64);
   };
 }
 
-/** Ends running jobs one after another until nothing starts any more. */
+/** Finishes running jobs one after another until no job runs. */
 function drain(simulation: Simulation): void {
   simulation.planUntilStable();
   while (simulation.running.size > 0) {
--- a/packages/scheduler/src/holdings.ts
+++ b/packages/scheduler/src/holdings.ts
@@ -1,22 +1,22 @@
-/** The books of who holds which accelerators, and on what ground. */
+/** Records which job has which accelerators, and under which entitlement. */
 import * as Types from "@cairngate/types";
 import * as entries from "./job_entry.ts";
 import type * as occupancies from "./occupancy.ts";
 
-/** A job that has its slots; the victims still have to stop. */
+/** Result of a claim: the job has its slots once all victims have stopped. */
 export interface PlacedJob {
   readonly victims: ReadonlySet<entries.JobEntry>;
 }
 
-/** A place that was found. */
+/** A place found for a job. */
 export interface FoundPlace {
   readonly slots: readonly Types.Slot[];
-  /** Bound guaranteed blocks, by slot; empty for opportunistic work. */
+  /** Bound block of each slot; empty for opportunistic jobs. */
   readonly boundIds?: number[];
   readonly victims?: Set<entries.JobEntry>;
 }
 
-/** Gives places to jobs and takes them back. */
+/** Allocates places to jobs and releases them. */
 export class Allocator {
   readonly #occupancy: occupancies.Occupancy;
   readonly #used = new Map<string, number>();
@@ -30,7 +30,7 @@
     return this.#used.get(team) ?? 0;
   }
 
-  /** Gives back everything the job holds. */
+  /** Releases the slots, claims and guaranteed blocks of a job. */
   release(entry: entries.JobEntry): void {
     if (entry.slots.length === 0) return;
     this.#occupancy.unclaim(entry);
@@ -45,7 +45,7 @@
     entry.entitlement = null;
   }
 
-  /** Claims a place; the job starts when its victims have stopped. */
+  /** Claims a place and makes its victims yield; the job starts after they stop. */
   claim(
     entry: entries.JobEntry,
     place: FoundPlace,
@@ -65,7 +65,7 @@
     return { victims };
   }
 
-  /** Enters a place into the books. */
+  /** Records a place as allocated to a job. */
   hold(
     entry: entries.JobEntry,
     place: FoundPlace,
@@ -118,6 +118,6 @@
   victim.claimant = claimant;
   entries.addHistory(victim, Types.ReasonKind.Yielded, {
     atMs: nowMs,
-    detail: `to ${claimant.shape.id} of ${claimant.shape.team}`,
+    detail: `to job ${claimant.shape.id} of team ${claimant.shape.team}`,
   });
 }
--- a/packages/scheduler/src/job_entry.ts
+++ b/packages/scheduler/src/job_entry.ts
@@ -1,32 +1,32 @@
-/** A job as the scheduler keeps it. */
+/** State of a job inside the scheduler, and its costs and estimates. */
 import * as Placement from "@cairngate/placement";
 import * as Types from "@cairngate/types";
 
-/** Time to stop a job and start it elsewhere, in milliseconds. */
+/** Assumed time to stop a job and start it elsewhere, in milliseconds. */
 export const RESTART_MS = 30_000;
-/** Cost of breaking a gang, in accelerator-milliseconds for each member. */
+/** Extra cost of preempting a gang, in accelerator-milliseconds per member. */
 export const GANG_BREAK_COST_MS = 10_000;
-/** Assumed run time where nothing is known, in milliseconds. */
+/** Assumed run time of a job without an estimate, in milliseconds. */
 export const DEFAULT_ESTIMATE_MS = 600_000;
-/** Lines of history kept for each job. */
+/** Entries of history kept for each job. */
 const MAX_HISTORY_LENGTH = 24;
 
 /** A job in the scheduler, waiting or running. */
 export interface JobEntry {
   readonly shape: Types.JobShape;
-  /** Order of the block that each member takes. */
+  /** Order of the block that each member occupies. */
   readonly order: number;
-  /** Accelerators taken by the whole job. */
+  /** Accelerators occupied by the whole job. */
   readonly size: number;
   readonly history: Types.Reason[];
   state: Types.JobState;
   slots: readonly Types.Slot[];
   entitlement: Types.Entitlement | null;
-  /** Bound guaranteed blocks that the job lies in. */
+  /** Id of the bound guaranteed block of each slot; empty if opportunistic. */
   boundIds: number[];
-  /** Whether the tracker counts the job's accelerators as fixed. */
+  /** Whether the tracker marks the accelerators as fixed: the job can't yield. */
   isFixed: boolean;
-  /** Where the job runs now, when it started there; 0 while waiting. */
+  /** Start of the current or last run; 0 if the job never ran. */
   startedAtMs: number;
   /** Share of the work that is done and saved, 0 to 1. */
   progress: number;
@@ -34,9 +34,9 @@
   victims: Set<JobEntry>;
   /** The job this one yields to. */
   claimant: JobEntry | null;
-  /** Position key within its lane; smaller starts earlier. */
+  /** Sort key within the lane; the smallest goes first. */
   key: number;
-  /** Order of arrival; decides between equal keys. */
+  /** Number of the arrival; orders jobs of equal key. */
   sequence: number;
 }
 
@@ -75,7 +75,7 @@
   return a.key - b.key || a.sequence - b.sequence;
 }
 
-/** Adds a line to a job's history. */
+/** Adds an entry to a job's history; keeps the first one and the latest. */
 export function addHistory(
   entry: JobEntry,
   kind: Types.ReasonKind,
@@ -94,17 +94,18 @@
 /** Estimated end of a running job; never in the past. */
 export function estimatedEndMs(entry: JobEntry, nowMs: number): number {
   const end = entry.startedAtMs + remainingMs(entry);
-  // A job past its estimate is expected to need as long again as it is late.
+  // A job that overruns its estimate is assumed to need as much time again as
+  // it has overrun so far, plus one second.
   return end > nowMs ? end : nowMs + (nowMs - end) + 1000;
 }
 
-/** Whether the job may be stopped for another. */
+/** Whether the job may be preempted: it runs and can be repeated. */
 export function canYield(entry: JobEntry): boolean {
   const isRunning = entry.state === Types.JobState.Running;
   return isRunning && entry.shape.repeatable;
 }
 
-/** Accelerator-milliseconds lost when a running job is stopped now. */
+/** Accelerator-milliseconds lost if a running job is preempted now. */
 export function yieldCost(entry: JobEntry, nowMs: number): number {
   const ranMs = Math.max(0, nowMs - entry.startedAtMs);
   const intervalMs = entry.shape.checkpointMs;
--- a/packages/scheduler/src/layout.ts
+++ b/packages/scheduler/src/layout.ts
@@ -1,24 +1,24 @@
-/** The workers of one cell, numbered so that racks are adjacent. */
+/** The workers of one cell, indexed rack by rack. */
 import * as Placement from "@cairngate/placement";
 import type * as Types from "@cairngate/types";
 
-/** A worker with its place in the cell. */
+/** A worker with its index and its rack in the cell. */
 export interface CellWorker extends Types.WorkerSpec {
   readonly index: number;
   readonly rack: number;
 }
 
-/** What the scheduler needs to know of a cell. */
+/** The part of the configuration that the scheduler of a cell needs. */
 export interface CellLayout {
   readonly cell: string;
   readonly racks: readonly string[];
-  /** Sparse: index is rack * 8 + place in the rack. */
+  /** Indexed by rack * 8 + position in the rack; undefined where there is none. */
   readonly workers: readonly (CellWorker | undefined)[];
   readonly teams: readonly Types.TeamSpec[];
   readonly weighting: Types.Weighting;
 }
 
-/** Numbers the workers of a cell. */
+/** Creates the layout of a cell from the configuration. */
 export function createCellLayout(
   cfg: Types.DeploymentConfig,
   cellName: string,
@@ -44,7 +44,7 @@
   };
 }
 
-/** Index of a worker by name; -1 where the cell has none of that name. */
+/** Index of the worker of a name; -1 if the cell has none. */
 export function findWorkerIndex(layout: CellLayout, name: string): number {
   return layout.workers.findIndex((worker) => worker?.name === name);
 }
--- a/packages/scheduler/src/occupancy.ts
+++ b/packages/scheduler/src/occupancy.ts
@@ -1,18 +1,19 @@
-/** Who occupies or has claimed each accelerator of a cell. */
+/** Which job occupies or has claimed each accelerator of a cell. */
 import * as Placement from "@cairngate/placement";
 import * as Types from "@cairngate/types";
 import * as guarantees from "./check_guarantees.ts";
 import type * as entries from "./job_entry.ts";
 import type * as layouts from "./layout.ts";
 
+/** Bits of a worker's mask, one per accelerator. */
 const MASK_BITS = 8;
 
-/** Occupancy of a cell, with its tracker of guaranteed shapes. */
+/** Occupancy of a cell's accelerators, and the state of its guarantees. */
 export class Occupancy {
   readonly layout: layouts.CellLayout;
-  /** Free means: no task, no claim, available. */
+  /** Free here: available, without a task and without a claim. */
   readonly space: Placement.BuddySpace;
-  /** Free means: free in `space` and not bound or fixed in the tracker. */
+  /** Free here: free in `space`, and neither bound nor marked in `tracker`. */
   readonly unguaranteed: Placement.BuddySpace;
   readonly tracker: Placement.GuaranteeTracker;
   readonly #tasks: (entries.JobEntry | null)[];
@@ -48,12 +49,12 @@
     }
   }
 
-  /** Grows whenever something becomes free; blocked jobs are tried again. */
+  /** Count of releases; lanes blocked at a lower count are tried again. */
   get releases(): number {
     return this.#releases;
   }
 
-  /** Racks in which something became free after a count of releases. */
+  /** Racks with a release after the given count of releases; all if negative. */
   racksReleasedSince(since: number): readonly number[] {
     if (since < 0) return this.#allRacks;
     const { releases } = this;
@@ -64,7 +65,7 @@
     return this.#changed.racks;
   }
 
-  /** Something in a rack became free, or may be used by others again. */
+  /** Counts a release: the rack may now have room for other jobs. */
   noteRelease(rack: number): void {
     this.#releases++;
     this.#releasedAt[rack] = this.#releases;
@@ -75,7 +76,7 @@
     return this.#available[worker];
   }
 
-  /** Opens or closes a worker for new work. */
+  /** Sets whether new work may be placed on a worker. */
   setAvailable(worker: number, available: boolean): void {
     if (this.#available[worker] === available) return;
     const own = Placement.FULL_MASK & ~this.#missing[worker];
@@ -91,7 +92,7 @@
     return this.#tasks[worker * MASK_BITS + bit];
   }
 
-  /** Jobs whose tasks overlap a slot; each once. */
+  /** Jobs whose tasks overlap a slot, each listed once. */
   tasksIn(slot: Types.Slot): entries.JobEntry[] {
     const found: entries.JobEntry[] = [];
     for (let bit = 0; bit < MASK_BITS; bit++) {
@@ -102,7 +103,7 @@
     return found;
   }
 
-  /** Whether a job has claimed a part of a slot. */
+  /** Whether any accelerator of a slot is claimed. */
   isClaimed(slot: Types.Slot): boolean {
     for (let bit = 0; bit < MASK_BITS; bit++) {
       if ((slot.mask & (1 << bit)) === 0) continue;
@@ -111,12 +112,12 @@
     return false;
   }
 
-  /** Puts a job's tasks on its slots. */
+  /** Records the tasks of a job on its slots. */
   occupy(entry: entries.JobEntry): void {
     this.#setAll(this.#tasks, entry.slots, entry);
   }
 
-  /** Takes a job's tasks off its slots. */
+  /** Removes the tasks of a job from its slots. */
   vacate(entry: entries.JobEntry): void {
     this.#clearAll(this.#tasks, entry);
   }
@@ -126,12 +127,12 @@
     this.#setAll(this.#claims, slots, entry);
   }
 
-  /** Drops a job's claim. */
+  /** Removes the claim of a job. */
   unclaim(entry: entries.JobEntry): void {
     this.#clearAll(this.#claims, entry);
   }
 
-  /** Recomputes the masks of one worker. */
+  /** Recomputes the used masks of one worker. */
   refresh(worker: number): void {
     let used = this.#missing[worker];
     if (!this.#available[worker]) used = Placement.FULL_MASK;
@@ -148,7 +149,7 @@
     );
   }
 
-  /** Recomputes the masks of the workers of a rack. */
+  /** Recomputes the used masks of all workers of a rack. */
   refreshRack(rack: number): void {
     const first = rack * Placement.WORKERS_PER_RACK;
     for (let i = 0; i < Placement.WORKERS_PER_RACK; i++) {
@@ -169,7 +170,7 @@
     }
   }
 
-  /** Clears only what is still the job's own. */
+  /** Clears only entries that still refer to this job. */
   #clearAll(
     from: (entries.JobEntry | null)[],
     entry: entries.JobEntry,
--- a/packages/scheduler/src/order_policy.ts
+++ b/packages/scheduler/src/order_policy.ts
@@ -1,17 +1,18 @@
-/** In which order waiting jobs of one tier are tried. */
+/** Policies for the order in which waiting jobs of one tier are tried. */
 
-/** What an order policy may look at. Times in milliseconds. */
+/** Properties of a job on which its order may depend. Times in milliseconds. */
 export interface OrderInput {
   readonly submittedAtMs: number;
   readonly remainingMs: number;
+  /** Accelerators of the whole job. */
   readonly size: number;
 }
 
-/** Gives each waiting job a fixed key; the smallest key goes first. */
+/** Gives each waiting job a sort key; the smallest key goes first. */
 export abstract class OrderPolicy {
   /** Key of a job when it enters the queue. */
   abstract key(input: OrderInput): number;
-  /** Milliseconds by which a team is put back for its whole share in use. */
+  /** Added to the key of a team's lane per whole share in use, in milliseconds. */
   abstract fairShareMs(): number;
 }
 
@@ -27,9 +28,9 @@
 }
 
 /**
- * Shortest remaining work first, with ageing: a job that needs one more hour
- * goes behind jobs that come up to `factor` hours later. The key is fixed on
- * arrival, so a waiting job is overtaken for a bounded time only.
+ * Shortest remaining work first, with ageing: one more hour of remaining work
+ * puts a job behind jobs submitted up to `factor` hours later. The key does not
+ * change while a job waits, so later jobs can overtake it for a bounded time.
  */
 export class AgedShortestFirst extends OrderPolicy {
   readonly #factor: number;
--- a/packages/scheduler/src/packing_policy.ts
+++ b/packages/scheduler/src/packing_policy.ts
@@ -1,27 +1,28 @@
-/** Where a job is placed on free accelerators. */
+/** Policies for where a job is placed on free accelerators. */
 import * as Placement from "@cairngate/placement";
 import * as Types from "@cairngate/types";
 import type * as entries from "./job_entry.ts";
 
-/** Decides for a rack whether a job may use it. */
+/** Whether a job may use the rack of an index. */
 export type RackFilter = (rack: number) => boolean;
 
-/** Where to look. */
+/** Scope of a search for free accelerators. */
 export interface PackingSearch {
+  /** Indices of the racks to search for a place in a single rack. */
   readonly racks: readonly number[];
   readonly allowed: RackFilter;
 }
 
-/** Chooses among racks and blocks that are free. */
+/** Chooses among racks and free blocks. */
 export abstract class PackingPolicy {
-  /** Smaller is better; Infinity where the blocks do not fit in the rack. */
+  /** Rank of a rack; the smallest is best, Infinity if the blocks don't fit. */
   protected abstract rankRack(
     space: Placement.BuddySpace,
     rack: number,
     want: { order: number; count: number },
   ): number;
 
-  /** Slots for the whole job, or null where it does not fit now. */
+  /** Slots for the whole job, or null if it does not fit now. */
   find(
     space: Placement.BuddySpace,
     entry: entries.JobEntry,
@@ -71,7 +72,10 @@
     return best;
   }
 
-  /** Few racks: the fullest contribution first, the rest in one best rack. */
+  /**
+   * Uses few racks: takes the rack with the most blocks until the rest fits into
+   * one rack, then the best rack for the rest.
+   */
   #findAcrossRacks(
     space: Placement.BuddySpace,
     want: { order: number; count: number },
@@ -96,8 +100,8 @@
 }
 
 /**
- * Smallest sufficient block first, then the rack with the least room left:
- * small jobs stay in blocks that are already broken.
+ * Prefers the smallest sufficient block, then the rack with the fewest free
+ * accelerators. Small jobs thereby share blocks that are already split.
  */
 export class BestFit extends PackingPolicy {
   protected override rankRack(
@@ -111,7 +115,7 @@
   }
 }
 
-/** The first rack with room. */
+/** Takes the first rack that has room. */
 export class FirstFit extends PackingPolicy {
   protected override rankRack(
     space: Placement.BuddySpace,
@@ -123,7 +127,7 @@
   }
 }
 
-/** Cuts a block into one slot for each member. */
+/** Splits a block into one slot for each member. */
 export function splitBlock(
   block: { rack: number; offset: number },
   entry: entries.JobEntry,
@@ -136,7 +140,7 @@
   return slots;
 }
 
-/** The slot of a block of at most 8 accelerators. */
+/** Slot of a block that lies on one worker: at most 8 accelerators. */
 export function slotAt(
   rack: number,
   offset: number,
@@ -164,7 +168,7 @@
   return best;
 }
 
-/** Takes blocks of one rack, smallest sufficient ones first. */
+/** Marks blocks of one rack as used, smallest sufficient ones first. */
 function takeBlocks(
   space: Placement.BuddySpace,
   rack: number,
--- a/packages/scheduler/src/placer.ts
+++ b/packages/scheduler/src/placer.ts
@@ -1,9 +1,13 @@
 /**
- * Places one job. The ways are tried in this order: where packing says, with
- * the team's guarantee laid around it if it fits there; inside the guarantee
- * without disturbing anybody; on free capacity; inside the guarantee with work
- * that yields; urgent work over lower tiers; a block opened for a gang that
- * has waited.
+ * Places one job. The following are tried in order:
+ *
+ * 1. the place that the packing policy chooses, bound to the team's guarantee
+ *    if that covers it;
+ * 2. a place inside the guarantee, without preemption;
+ * 3. free capacity;
+ * 4. a place inside the guarantee, with preemption;
+ * 5. for urgent jobs, preemption of opportunistic jobs of lower tiers;
+ * 6. for gangs that have waited, a block freed by moving smaller jobs.
  */
 import * as Types from "@cairngate/types";
 import * as guarantees from "./find_guaranteed.ts";
@@ -15,20 +19,20 @@
 import type * as reservations from "./reservations.ts";
 import * as bindings from "./adopt_running.ts";
 
-/** What a placer works on. */
+/** State and policies that a placer uses. */
 export interface PlacerOptions {
   readonly occupancy: occupancies.Occupancy;
   readonly reservations: reservations.Reservations;
   readonly policies: policies.SchedulerPolicies;
 }
 
-/** When a job is tried, and the racks that have changed since the last try. */
+/** Time of an attempt, and the racks with a release since the last one. */
 export interface PlaceAttempt {
   readonly nowMs: number;
   readonly racks: readonly number[];
 }
 
-/** Gangs smaller than this are not worth moving work for. */
+/** Smallest job, in accelerators, for which running jobs are moved. */
 const MIN_REPAIR_SIZE = 8;
 
 /** Finds places for jobs. */
@@ -54,12 +58,12 @@
     return this.#allocator.usedBy(team);
   }
 
-  /** Gives back everything the job holds. */
+  /** Releases the slots, claims and guaranteed blocks of a job. */
   release(entry: entries.JobEntry): void {
     this.#allocator.release(entry);
   }
 
-  /** Use of a team as a share of its guarantee, at least one accelerator. */
+  /** Use of a team as a share of its guarantee, which counts as at least 1. */
   shareInUse(team: string): number {
     const guarantee = this.#teams.get(team)?.guarantee ?? [];
     const guaranteedCount = guarantee.reduce(
@@ -69,13 +73,13 @@
     return this.usedBy(team) / Math.max(1, guaranteedCount);
   }
 
-  /** Whether the job would take its team over its quota. */
+  /** Whether the team would exceed its quota with this job. */
   isOverQuota(entry: entries.JobEntry): boolean {
     const quota = this.#teams.get(entry.shape.team)?.quota ?? 0;
     return this.usedBy(entry.shape.team) + entry.size > quota;
   }
 
-  /** Gives the job its slots; null where it has to wait. */
+  /** Claims slots for a job; null if it has to wait. */
   place(
     entry: entries.JobEntry,
     attempt: PlaceAttempt,
@@ -90,7 +94,7 @@
       this.#repairBlock(entry, attempt);
   }
 
-  /** The job's victims are gone: its tasks take their slots. */
+  /** Occupies the claimed slots after all victims have stopped. */
   start(entry: entries.JobEntry, nowMs: number): void {
     this.#occupancy.unclaim(entry);
     this.#occupancy.occupy(entry);
@@ -99,11 +103,11 @@
     const kind = entry.entitlement === Types.Entitlement.Guaranteed
       ? Types.ReasonKind.PlacedGuaranteed
       : Types.ReasonKind.PlacedOpportunistic;
-    const detail = `on ${entry.slots.length} worker place(s)`;
+    const detail = `on ${entry.slots.length} slot(s)`;
     entries.addHistory(entry, kind, { atMs: nowMs, detail });
   }
 
-  /** Takes in a job that already runs on these slots. */
+  /** Adds a job that already runs on these slots. */
   restore(
     entry: entries.JobEntry,
     slots: readonly Types.Slot[],
@@ -129,9 +133,9 @@
   }
 
   /**
-   * Chooses the place by packing alone, and lays the guarantee around it
-   * where that can be done. Keeps racks whole; the job may end up without a
-   * guarantee although its team has one unclaimed.
+   * Chooses the place by packing alone, then binds the guarantee there if
+   * possible. This keeps racks unfragmented, but a job may become opportunistic
+   * although part of its team's guarantee is unused.
    */
   #placePacked(
     entry: entries.JobEntry,
@@ -202,7 +206,7 @@
     return this.#allocator.claim(entry, place, nowMs);
   }
 
-  /** Moved work must have somewhere to go, or it only trades places. */
+  /** Whether the victims fit elsewhere; else they would only wait instead. */
   #hasRoomElsewhere(place: preemption.PreemptionPlace): boolean {
     const { space } = this.#occupancy;
     let needed = 0;
@@ -229,7 +233,7 @@
     return this.#fitsBesideGuarantees(place.slots) ? place : null;
   }
 
-  /** Work that cannot yield must not stand in the way of a guarantee. */
+  /** Whether all guarantees still hold with a job on these slots that can't yield. */
   #fitsBesideGuarantees(slots: readonly Types.Slot[]): boolean {
     const { tracker } = this.#occupancy;
     const isFree = slots.every((slot) =>
--- a/packages/scheduler/src/policies.ts
+++ b/packages/scheduler/src/policies.ts
@@ -1,25 +1,25 @@
-/** Named combinations of policies; an operator's weighting selects one. */
+/** Named combinations of policies, parametrized by the operator's weighting. */
 import type * as Types from "@cairngate/types";
 import * as order from "./order_policy.ts";
 import * as packing from "./packing_policy.ts";
 import * as repair from "./repair_policy.ts";
 
-/** The policies that a scheduler runs with. */
+/** The policies of a scheduler. */
 export interface SchedulerPolicies {
   readonly order: order.OrderPolicy;
   readonly packing: packing.PackingPolicy;
   readonly repair: repair.RepairPolicy;
   /** Share of the racks that may be reserved for waiting gangs. */
   readonly reservedShare: number;
-  /** Whether packing chooses the place before the guarantee does. */
+  /** Whether the packing policy chooses a place before the guarantee is tried. */
   readonly packFirst: boolean;
-  /** Whether work is moved to make racks whole while nothing waits. */
+  /** Whether jobs are moved to empty racks while no job waits. */
   readonly consolidates: boolean;
-  /** Whether urgent work may displace lower tiers on unclaimed capacity. */
+  /** Whether urgent jobs may preempt opportunistic jobs of lower tiers. */
   readonly urgentPreempts: boolean;
 }
 
-/** Names that the bench accepts. */
+/** Names of the combinations that the bench accepts. */
 export const POLICY_NAMES = [
   "default",
   "arrival-order",
@@ -34,10 +34,12 @@
 /** Name of a combination of policies. */
 export type PolicyName = (typeof POLICY_NAMES)[number];
 
+/** Delay of a team in the order while it uses its whole share. */
 const FAIR_SHARE_MS = 600_000;
+/** Largest share of the racks that is reserved for waiting gangs. */
 const RESERVED_SHARE = 0.25;
 
-/** The policies of a name, tuned by an operator's weighting. */
+/** Creates the policies of a name for the operator's weighting. */
 export function createPolicies(
   weighting: Types.Weighting,
   name: PolicyName = "default",
--- a/packages/scheduler/src/queue.ts
+++ b/packages/scheduler/src/queue.ts
@@ -1,24 +1,24 @@
-/** Waiting jobs, in lanes of jobs that compete for the same thing. */
+/** Waiting jobs, in lanes of jobs with equal requirements. */
 import * as Types from "@cairngate/types";
 import TinyQueue from "tinyqueue";
 import * as entries from "./job_entry.ts";
 
-/** Time between two tries of a lane on every rack. */
+/** Time between two attempts of a lane on all racks. */
 const FULL_TRY_INTERVAL_MS = 20_000;
-/** Lanes tried on every rack in one round, so that no round takes long. */
+/** Lanes that are unblocked for all racks in one round; bounds its duration. */
 const MAX_FULL_TRIES_PER_ROUND = 8;
 
-/** Waiting jobs of one team, tier and shape, smallest key first. */
+/** Waiting jobs of one team, tier and shape; the smallest key goes first. */
 export class Lane {
   readonly name: string;
   readonly team: string;
   readonly tierRank: number;
   readonly #heap: TinyQueue<entries.JobEntry>;
-  /** Count of releases when the head last failed to fit; -1 if never. */
+  /** Count of releases when the head last did not fit; -1 to try all racks. */
   blockedAtRelease = -1;
-  /** When the head was last tried on every rack. */
+  /** When the lane was last unblocked for all racks. */
   fullyTriedAtMs = -Infinity;
-  /** The quota stood in the way, so no rack was looked at. */
+  /** Whether the quota blocked the head, so that no rack was searched. */
   isBlockedByQuota = false;
 
   constructor(name: string, first: entries.JobEntry) {
@@ -28,7 +28,7 @@
     this.#heap = new TinyQueue<entries.JobEntry>([], entries.compareOrder);
   }
 
-  /** The next job to try; removed jobs are skipped. */
+  /** The next job to try; drops jobs that no longer wait. */
   head(): entries.JobEntry | undefined {
     let top = this.#heap.peek();
     while (top !== undefined && top.state !== Types.JobState.Waiting) {
@@ -45,7 +45,7 @@
     if (this.head() !== before) this.blockedAtRelease = -1;
   }
 
-  /** Takes out the head. */
+  /** Removes the head. */
   pop(): void {
     this.#heap.pop();
     this.blockedAtRelease = -1;
@@ -67,7 +67,7 @@
     lane.push(entry);
   }
 
-  /** Lanes that have a waiting job; empty ones are forgotten. */
+  /** Lanes with a waiting job; removes the empty ones. */
   lanes(): Lane[] {
     const filled: Lane[] = [];
     for (const lane of this.#lanes.values()) {
@@ -77,7 +77,7 @@
     return filled;
   }
 
-  /** Lanes that may start something now, in the order to try them. */
+  /** Lanes whose head may fit now, in the order to try them. */
   unblockedLanes(releases: number, keyOf: (lane: Lane) => number): Lane[] {
     const unblocked = this.lanes()
       .filter((lane) => lane.blockedAtRelease !== releases)
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Reservations and costs change with time, not only with releases, so every
-   * lane is tried on all racks now and then; a few in each round.
+   * Unblocks a few lanes that have not been tried on all racks for a while:
+   * reservations and costs change with time too, not only with releases.
    */
   unblockSome(nowMs: number): void {
     let left = MAX_FULL_TRIES_PER_ROUND;
@@ -103,7 +103,7 @@
     }
   }
 
-  /** Has every lane tried on all racks in the next round. */
+  /** Unblocks every lane: the next round tries each on all racks. */
   unblockAll(): void {
     for (const lane of this.lanes()) lane.blockedAtRelease = -1;
   }
--- a/packages/scheduler/src/repair_policy.ts
+++ b/packages/scheduler/src/repair_policy.ts
@@ -1,20 +1,20 @@
-/** When running work is moved to open a block for a waiting gang. */
+/** Policies for moving running jobs to free a block for a waiting gang. */
 import * as Types from "@cairngate/types";
 import type * as preemption from "./find_with_eviction.ts";
 import type * as entries from "./job_entry.ts";
 
-/** Least price of moving anything, in accelerator-milliseconds. */
+/** Lower bound of the cost of any move, in accelerator-milliseconds. */
 const MIN_MOVE_COST = 30_000;
 
-/** A gang moves only jobs that are this many times smaller than itself. */
+/** Least ratio of the sizes of a gang and of a job that is moved for it. */
 const MIN_SIZE_RATIO = 2;
 
-/** Decides whether opening a block pays. */
+/** Decides whether moving jobs is worth its cost. */
 export abstract class RepairPolicy {
-  /** Whether any price could be worth paying yet; saves the search. */
+  /** Whether the gang could afford any move yet; if not, no search is needed. */
   abstract hasBudget(gang: entries.JobEntry, nowMs: number): boolean;
 
-  /** Whether the price of a place is worth paying for a waiting gang. */
+  /** Whether a place is worth its cost to a waiting gang. */
   abstract isJustified(
     gang: entries.JobEntry,
     place: preemption.PreemptionPlace,
@@ -32,7 +32,7 @@
   }
 }
 
-/** Never moves running work. */
+/** Never moves running jobs. */
 export class NoRepair extends RepairPolicy {
   override hasBudget(): boolean {
     return false;
@@ -44,8 +44,8 @@
 }
 
 /**
- * Moves work once the gang has waited long enough that the accelerator time
- * lost is less than a share of what the gang has already waited for.
+ * Moves jobs if the accelerator time lost is less than a share of the
+ * accelerator time that the gang has spent waiting.
  */
 export class BudgetedRepair extends RepairPolicy {
   readonly #share: number;
--- a/packages/scheduler/src/reservations.ts
+++ b/packages/scheduler/src/reservations.ts
@@ -1,4 +1,4 @@
-/** Racks kept for gangs that wait, and the jobs that may run there meanwhile. */
+/** Reserves racks for waiting gangs, and backfills them with short jobs. */
 import * as Placement from "@cairngate/placement";
 import * as Types from "@cairngate/types";
 import * as entries from "./job_entry.ts";
@@ -9,7 +9,7 @@
 export interface Reservation {
   readonly entry: entries.JobEntry;
   readonly racks: ReadonlySet<number>;
-  /** When the blocks are expected to be free. */
+  /** When the blocks are expected to be free; may have passed. */
   readonly atMs: number;
 }
 
@@ -19,7 +19,7 @@
   readonly #byRack = new Map<number, Reservation>();
   readonly #limit: number;
 
-  /** @param limit most racks that may be reserved at once */
+  /** @param limit largest number of racks that may be reserved at once */
   constructor(limit: number) {
     this.#limit = limit;
   }
@@ -45,7 +45,7 @@
     return nowMs + entries.remainingMs(entry) <= reservation.atMs;
   }
 
-  /** Drops a job's reservation. */
+  /** Removes the reservation of a job; its racks count as released. */
   drop(jobId: string, occupancy: occupancies.Occupancy): void {
     const reservation = this.#byJob.get(jobId);
     if (reservation === undefined) return;
@@ -56,15 +56,15 @@
     }
   }
 
-  /** Reserves for a gang that does not fit now, where the limit allows. */
+  /** Reserves racks for a gang that does not fit now, if the limit allows. */
   reserve(
     entry: entries.JobEntry,
     occupancy: occupancies.Occupancy,
     nowMs: number,
   ): void {
     const current = this.#byJob.get(entry.shape.id);
-    // A reservation that was missed stays: with its time in the past, no more
-    // work is let in, however wrong the estimates of the running work are.
+    // A reservation whose time has passed stays: it then admits no further jobs
+    // of its tier or below, so wrong estimates can't delay the gang for ever.
     if (current !== undefined && this.#isUsable(current, occupancy)) return;
     this.drop(entry.shape.id, occupancy);
     if (this.#byRack.size >= this.#limit) return;
@@ -75,7 +75,7 @@
     for (const rack of found.racks) this.#byRack.set(rack, found);
   }
 
-  /** Whether every rack still has a worker that takes new work. */
+  /** Whether every reserved rack still has an available worker. */
   #isUsable(
     reservation: Reservation,
     occupancy: occupancies.Occupancy,
@@ -112,7 +112,7 @@
 
 interface RackTimes {
   readonly rack: number;
-  /** When each block of the wanted order becomes free, sorted. */
+  /** Times at which blocks of the required order become free, ascending. */
   readonly ends: number[];
 }
 
@@ -163,7 +163,7 @@
   return ends.sort((a, b) => a - b);
 }
 
-/** When a slot becomes free; null where it never does by itself. */
+/** Estimated time at which a slot becomes free; null if unavailable or claimed. */
 function slotEnd(
   slot: Types.Slot,
   at: { occupancy: occupancies.Occupancy; nowMs: number },
--- a/packages/scheduler/src/scheduler.ts
+++ b/packages/scheduler/src/scheduler.ts
@@ -1,7 +1,6 @@
 /**
- * The scheduler of one cell. Events change its state; `plan` returns what to
- * do next as plain data. It does no input or output and takes times as
- * arguments.
+ * The scheduler of one cell. Events change its state; `plan` returns decisions
+ * as plain data. It does no I/O and reads no clock: times are arguments.
  */
 import * as Types from "@cairngate/types";
 import * as consolidations from "./consolidation.ts";
@@ -16,17 +15,17 @@
 import * as reservations from "./reservations.ts";
 import * as cores from "./scheduler_core.ts";
 
-/** A job found running when a cell is taken over. */
+/** State of a job that was running when the cell was taken over. */
 export interface RestoreOptions {
   readonly nowMs: number;
   readonly slots: readonly Types.Slot[];
   readonly progress: number;
 }
 
-/** Time between two looks for a rack to make whole. */
+/** Time between two searches for a rack that can be emptied. */
 const CONSOLIDATION_INTERVAL_MS = 20_000;
 
-/** Gangs at least this large get a reservation while they wait. */
+/** Smallest job, in accelerators, that gets a reservation while it waits. */
 const MIN_RESERVED_SIZE = 8;
 
 /** Scheduler of one cell. */
@@ -75,18 +74,18 @@
     return this.#placer.usedBy(team);
   }
 
-  /** Puts a new job into the queue. */
+  /** Adds a new job to the queue. */
   override submit(shape: Types.JobShape, options: cores.SubmitOptions): void {
     if (this.#jobs.has(shape.id)) return;
     const entry = entries.createEntry(shape, options.progress ?? 0);
-    const detail = `${shape.service} for ${shape.team}`;
+    const detail = `service ${shape.service} for team ${shape.team}`;
     const atMs = options.nowMs;
     entries.addHistory(entry, Types.ReasonKind.Submitted, { atMs, detail });
     this.#jobs.set(shape.id, entry);
     this.#enqueue(entry);
   }
 
-  /** Takes in a job that already runs. */
+  /** Adds a job that already runs. */
   restore(shape: Types.JobShape, options: RestoreOptions): void {
     if (this.#jobs.has(shape.id)) return;
     const entry = entries.createEntry(shape, options.progress);
@@ -94,18 +93,18 @@
     this.#placer.restore(entry, options.slots, options.nowMs);
   }
 
-  /** Opens or closes a worker for new work. */
+  /** Sets whether new work may be placed on a worker. */
   override setWorkerAvailable(worker: number, available: boolean): void {
     this.occupancy.setAvailable(worker, available);
     if (!available) this.#abortClaimsOn(worker);
   }
 
-  /** A job has ended; its accelerators are free. */
+  /** Removes a job that has ended and frees its accelerators. */
   override finish(jobId: string): void {
     this.#remove(jobId);
   }
 
-  /** A waiting or running job is taken out; true where it was waiting. */
+  /** Removes a job; true if it was waiting or claiming. */
   cancel(jobId: string): boolean {
     const entry = this.#jobs.get(jobId);
     if (entry === undefined) return false;
@@ -115,7 +114,7 @@
     return wasWaiting;
   }
 
-  /** A running job has stopped and goes back to the queue. */
+  /** Returns a running job that has stopped to the queue. */
   override requeue(jobId: string, options: cores.RequeueOptions): void {
     const entry = this.#jobs.get(jobId);
     if (entry === undefined) return;
@@ -129,12 +128,12 @@
     this.#enqueue(entry);
   }
 
-  /** Tries every waiting job again, also where nothing became free. */
+  /** Makes the next plan try all lanes again, also without a release. */
   reconsider(): void {
     this.#queue.unblockAll();
   }
 
-  /** Decides what starts, yields and expires now. */
+  /** Decides which jobs start, yield and expire now. */
   override plan(nowMs: number): Types.Decision[] {
     const decisions: Types.Decision[] = [];
     this.#startReady(decisions, nowMs);
@@ -155,7 +154,7 @@
     return decisions;
   }
 
-  /** Explains a job; null where it is not here. */
+  /** Explains the state of a job; null if the scheduler doesn't have it. */
   explain(jobId: string, nowMs: number): Types.Explanation | null {
     const entry = this.#jobs.get(jobId);
     if (entry === undefined) return null;
@@ -168,7 +167,7 @@
     });
   }
 
-  /** Moves the work of one rack while nothing waits. */
+  /** Moves the jobs of one rack to others while no job waits. */
   #consolidate(decisions: Types.Decision[], nowMs: number): void {
     if (!this.#policies.consolidates || this.#queue.lanes().length > 0) return;
     const { occupancy } = this;
@@ -180,7 +179,7 @@
     });
     for (const entry of moved) {
       entry.state = Types.JobState.Yielding;
-      const detail = "to make a rack whole";
+      const detail = "to free a whole rack";
       entries.addHistory(entry, Types.ReasonKind.Moved, {
         atMs: nowMs,
         detail,
@@ -253,7 +252,8 @@
 
   #startReady(decisions: Types.Decision[], nowMs: number): void {
     for (const entry of this.#ready.splice(0)) {
-      // Its place may have gone with a worker since its last victim stopped.
+      // A worker of the place may have become unavailable since the last victim
+      // stopped; the job then waits again.
       if (entry.state !== Types.JobState.Claiming) continue;
       if (entry.victims.size > 0) continue;
       this.#placer.start(entry, nowMs);
--- a/packages/scheduler/src/scheduler_core.ts
+++ b/packages/scheduler/src/scheduler_core.ts
@@ -1,14 +1,14 @@
-/** What every scheduler can do; the bench and the tests compare several. */
+/** Interface of schedulers, which the bench and the tests compare. */
 import type * as Types from "@cairngate/types";
 
-/** Circumstances of a submission. */
+/** Details of a submission. */
 export interface SubmitOptions {
   readonly nowMs: number;
   /** Saved progress of an earlier attempt, 0 to 1. */
   readonly progress?: number;
 }
 
-/** Circumstances of a return to the queue. */
+/** Details of a return to the queue. */
 export interface RequeueOptions {
   readonly nowMs: number;
   readonly progress: number;
@@ -17,14 +17,14 @@
 
 /** A scheduler of one cell. */
 export abstract class SchedulerCore {
-  /** Puts a new job into the queue. */
+  /** Adds a new job to the queue. */
   abstract submit(shape: Types.JobShape, options: SubmitOptions): void;
-  /** A job has ended; its accelerators are free. */
+  /** Removes a job that has ended and frees its accelerators. */
   abstract finish(jobId: string): void;
-  /** A running job has stopped and goes back to the queue. */
+  /** Returns a running job that has stopped to the queue. */
   abstract requeue(jobId: string, options: RequeueOptions): void;
-  /** Opens or closes a worker for new work. */
+  /** Sets whether new work may be placed on a worker. */
   abstract setWorkerAvailable(worker: number, available: boolean): void;
-  /** Decides what starts, yields and expires now. */
+  /** Decides which jobs start, yield and expire now. */
   abstract plan(nowMs: number): Types.Decision[];
 }
--- a/packages/scheduler/src/scheduler_test.ts
+++ b/packages/scheduler/src/scheduler_test.ts
@@ -28,12 +28,12 @@
 }
 
 describe("guarantees", () => {
-  test("a shape that fits as a count but not as blocks is refused", () => {
+  test("that fit by count but not as whole blocks are rejected", () => {
     const teams = [
       buildTeam("a", { guarantee: [[64, 1]] }),
       buildTeam("b", { guarantee: [[32, 2]] }),
     ];
-    // 12 workers in 2 racks of 6: 96 accelerators, but no whole rack of 64.
+    // 2 racks of 6 workers have 96 accelerators but no free block of 64.
     const cfg = buildDeployment({ racks: 2, workersPerRack: 6, teams });
     const layout = layouts.createCellLayout(cfg, "cell");
     const found = guarantees.checkGuarantees(layout);
@@ -41,7 +41,7 @@
     expect(found?.message).toContain("0 of 1 blocks of 64");
   });
 
-  test("are reclaimed from lower-priority work of other teams", () => {
+  test("are reclaimed from opportunistic jobs of other teams", () => {
     const teams = [
       buildTeam("a", { guarantee: [[32, 1]] }),
       buildTeam("b"),
@@ -69,7 +69,7 @@
     );
   });
 
-  test("are not blocked by work that cannot yield", () => {
+  test("are not blocked by jobs that cannot yield", () => {
     const teams = [
       buildTeam("a", { guarantee: [[8, 1]] }),
       buildTeam("b"),
@@ -85,7 +85,7 @@
     expect(scheduler.occupancy.tracker.holds()).toBe(true);
   });
 
-  test("claimed on a worker that is lost are claimed elsewhere", () => {
+  test("claimed on a worker that is lost do not start there", () => {
     const teams = [buildTeam("a", { guarantee: [[8, 1]] }), buildTeam("b")];
     const cfg = buildDeployment({ workersPerRack: 2, teams });
     const scheduler = createScheduler(cfg);
@@ -108,7 +108,7 @@
     expect(scheduler.get("claim")?.state).not.toBe(Types.JobState.Running);
   });
 
-  test("that a lost worker makes short are reported", () => {
+  test("that a lost worker makes infeasible are reported", () => {
     const teams = [buildTeam("a", { guarantee: [[16, 1]] })];
     const cfg = buildDeployment({ workersPerRack: 2, teams });
     const scheduler = createScheduler(cfg);
@@ -120,7 +120,7 @@
 });
 
 describe("gangs", () => {
-  test("start whole or wait", () => {
+  test("start all members at once or wait", () => {
     const scheduler = createScheduler(buildDeployment({ workersPerRack: 2 }));
     const gang = buildJobShape("gang", { accelerators: 8, gang: 2 });
     scheduler.submit(buildJobShape("one"), { nowMs: 0 });
@@ -131,7 +131,7 @@
     expect(startsOf(scheduler.plan(2))).toEqual(["gang"]);
   });
 
-  test("that wait are not starved by a stream of small jobs", () => {
+  test("are not starved by a stream of small jobs", () => {
     const scheduler = createScheduler(buildDeployment({ workersPerRack: 2 }));
     const small = (id: string, nowMs: number) =>
       scheduler.submit(
@@ -154,7 +154,7 @@
 });
 
 describe("where fragmentation weighs more", () => {
-  test("work is moved to make a rack whole while nothing waits", () => {
+  test("jobs are moved to free a whole rack while no job waits", () => {
     const weighting = { completionTime: 0.3, fragmentation: 0.7 };
     const cfg = buildDeployment({ racks: 2, weighting });
     const scheduler = createScheduler(cfg);
@@ -195,7 +195,7 @@
     expect(found?.startsWhen).toContain("quota");
   });
 
-  test("name the jobs in front", () => {
+  test("name the jobs ahead in the queue", () => {
     const cfg = buildDeployment({ workersPerRack: 1 });
     const scheduler = createScheduler(cfg);
     for (const id of ["first", "second", "third"]) {
