--- a/packages/cli/src/apply_command.ts
+++ b/packages/cli/src/apply_command.ts
@@ -8,7 +8,7 @@
 import * as base from "./base_command.ts";
 import * as exitCodes from "./exit_codes.ts";
 
-interface Applied {
+interface ApplyResult {
   readonly version: number;
   readonly hash: string;
   readonly changed: boolean;
@@ -34,18 +34,18 @@
   override async execute(): Promise<number> {
     const text = await this.#readFile();
     if (text === null) return exitCodes.ExitCode.Invalid;
-    const basedOn = await this.#findBase();
+    const basedOn = await this.#resolveBaseVersion();
     if (basedOn === null) return exitCodes.ExitCode.Unreachable;
     const body = { text, basedOn, applyId: crypto.randomUUID() };
-    const reply = await this.askBox({
+    const reply = await this.callBox({
       method: "POST",
       path: "/v1/config",
       body,
     });
     if (reply === null) return exitCodes.ExitCode.Unknown;
     if (reply.status !== 200) return this.fail(reply);
-    const applied = reply.body as Applied;
-    this.print(applied, () => [describe(applied)]);
+    const applied = reply.body as ApplyResult;
+    this.print(applied, () => [formatResult(applied)]);
     return exitCodes.ExitCode.Ok;
   }
 
@@ -54,26 +54,26 @@
     try {
       text = await fs.readFile(this.file, "utf8");
     } catch (err) {
-      this.complain(`${this.file} cannot be read (${String(err)}).`);
+      this.printError(`${this.file} cannot be read (${String(err)}).`);
       return null;
     }
     const parsed = await Effect.runPromise(
       Effect.result(Config.parseDeployment(text, this.file)),
     );
     if (parsed._tag === "Success") return text;
-    this.complain(parsed.failure.message);
+    this.printError(parsed.failure.message);
     return null;
   }
 
-  async #findBase(): Promise<number | null> {
+  async #resolveBaseVersion(): Promise<number | null> {
     if (this.basedOn !== undefined) return Number(this.basedOn);
-    const reply = await this.askBox({ method: "GET", path: "/v1/config" });
+    const reply = await this.callBox({ method: "GET", path: "/v1/config" });
     if (reply === null || reply.status !== 200) return null;
     return (reply.body as Types.ConfigVersion | null)?.version ?? 0;
   }
 }
 
-function describe(applied: Applied): string {
+function formatResult(applied: ApplyResult): string {
   const { version, hash, changed } = applied;
   return changed
     ? `Version ${version} (${hash}) is in force.`
--- a/packages/cli/src/base_command.ts
+++ b/packages/cli/src/base_command.ts
@@ -6,8 +6,8 @@
 import process from "node:process";
 import * as exitCodes from "./exit_codes.ts";
 
-const DEFAULT_OPERATORS = "127.0.0.1:7102";
-const DEFAULT_CALLERS = "127.0.0.1:7101";
+const DEFAULT_OPERATORS_ADDRESS = "127.0.0.1:7102";
+const DEFAULT_CALLERS_ADDRESS = "127.0.0.1:7101";
 const CONNECTIONS = 1;
 const STATUS_CONFLICT = 409;
 
@@ -39,21 +39,21 @@
   }
 
   /** Calls the operators' address. */
-  protected askBox(
-    what: HttpJson.HttpCall,
+  protected callBox(
+    request: HttpJson.HttpCall,
   ): Promise<HttpJson.HttpReply | null> {
     const address = this.box ?? process.env["CAIRNGATE_OPERATORS"] ??
-      DEFAULT_OPERATORS;
-    return this.#call(address, what);
+      DEFAULT_OPERATORS_ADDRESS;
+    return this.#call(address, request);
   }
 
   /** Calls the callers' address. */
-  protected askCallers(
-    what: HttpJson.HttpCall,
+  protected callCallersApi(
+    request: HttpJson.HttpCall,
   ): Promise<HttpJson.HttpReply | null> {
     const address = this.callers ?? process.env["CAIRNGATE_CALLERS"] ??
-      DEFAULT_CALLERS;
-    return this.#call(address, what);
+      DEFAULT_CALLERS_ADDRESS;
+    return this.#call(address, request);
   }
 
   /** Reports an answer that is not a success; returns the exit code. */
@@ -63,7 +63,7 @@
     if (this.json) {
       this.context.stdout.write(`${JSON.stringify(reply.body)}\n`);
     }
-    this.complain(problem.detail ?? `status ${reply.status}`);
+    this.printError(problem.detail ?? `status ${reply.status}`);
     if (reply.status === STATUS_CONFLICT) return exitCodes.ExitCode.Conflict;
     if (problem.outcome === "unknown") return exitCodes.ExitCode.Unknown;
     const isInvalid = reply.status === 400 || reply.status === 422;
@@ -71,7 +71,7 @@
   }
 
   /** Prints an error for people. */
-  protected complain(message: string): void {
+  protected printError(message: string): void {
     const log = Consola.createConsola({
       stdout: process.stderr,
       stderr: process.stderr,
@@ -81,13 +81,13 @@
 
   async #call(
     address: string,
-    what: HttpJson.HttpCall,
+    request: HttpJson.HttpCall,
   ): Promise<HttpJson.HttpReply | null> {
-    const called = await Effect.runPromise(
-      Effect.result(this.#caller.call(address, what)),
+    const result = await Effect.runPromise(
+      Effect.result(this.#caller.call(address, request)),
     );
-    if (called._tag === "Success") return called.success;
-    this.complain(`${address} does not answer (${called.failure.cause}).`);
+    if (result._tag === "Success") return result.success;
+    this.printError(`${address} does not answer (${result.failure.cause}).`);
     return null;
   }
 }
--- a/packages/cli/src/config_commands.ts
+++ b/packages/cli/src/config_commands.ts
@@ -15,7 +15,7 @@
 
   override async execute(): Promise<number> {
     const path = "/v1/config/history";
-    const reply = await this.askBox({ method: "GET", path });
+    const reply = await this.callBox({ method: "GET", path });
     if (reply?.status !== 200) return this.fail(reply);
     const versions = reply.body as Types.ConfigVersion[];
     this.print(versions, () => rendering.renderHistory(versions));
@@ -45,7 +45,7 @@
 
   async #read(version: string): Promise<Types.ConfigVersion | null> {
     const path = `/v1/config/versions/${encodeURIComponent(version)}`;
-    const reply = await this.askBox({ method: "GET", path });
+    const reply = await this.callBox({ method: "GET", path });
     if (reply?.status === 200) return reply.body as Types.ConfigVersion;
     this.fail(reply);
     return null;
--- a/packages/cli/src/doctor_command.ts
+++ b/packages/cli/src/doctor_command.ts
@@ -24,7 +24,7 @@
     const read = Config.readSettingsFile(this.settings);
     const parsed = await Effect.runPromise(Effect.result(read));
     if (parsed._tag === "Failure") {
-      this.complain(parsed.failure.message);
+      this.printError(parsed.failure.message);
       return exitCodes.ExitCode.Invalid;
     }
     this.box ??= parsed.success.operatorsAddress;
@@ -34,13 +34,13 @@
       await this.#check("box is ready", "/readyz"),
       await this.#check("cells have owners", "/v1/status"),
     ];
-    this.print(checks, () => checks.map(describe));
+    this.print(checks, () => checks.map(formatCheck));
     const isHealthy = checks.every((check) => check.ok);
     return isHealthy ? exitCodes.ExitCode.Ok : exitCodes.ExitCode.Refused;
   }
 
   async #check(what: string, path: string): Promise<Check> {
-    const reply = await this.askBox({ method: "GET", path });
+    const reply = await this.callBox({ method: "GET", path });
     if (reply === null) return { what, ok: false, detail: "no answer" };
     const unreachable = (reply.body as { unreachable?: string[] }).unreachable;
     if (unreachable !== undefined && unreachable.length > 0) {
@@ -50,6 +50,6 @@
   }
 }
 
-function describe(check: Check): string {
+function formatCheck(check: Check): string {
   return `${check.ok ? "ok  " : "FAIL"} ${check.what}: ${check.detail}`;
 }
--- a/packages/cli/src/log_line.ts
+++ b/packages/cli/src/log_line.ts
@@ -22,9 +22,9 @@
 }
 
 function parseTextLine(text: string, file: string): LogLine | null {
-  const found = TEXT_LINE.exec(text);
-  if (found === null) return null;
-  const [, at, level, part, message] = found;
+  const match = TEXT_LINE.exec(text);
+  if (match === null) return null;
+  const [, at, level, part, message] = match;
   return { at, box: file, level, part, message };
 }
 
--- a/packages/cli/src/node_command.ts
+++ b/packages/cli/src/node_command.ts
@@ -15,7 +15,7 @@
   });
 
   override async execute(): Promise<number> {
-    const reply = await this.askBox({ method: "GET", path: STATE_PATH });
+    const reply = await this.callBox({ method: "GET", path: STATE_PATH });
     if (reply === null || reply.status !== 200) return this.fail(reply);
     const state = reply.body as render.NodeState;
     this.print(state, () => render.describeNode(state));
--- a/packages/cli/src/read_commands.ts
+++ b/packages/cli/src/read_commands.ts
@@ -14,7 +14,7 @@
   });
 
   override async execute(): Promise<number> {
-    const reply = await this.askBox({ method: "GET", path: "/v1/status" });
+    const reply = await this.callBox({ method: "GET", path: "/v1/status" });
     if (reply?.status !== 200) return this.fail(reply);
     const body = reply.body as rendering.StatusBody;
     this.print(body, () => rendering.renderStatus(body));
@@ -33,7 +33,7 @@
 
   override async execute(): Promise<number> {
     const path = `/v1/jobs/${encodeURIComponent(this.jobId)}/explain`;
-    const reply = await this.askBox({ method: "GET", path });
+    const reply = await this.callBox({ method: "GET", path });
     if (reply?.status !== 200) return this.fail(reply);
     const body = reply.body as Types.Explanation;
     this.print(body, () => rendering.renderExplanation(body));
@@ -50,7 +50,7 @@
   });
 
   override async execute(): Promise<number> {
-    const reply = await this.askBox({ method: "GET", path: "/debug/dump" });
+    const reply = await this.callBox({ method: "GET", path: "/debug/dump" });
     if (reply?.status !== 200) return this.fail(reply);
     this.print(reply.body, () => [JSON.stringify(reply.body, null, 2)]);
     return exitCodes.ExitCode.Ok;
--- a/packages/cli/src/render.ts
+++ b/packages/cli/src/render.ts
@@ -8,9 +8,9 @@
   readonly unreachable: readonly string[];
 }
 
-const WIDTH = 80;
-const RACK_LINE = 7;
-const TIME_LENGTH = 19;
+const MAX_COLUMNS = 80;
+const WORKERS_PER_LINE = 7;
+const TIMESTAMP_CHARS = 19;
 
 /** The status of all cells. */
 export function renderStatus(body: StatusBody): string[] {
@@ -19,36 +19,36 @@
   for (const cell of body.unreachable) {
     lines.push("", `Cell ${cell}: no owner answers`);
   }
-  return lines.map(clip);
+  return lines.map(truncate);
 }
 
 /** The explanation of one job. */
-export function renderExplanation(found: Types.Explanation): string[] {
-  if (found.history === undefined) {
-    const { jobId, state } = found;
-    const { reason } = found as unknown as { reason: string | null };
+export function renderExplanation(job: Types.Explanation): string[] {
+  if (job.history === undefined) {
+    const { jobId, state } = job;
+    const { reason } = job as unknown as { reason: string | null };
     return [`${jobId}: ${state}${reason ? ` because ${reason}` : ""}`];
   }
-  const shape = `${found.gang} x ${found.accelerators} accelerator(s), ` +
-    `adjacency ${found.adjacency}`;
+  const shape = `${job.gang} x ${job.accelerators} accelerator(s), ` +
+    `adjacency ${job.adjacency}`;
   const lines = [
-    `Job ${found.jobId}`,
-    `  ${found.service} of team ${found.team}, tier ${found.tier}`,
+    `Job ${job.jobId}`,
+    `  ${job.service} of team ${job.team}, tier ${job.tier}`,
     `  ${shape}`,
-    `  ${found.state}${found.entitlement ? ` (${found.entitlement})` : ""}`,
+    `  ${job.state}${job.entitlement ? ` (${job.entitlement})` : ""}`,
   ];
-  if (found.workers.length > 0) {
-    lines.push(...wrap(`  on ${found.workers.join(", ")}`));
+  if (job.workers.length > 0) {
+    lines.push(...wrap(`  on ${job.workers.join(", ")}`));
   }
-  for (const reason of found.waitsFor) {
+  for (const reason of job.waitsFor) {
     lines.push(...wrap(`  waits: ${reason.detail} [${reason.kind}]`));
   }
-  if (found.ahead.length > 0) {
-    lines.push(...wrap(`  in front: ${found.ahead.join(", ")}`));
+  if (job.ahead.length > 0) {
+    lines.push(...wrap(`  in front: ${job.ahead.join(", ")}`));
   }
-  if (found.startsWhen) lines.push(...wrap(`  starts ${found.startsWhen}`));
+  if (job.startsWhen) lines.push(...wrap(`  starts ${job.startsWhen}`));
   lines.push("  history:");
-  for (const { atMs, kind, detail } of found.history) {
+  for (const { atMs, kind, detail } of job.history) {
     lines.push(...wrap(`    ${formatTime(atMs)} ${kind}: ${detail}`));
   }
   return lines;
@@ -123,37 +123,39 @@
 
 function renderRack(rack: Types.RackStatus): string[] {
   const lines: string[] = [];
-  for (let i = 0; i < rack.workers.length; i += RACK_LINE) {
+  for (let i = 0; i < rack.workers.length; i += WORKERS_PER_LINE) {
     const name = i === 0 ? rack.name : "";
-    const row = rack.workers.slice(i, i + RACK_LINE).join(" ");
+    const row = rack.workers.slice(i, i + WORKERS_PER_LINE).join(" ");
     lines.push(`  ${name.padEnd(12)} ${row}`);
   }
   return lines;
 }
 
 function renderTeam(team: Types.TeamStatus): string {
-  const short = team.shortfall > 0 ? `  SHORT BY ${team.shortfall}` : "";
+  const shortage = team.shortfall > 0 ? `  SHORT BY ${team.shortfall}` : "";
   return "  " + team.team.padEnd(17) + team.tier.padEnd(10) +
     String(team.guaranteed).padStart(10) + String(team.used).padStart(6) +
     String(team.reclaimable).padStart(13) + String(team.waiting).padStart(9) +
-    short;
+    shortage;
 }
 
 function formatTime(ms: number): string {
-  return new Date(ms).toISOString().slice(0, TIME_LENGTH).replace("T", " ");
+  return new Date(ms).toISOString().slice(0, TIMESTAMP_CHARS).replace("T", " ");
 }
 
-function clip(line: string): string {
-  return line.length <= WIDTH ? line : `${line.slice(0, WIDTH - 1)}…`;
+function truncate(line: string): string {
+  return line.length <= MAX_COLUMNS
+    ? line
+    : `${line.slice(0, MAX_COLUMNS - 1)}…`;
 }
 
 function wrap(line: string): string[] {
   const indent = /^ */.exec(line)![0] + "  ";
   const lines: string[] = [];
   let rest = line;
-  while (rest.length > WIDTH) {
-    const space = rest.lastIndexOf(" ", WIDTH);
-    const cut = space > indent.length ? space : WIDTH;
+  while (rest.length > MAX_COLUMNS) {
+    const space = rest.lastIndexOf(" ", MAX_COLUMNS);
+    const cut = space > indent.length ? space : MAX_COLUMNS;
     lines.push(rest.slice(0, cut));
     rest = indent + rest.slice(cut).trimStart();
   }
--- a/packages/cli/src/render_node.ts
+++ b/packages/cli/src/render_node.ts
@@ -93,8 +93,8 @@
   const { work } = state;
   const lines = state.evacuations.map(({ dataCentre, sinceMs }) => {
     const since = new Date(sinceMs).toISOString();
-    const found = work?.evacuations.find((e) => e.dataCentre === dataCentre);
-    const runs = found === undefined ? "" : `; ${found.runs} runs go on there`;
+    const match = work?.evacuations.find((e) => e.dataCentre === dataCentre);
+    const runs = match === undefined ? "" : `; ${match.runs} runs go on there`;
     return `  data centre ${dataCentre} evacuated since ${since}${runs}`;
   });
   if (state.mayMissEvacuations) {
--- a/packages/cli/src/render_story.ts
+++ b/packages/cli/src/render_story.ts
@@ -1,15 +1,15 @@
 /** What a node tells of one workflow, as lines for people. */
 
 /** A workflow as a node tells of it. */
-export interface WorkflowStory {
+export interface WorkflowReport {
   readonly id: string;
   readonly state: string;
   /** Null where it was not given up. */
-  readonly giveUp: GiveUpStory | null;
+  readonly giveUp: GiveUpReport | null;
 }
 
 /** Why it was given up. */
-export interface GiveUpStory {
+export interface GiveUpReport {
   readonly reason: string;
   readonly task: string;
   /** The newest run of the task. */
@@ -27,15 +27,17 @@
 }
 
 /** Places of a task within its workflow, behind the id of the workflow. */
-const TASK_PLACES = /(\.\d+){3}$/;
+const TASK_SUFFIX = /(\.\d+){3}$/;
 
 /** The workflow that an id of a workflow or of a task names. */
-export function workflowOf(id: string): string {
-  return id.replace(TASK_PLACES, "");
+export function workflowIdOf(id: string): string {
+  return id.replace(TASK_SUFFIX, "");
 }
 
 /** Lines for people. */
-export function renderStory({ id, state, giveUp }: WorkflowStory): string[] {
+export function renderWorkflow(
+  { id, state, giveUp }: WorkflowReport,
+): string[] {
   if (giveUp === null) {
     return [`Workflow ${id} is ${state}; it was not given up.`];
   }
@@ -50,7 +52,7 @@
   ];
 }
 
-function renderRuns({ runs, isPartial }: GiveUpStory): string[] {
+function renderRuns({ runs, isPartial }: GiveUpReport): string[] {
   if (runs === null) {
     return [
       "  An earlier version gave it up and kept no list of runs; the logs of " +
--- a/packages/cli/src/render_story_test.ts
+++ b/packages/cli/src/render_story_test.ts
@@ -1,6 +1,6 @@
 /** Why a workflow was given up, as lines. */
 import * as vitest from "vitest";
-import * as stories from "./render_story.ts";
+import * as workflows from "./render_story.ts";
 
 const ID = "5c0e7a21d94b36f8";
 const RUN = {
@@ -23,8 +23,8 @@
 
 vitest.describe("the story of a workflow", () => {
   vitest.it("tells each run for which it was given up", () => {
-    const story = { id: ID, state: "failed", giveUp: GIVE_UP };
-    vitest.expect(stories.renderStory(story)).toEqual([
+    const report = { id: ID, state: "failed", giveUp: GIVE_UP };
+    vitest.expect(workflows.renderWorkflow(report)).toEqual([
       `Workflow ${ID} is failed.`,
       `It was given up for crashes of ${ID}.0.0.3, last with run 3: ` +
       "1 runs failed, 3 crashes are laid to it, 1 are excused, with 2 " +
@@ -35,15 +35,15 @@
 
   vitest.it("tells where runs may be missing", () => {
     const giveUp = { ...GIVE_UP, isPartial: true };
-    const story = { id: ID, state: "failed", giveUp };
-    vitest.expect(stories.renderStory(story).at(-1))
+    const report = { id: ID, state: "failed", giveUp };
+    vitest.expect(workflows.renderWorkflow(report).at(-1))
       .toContain("More runs may have counted");
   });
 
   vitest.it("tells that an earlier version kept no runs", () => {
     const giveUp = { ...GIVE_UP, runs: null, isPartial: true };
-    const story = { id: ID, state: "failed", giveUp };
-    vitest.expect(stories.renderStory(story).slice(2)).toEqual([
+    const report = { id: ID, state: "failed", giveUp };
+    vitest.expect(workflows.renderWorkflow(report).slice(2)).toEqual([
       "  An earlier version gave it up and kept no list of runs; the logs of " +
       "that time may tell them.",
     ]);
@@ -51,12 +51,12 @@
 
   vitest.it("is one line where it was not given up", () => {
     vitest.expect(
-      stories.renderStory({ id: ID, state: "completed", giveUp: null }),
+      workflows.renderWorkflow({ id: ID, state: "completed", giveUp: null }),
     ).toEqual([`Workflow ${ID} is completed; it was not given up.`]);
   });
 
   vitest.it("is found by the id of a task", () => {
-    vitest.expect(stories.workflowOf(`${ID}.0.1.17`)).toBe(ID);
-    vitest.expect(stories.workflowOf(ID)).toBe(ID);
+    vitest.expect(workflows.workflowIdOf(`${ID}.0.1.17`)).toBe(ID);
+    vitest.expect(workflows.workflowIdOf(ID)).toBe(ID);
   });
 });
--- a/packages/cli/src/render_test.ts
+++ b/packages/cli/src/render_test.ts
@@ -4,7 +4,7 @@
 
 const { describe, expect, test } = vitest;
 
-const WIDTH = 80;
+const MAX_COLUMNS = 80;
 
 function explanation(): Types.Explanation {
   return {
@@ -34,7 +34,7 @@
   test("explains a job within 80 columns", () => {
     const lines = rendering.renderExplanation(explanation());
     expect(Math.max(...lines.map((line) => line.length)))
-      .toBeLessThanOrEqual(WIDTH);
+      .toBeLessThanOrEqual(MAX_COLUMNS);
     expect(lines.join("\n")).toContain("in front: moravia.a, moravia.b");
     expect(lines.join("\n")).toContain("starts about 120 s from now");
   });
@@ -67,7 +67,7 @@
       }],
     });
     expect(Math.max(...lines.map((line) => line.length)))
-      .toBeLessThanOrEqual(WIDTH);
+      .toBeLessThanOrEqual(MAX_COLUMNS);
     expect(lines.join("\n")).toContain("SHORT BY 8");
     expect(lines.join("\n")).toContain("holding over");
     expect(lines.join("\n")).toContain("olomouc: no owner answers");
--- a/packages/cli/src/submit_command.ts
+++ b/packages/cli/src/submit_command.ts
@@ -12,8 +12,14 @@
   readonly reason?: string | null;
 }
 
-const ENDED = new Set(["done", "failed", "cancelled", "not-run", "unknown"]);
-const POLL_S = 2;
+const FINAL_STATES = new Set([
+  "done",
+  "failed",
+  "cancelled",
+  "not-run",
+  "unknown",
+]);
+const LONG_POLL_S = 2;
 
 /** Submits a job. */
 export class SubmitCommand extends base.BaseCommand {
@@ -50,11 +56,11 @@
   });
 
   override async execute(): Promise<number> {
-    const body = this.#makeBody();
+    const body = this.#buildBody();
     if (body === null) return exitCodes.ExitCode.Invalid;
     const headers: Record<string, string> = {};
     if (this.key !== undefined) headers["idempotency-key"] = this.key;
-    const reply = await this.askCallers({
+    const reply = await this.callCallersApi({
       method: "POST",
       path: "/v1/jobs",
       body,
@@ -63,13 +69,13 @@
     if (reply === null) return exitCodes.ExitCode.Unknown;
     if (reply.status !== 200 && reply.status !== 202) return this.fail(reply);
     let job = reply.body as JobBody;
-    if (this.wait) job = await this.#follow(job);
-    this.print(job, () => describe(job));
+    if (this.wait) job = await this.#awaitEnd(job);
+    this.print(job, () => formatJob(job));
     return exitCodeOf(job);
   }
 
   /** Null where an argument is not valid. */
-  #makeBody(): Record<string, unknown> | null {
+  #buildBody(): Record<string, unknown> | null {
     const body: Record<string, unknown> = {
       team: this.team,
       service: this.service,
@@ -83,21 +89,21 @@
     try {
       return { ...body, input: JSON.parse(this.input) as unknown };
     } catch {
-      this.complain("--input has to be valid JSON.");
+      this.printError("--input has to be valid JSON.");
       return null;
     }
   }
 
-  async #follow(first: JobBody): Promise<JobBody> {
+  async #awaitEnd(first: JobBody): Promise<JobBody> {
     let job = first;
-    let shown = "";
-    while (job.state !== undefined && !ENDED.has(job.state)) {
-      if (job.state !== shown) this.#progress(job);
-      shown = job.state;
-      const next = await this.askCallers({
+    let shownState = "";
+    while (job.state !== undefined && !FINAL_STATES.has(job.state)) {
+      if (job.state !== shownState) this.#showProgress(job);
+      shownState = job.state;
+      const next = await this.callCallersApi({
         method: "GET",
         path: `/v1/jobs/${encodeURIComponent(job.jobId)}`,
-        headers: { prefer: `wait=${POLL_S}` },
+        headers: { prefer: `wait=${LONG_POLL_S}` },
       });
       if (next === null || next.status !== 200) break;
       job = next.body as JobBody;
@@ -105,13 +111,13 @@
     return job;
   }
 
-  #progress(job: JobBody): void {
+  #showProgress(job: JobBody): void {
     if (process.stderr.isTTY !== true) return;
     this.context.stderr.write(`${job.jobId}: ${job.state}\n`);
   }
 }
 
-function describe(job: JobBody): string[] {
+function formatJob(job: JobBody): string[] {
   const state = job.state ?? job.outcome ?? "accepted";
   const lines = [`${job.jobId}: ${state}`];
   if (job.reason) lines.push(`  because ${job.reason}`);
--- a/packages/cli/src/trace.ts
+++ b/packages/cli/src/trace.ts
@@ -1,12 +1,12 @@
 /** The story of one job or task, from the logs of several boxes. */
-import type * as lines from "./log_line.ts";
+import type * as logLines from "./log_line.ts";
 import * as parsing from "./log_line.ts";
 
 /** What was found of one id. */
 export interface Trace {
   readonly id: string;
   /** By time; of equal times as they were read. */
-  readonly lines: readonly lines.LogLine[];
+  readonly lines: readonly logLines.LogLine[];
   /** Lines that name the id and are left out because there are too many. */
   readonly leftOut: number;
   /** Lines that are none of a log, by file. */
@@ -23,15 +23,15 @@
  * Lines that are kept: the memory of a trace does not grow with the logs. At 300
  * bytes a line it is 3 MB.
  */
-const MOST_LINES = 10_000;
+const MAX_LINES = 10_000;
 
 /** Reads logs one after another and merges what they tell of an id. */
 export async function readTrace(
   id: string,
   sources: readonly LogSource[],
-  mostLines = MOST_LINES,
+  maxLines = MAX_LINES,
 ): Promise<Trace> {
-  const found: lines.LogLine[] = [];
+  const matches: logLines.LogLine[] = [];
   const broken: Record<string, number> = {};
   let leftOut = 0;
   for (const { name, lines: texts } of sources) {
@@ -39,17 +39,17 @@
       if (text.trim() === "") continue;
       const line = parsing.parseLogLine(text, name);
       if (line === null) broken[name] = (broken[name] ?? 0) + 1;
-      else if (!names(line.message, id)) continue;
-      else if (found.length < mostLines) found.push(line);
+      else if (!mentionsId(line.message, id)) continue;
+      else if (matches.length < maxLines) matches.push(line);
       else leftOut++;
     }
   }
-  found.sort((a, b) => Date.parse(a.at) - Date.parse(b.at));
-  return { id, lines: found, leftOut, broken };
+  matches.sort((a, b) => Date.parse(a.at) - Date.parse(b.at));
+  return { id, lines: matches, leftOut, broken };
 }
 
 /** Whether a sentence names the id, or one of its tasks. */
-function names(message: string, id: string): boolean {
+function mentionsId(message: string, id: string): boolean {
   for (let at = message.indexOf(id); at >= 0;) {
     const before = message[at - 1] ?? " ";
     const after = message[at + id.length] ?? " ";
@@ -61,25 +61,27 @@
 
 /** The story for people: time since the first line, box, part, sentence. */
 export function renderTrace(trace: Trace): string[] {
-  const { id, lines: found } = trace;
-  if (found.length === 0) return [`No line names ${id}.`];
-  const firstMs = Date.parse(found[0].at);
-  const width = Math.max(...found.map(({ box }) => box.length));
-  const story = found.map(({ at, box, part, message }) => {
+  const { id, lines: entries } = trace;
+  if (entries.length === 0) return [`No line names ${id}.`];
+  const firstMs = Date.parse(entries[0].at);
+  const width = Math.max(...entries.map(({ box }) => box.length));
+  const rows = entries.map(({ at, box, part, message }) => {
     const sinceMs = Date.parse(at) - firstMs;
     const time = `+${(sinceMs / 1000).toFixed(3)}`.padStart(10);
     return `${time}  ${box.padEnd(width)}  [${part}] ${message}`;
   });
-  return [`${id} from ${found[0].at} on, in seconds:`, ...story];
+  return [`${id} from ${entries[0].at} on, in seconds:`, ...rows];
 }
 
 /** What a reader has to know about the story's gaps. */
-export function renderGaps({ leftOut, broken }: Trace): string[] {
-  const gaps = Object.entries(broken).map(([name, count]) =>
+export function renderWarnings({ leftOut, broken }: Trace): string[] {
+  const warnings = Object.entries(broken).map(([name, count]) =>
     `${name}: ${count} lines are no lines of a log and were passed over.`
   );
   if (leftOut > 0) {
-    gaps.push(`${leftOut} more lines were left out; name a task to see them.`);
+    warnings.push(
+      `${leftOut} more lines were left out; name a task to see them.`,
+    );
   }
-  return gaps;
+  return warnings;
 }
--- a/packages/cli/src/trace_command.ts
+++ b/packages/cli/src/trace_command.ts
@@ -8,7 +8,7 @@
 import type * as tty from "node:tty";
 import * as base from "./base_command.ts";
 import * as exitCodes from "./exit_codes.ts";
-import * as stories from "./render_story.ts";
+import * as workflows from "./render_story.ts";
 import * as traces from "./trace.ts";
 
 const STANDARD_INPUT = "-";
@@ -38,43 +38,43 @@
   files = Clipanion.Option.Rest();
 
   override async execute(): Promise<number> {
-    const files = this.#filesToRead();
+    const files = this.#listFiles();
     const missing = files.find((f) => f !== STANDARD_INPUT && !isFile(f));
     if (missing !== undefined) {
-      this.complain(`${missing} is no file that can be read.`);
+      this.printError(`${missing} is no file that can be read.`);
       return exitCodes.ExitCode.Invalid;
     }
     return files.length === 0
-      ? await this.#tellStory()
-      : await this.#tellLogs(files);
+      ? await this.#printWorkflow()
+      : await this.#printLogs(files);
   }
 
   /** What a box tells alone. */
-  async #tellStory(): Promise<exitCodes.ExitCode> {
-    const reply = await this.#askStory();
+  async #printWorkflow(): Promise<exitCodes.ExitCode> {
+    const reply = await this.#fetchWorkflow();
     if (reply?.status !== 200) return this.fail(reply);
-    const story = reply.body as stories.WorkflowStory;
-    this.print({ id: this.id, story }, () => stories.renderStory(story));
+    const story = reply.body as workflows.WorkflowReport;
+    this.print({ id: this.id, story }, () => workflows.renderWorkflow(story));
     return exitCodes.ExitCode.Ok;
   }
 
   /** What logs tell, after what a box tells where one is named. */
-  async #tellLogs(files: readonly string[]): Promise<exitCodes.ExitCode> {
-    const asksBox = this.box !== undefined;
-    const reply = asksBox ? await this.#askStory() : null;
+  async #printLogs(files: readonly string[]): Promise<exitCodes.ExitCode> {
+    const usesBox = this.box !== undefined;
+    const reply = usesBox ? await this.#fetchWorkflow() : null;
     const story = reply?.status === 200
-      ? reply.body as stories.WorkflowStory
+      ? reply.body as workflows.WorkflowReport
       : null;
     const sources = files.map((file) => this.#open(file));
     const trace = await traces.readTrace(this.id, sources);
-    this.print(asksBox ? { ...trace, story } : trace, () => [
-      ...(story === null ? [] : stories.renderStory(story)),
+    this.print(usesBox ? { ...trace, story } : trace, () => [
+      ...(story === null ? [] : workflows.renderWorkflow(story)),
       ...traces.renderTrace(trace),
     ]);
-    for (const gap of traces.renderGaps(trace)) this.complain(gap);
-    if (asksBox && reply === null) return exitCodes.ExitCode.Unreachable;
-    if (asksBox && story === null) {
-      this.complain("The box does not tell of it.");
+    for (const line of traces.renderWarnings(trace)) this.printError(line);
+    if (usesBox && reply === null) return exitCodes.ExitCode.Unreachable;
+    if (usesBox && story === null) {
+      this.printError("The box does not tell of it.");
     }
     return story !== null || trace.lines.length > 0
       ? exitCodes.ExitCode.Ok
@@ -82,15 +82,15 @@
   }
 
   /** A terminal is no log: without files a box is asked instead. */
-  #filesToRead(): readonly string[] {
+  #listFiles(): readonly string[] {
     if (this.files.length > 0) return this.files;
     const { isTTY } = this.context.stdin as tty.ReadStream;
     return this.box !== undefined || isTTY ? [] : [STANDARD_INPUT];
   }
 
-  #askStory(): Promise<HttpJson.HttpReply | null> {
-    const id = encodeURIComponent(stories.workflowOf(this.id));
-    return this.askBox({ method: "GET", path: `${STATE_PATH}/${id}` });
+  #fetchWorkflow(): Promise<HttpJson.HttpReply | null> {
+    const id = encodeURIComponent(workflows.workflowIdOf(this.id));
+    return this.callBox({ method: "GET", path: `${STATE_PATH}/${id}` });
   }
 
   #open(file: string): traces.LogSource {
--- a/packages/cli/src/trace_test.ts
+++ b/packages/cli/src/trace_test.ts
@@ -26,13 +26,13 @@
     message,
   });
 
-async function* listed(lines: readonly string[]): AsyncGenerator<string> {
+async function* iterate(lines: readonly string[]): AsyncGenerator<string> {
   yield* lines;
 }
 
 const source = (name: string, lines: readonly string[]) => ({
   name,
-  lines: listed(lines),
+  lines: iterate(lines),
 });
 
 vitest.describe("a trace", () => {
@@ -61,15 +61,15 @@
       text("34.2", `Run 1 of ${ID}.0.0.1: lost.`),
       text("34.3", `Run 1 of a${ID}.0.0.1: lost.`),
     ];
-    const found = await traces.readTrace(`${ID}.0.0.1`, [source("b", lines)]);
-    vitest.expect(found.lines.map((line) => line.at)).toEqual([at("34.2")]);
+    const trace = await traces.readTrace(`${ID}.0.0.1`, [source("b", lines)]);
+    vitest.expect(trace.lines.map((line) => line.at)).toEqual([at("34.2")]);
   });
 
   vitest.it("counts broken lines and tells of them", async () => {
     const lines = ["", "no log", "{broken", text("34.1", `Job ${ID}.`)];
     const trace = await traces.readTrace(ID, [source("box-1", lines)]);
     vitest.expect(trace.lines).toHaveLength(1);
-    vitest.expect(traces.renderGaps(trace)).toEqual([
+    vitest.expect(traces.renderWarnings(trace)).toEqual([
       "box-1: 2 lines are no lines of a log and were passed over.",
     ]);
   });
@@ -123,10 +123,10 @@
   });
 
   /** A node that knows one workflow, and what it was asked for. */
-  async function openNode() {
-    const asked: string[] = [];
+  async function startBox() {
+    const requestedPaths: string[] = [];
     const server = http.createServer((req, res) => {
-      asked.push(req.url ?? "");
+      requestedPaths.push(req.url ?? "");
       const isKnown = req.url === `/state/${ID}`;
       const runs = [{ sentence: "run 3 on i-1 ended as crashed." }];
       const crashes = { laid: 3, excused: 0, unseen: 0 };
@@ -144,37 +144,37 @@
       server.close();
       server.closeAllConnections();
     };
-    return { address, asked, close };
+    return { address, requestedPaths, close };
   }
 
   vitest.it("asks a box for the runs of a workflow given up", async () => {
-    const node = await openNode();
-    const found = await run([`${ID}.0.0.3`, "--box", node.address]);
+    const box = await startBox();
+    const found = await run([`${ID}.0.0.3`, "--box", box.address]);
     vitest.expect(found.code).toBe(exitCodes.ExitCode.Ok);
     vitest.expect(found.text).toContain("given up for crashes");
     vitest.expect(found.text).toContain("  run 3 on i-1 ended as crashed.");
     vitest.expect(found.text).not.toContain("No line names");
-    vitest.expect(node.asked).toEqual([`/state/${ID}`]);
-    node.close();
+    vitest.expect(box.requestedPaths).toEqual([`/state/${ID}`]);
+    box.close();
   });
 
   vitest.it("asks a box at a terminal without files", async () => {
-    const node = await openNode();
-    vitest.vi.stubEnv("CAIRNGATE_OPERATORS", node.address);
+    const box = await startBox();
+    vitest.vi.stubEnv("CAIRNGATE_OPERATORS", box.address);
     const found = await run([ID], true);
     vitest.vi.unstubAllEnvs();
     vitest.expect(found.text).toContain("given up for crashes");
     vitest.expect(found.text).not.toContain(`Job ${ID}.`);
-    node.close();
+    box.close();
   });
 
   vitest.it("prints what the box tells before the lines of logs", async () => {
-    const node = await openNode();
-    const found = await run([ID, file, "--box", node.address, "--json"]);
+    const box = await startBox();
+    const found = await run([ID, file, "--box", box.address, "--json"]);
     const body = JSON.parse(found.text);
     vitest.expect(body.story.giveUp.task).toBe(`${ID}.0.0.3`);
     vitest.expect(body.lines).toHaveLength(1);
-    node.close();
+    box.close();
   });
 
   vitest.it("prints lines of logs though no box answers", async () => {
@@ -187,14 +187,14 @@
   vitest.it(
     "tells by its code that the box knows no such workflow",
     async () => {
-      const node = await openNode();
-      const found = await run(["0000000000000000", "--box", node.address]);
+      const box = await startBox();
+      const found = await run(["0000000000000000", "--box", box.address]);
       vitest.expect(found.code).toBe(exitCodes.ExitCode.Refused);
-      const args = ["0000000000000000", file, "--box", node.address, "--json"];
+      const args = ["0000000000000000", file, "--box", box.address, "--json"];
       const inLogs = await run(args);
       vitest.expect(inLogs.code).toBe(exitCodes.ExitCode.Refused);
       vitest.expect(JSON.parse(inLogs.text).story).toBeNull();
-      node.close();
+      box.close();
     },
   );
 });
--- a/packages/config/src/decode_yaml.ts
+++ b/packages/config/src/decode_yaml.ts
@@ -59,12 +59,12 @@
 function listFaults(issue: SchemaIssue.Issue): Errors.Fault[] {
   const format = SchemaIssue.makeFormatterStandardSchemaV1();
   return format(issue).issues.map((found) => ({
-    path: pathOf(found.path ?? []),
+    path: formatPath(found.path ?? []),
     expected: PLAIN_MESSAGES.get(found.message) ?? found.message,
   }));
 }
 
-function pathOf(path: readonly unknown[]): string {
+function formatPath(path: readonly unknown[]): string {
   let text = "$";
   for (const part of path) {
     text += typeof part === "number" ? `[${part}]` : `.${String(part)}`;
--- a/packages/config/src/deployment.ts
+++ b/packages/config/src/deployment.ts
@@ -23,7 +23,9 @@
 const Count = Schema.Int.check(Schema.isGreaterThanOrEqualTo(0));
 const Positive = Schema.Int.check(Schema.isGreaterThanOrEqualTo(1));
 const Seconds = Schema.Number.check(Schema.isGreaterThan(0));
-const Share = Schema.Number.check(Schema.isBetween({ minimum: 0, maximum: 1 }));
+const Fraction = Schema.Number.check(
+  Schema.isBetween({ minimum: 0, maximum: 1 }),
+);
 const Accelerators = Schema.Int.check(
   Schema.isBetween({ minimum: 1, maximum: MAX_ACCELERATORS }),
 );
@@ -73,7 +75,10 @@
 
 const DeploymentSchema = Schema.Struct({
   name: Name,
-  weighting: Schema.Struct({ completionTime: Share, fragmentation: Share }),
+  weighting: Schema.Struct({
+    completionTime: Fraction,
+    fragmentation: Fraction,
+  }),
   racks: Schema.Array(RackSchema).check(Schema.isMinLength(1)),
   cells: Schema.Array(
     Schema.Struct({
@@ -157,30 +162,30 @@
 }
 
 function checkCells(parsed: Parsed): Errors.Fault[] {
-  const known = new Set(parsed.racks.map((rack) => rack.name));
-  const owner = new Map<string, string>();
+  const rackNames = new Set(parsed.racks.map((rack) => rack.name));
+  const cellByRack = new Map<string, string>();
   const faults: Errors.Fault[] = [];
   parsed.cells.forEach((cell, i) => {
     for (const rack of cell.racks) {
       const path = `$.cells[${i}].racks`;
-      if (!known.has(rack)) {
+      if (!rackNames.has(rack)) {
         faults.push({ path, expected: `a rack of the file, not ${rack}` });
       }
-      const other = owner.get(rack);
-      if (other !== undefined) {
-        const expected = `rack ${rack} in one cell only, not also ${other}`;
+      const otherCell = cellByRack.get(rack);
+      if (otherCell !== undefined) {
+        const expected = `rack ${rack} in one cell only, not also ${otherCell}`;
         faults.push({ path, expected });
       }
-      owner.set(rack, cell.name);
+      cellByRack.set(rack, cell.name);
     }
   });
   return faults;
 }
 
 function checkTeams(parsed: Parsed): Errors.Fault[] {
-  const known = new Set(parsed.cells.map((cell) => cell.name));
+  const cellNames = new Set(parsed.cells.map((cell) => cell.name));
   return parsed.teams.flatMap((team, i) => {
-    if (team.cell === undefined || known.has(team.cell)) return [];
+    if (team.cell === undefined || cellNames.has(team.cell)) return [];
     const expected = `a cell of the file, not ${team.cell}`;
     return [{ path: `$.teams[${i}].cell`, expected }];
   });
@@ -191,9 +196,9 @@
   parsed.services.forEach((service, i) => {
     const path = `$.services[${i}]`;
     const gang = service.gang ?? 1;
-    const size = (service.accelerators ?? 1) * gang;
+    const jobSize = (service.accelerators ?? 1) * gang;
     const inWorker = service.adjacency === Types.Adjacency.Worker;
-    if (inWorker && size > MAX_ACCELERATORS) {
+    if (inWorker && jobSize > MAX_ACCELERATORS) {
       const expected = `at most ${MAX_ACCELERATORS} accelerators in one worker`;
       faults.push({ path: `${path}.gang`, expected });
     }
--- a/packages/config/src/hash_text.ts
+++ b/packages/config/src/hash_text.ts
@@ -1,10 +1,10 @@
 /** Content hashes of operators' files. */
 import * as crypto from "node:crypto";
 
-const HASH_LENGTH = 12;
+const HASH_HEX_DIGITS = 12;
 
 /** Short SHA-256 of a text, as shown to operators. */
 export function hashText(text: string): string {
   const digest = crypto.createHash("sha256").update(text).digest("hex");
-  return digest.slice(0, HASH_LENGTH);
+  return digest.slice(0, HASH_HEX_DIGITS);
 }
--- a/packages/config/src/node_settings.ts
+++ b/packages/config/src/node_settings.ts
@@ -34,11 +34,11 @@
   cores: Positive,
 });
 
-const UseSchema = Schema.optionalKey(Schema.Enum(Types.FeatureUse));
+const FeatureSchema = Schema.optionalKey(Schema.Enum(Types.FeatureUse));
 
 const HardLoadSchema = Schema.Struct({
-  competingTeams: UseSchema,
-  unevenEndpoints: UseSchema,
+  competingTeams: FeatureSchema,
+  unevenEndpoints: FeatureSchema,
 });
 
 const NodeSchema = Schema.Struct({
--- a/packages/config/src/node_settings_test.ts
+++ b/packages/config/src/node_settings_test.ts
@@ -35,11 +35,11 @@
   vitest.it(
     "is 5 s where the file has none, or nothing behind it",
     async () => {
-      const left = [
+      const unset = [
         await parse(TEXT),
         await parse(`${TEXT}evacuationInForceMs:`),
       ];
-      vitest.expect(left.map((one) => one.evacuationInForceMs))
+      vitest.expect(unset.map((one) => one.evacuationInForceMs))
         .toEqual([5000, 5000]);
     },
   );
--- a/packages/daemon/bin.ts
+++ b/packages/daemon/bin.ts
@@ -31,8 +31,8 @@
   });
 
   override async execute(): Promise<number> {
-    const read = Config.readSettingsFile(this.settings);
-    const settings = await Effect.runPromise(Effect.result(read));
+    const settingsRead = Config.readSettingsFile(this.settings);
+    const settings = await Effect.runPromise(Effect.result(settingsRead));
     if (settings._tag === "Failure") {
       this.context.stderr.write(`${settings.failure.message}\n`);
       return EXIT_BAD_SETTINGS;
--- a/packages/daemon/src/embedded_platform.ts
+++ b/packages/daemon/src/embedded_platform.ts
@@ -19,7 +19,7 @@
 }
 
 /** Adds the machine's clock and random numbers. */
-export function withTime(
+export function withSystemTime(
   metrics: Metrics.Metrics,
   adapters: Omit<PlatformAdapters, "clock" | "random" | "metrics">,
 ): PlatformAdapters {
@@ -45,7 +45,7 @@
       workers.add(spec.endpoint, new StandIns.StandInWorker(options));
       liveList.set({ ...spec, leaving: false });
     }
-    return withTime(new Metrics.Metrics(), {
+    return withSystemTime(new Metrics.Metrics(), {
       table: new StandIns.MemoryTable(faults),
       objects: new StandIns.MemoryObjectStore(faults),
       liveList,
--- a/packages/daemon/src/start_daemon.ts
+++ b/packages/daemon/src/start_daemon.ts
@@ -25,7 +25,7 @@
 }
 
 /** Time for the balancer to notice that this box is not ready. */
-const UNREADY_MS = 1000;
+const READINESS_LAG_MS = 1000;
 
 /** Starts a box and its servers. */
 export function startDaemon(
@@ -39,7 +39,7 @@
       box: settings.box,
     });
     const platform = options.embeddedFile === null
-      ? reachPlatform(settings)
+      ? connectPlatform(settings)
       : yield* embedded.createEmbeddedPlatform(options.embeddedFile);
     const box = createBox(settings, platform, log);
     yield* box.start();
@@ -51,12 +51,12 @@
       box,
       settings.operatorsAddress,
     );
-    const own = log.part("daemon");
-    own.info(
+    const daemonLog = log.part("daemon");
+    daemonLog.info(
       `Box ${settings.box} serves callers on ${settings.callersAddress}.`,
     );
     const stop = () =>
-      stopDaemon({ box, callers, closeOperators, log: own, settings });
+      stopDaemon({ box, callers, closeOperators, log: daemonLog, settings });
     return { box, stop };
   });
 }
@@ -79,14 +79,14 @@
   return new Box.Box({ ...platform, network, log }, settings);
 }
 
-function reachPlatform(
+function connectPlatform(
   settings: Config.BoxSettings,
 ): embedded.PlatformAdapters {
   const { platformAddress, limits } = settings;
   const metrics = new Metrics.Metrics();
   const platform = countTraffic(metrics, "platform");
   const workers = countTraffic(metrics, "worker");
-  return embedded.withTime(metrics, {
+  return embedded.withSystemTime(metrics, {
     table: new Adapters.HttpTable(platformAddress, platform),
     objects: new Adapters.HttpObjectStore(platformAddress, platform),
     liveList: new Adapters.HttpLiveList(platformAddress, platform),
@@ -104,7 +104,7 @@
   };
 }
 
-interface StopParts {
+interface StopContext {
   readonly box: Box.Box;
   readonly callers: Http.CallersServer;
   readonly closeOperators: () => void;
@@ -112,18 +112,18 @@
   readonly settings: Config.BoxSettings;
 }
 
-function stopDaemon(parts: StopParts): Effect.Effect<void> {
-  const { box, callers, log, settings } = parts;
+function stopDaemon(context: StopContext): Effect.Effect<void> {
+  const { box, callers, log, settings } = context;
   return Effect.gen(function* () {
     log.info("The box leaves.");
     callers.beginClosing();
     yield* box.leave();
-    yield* Effect.sleep(UNREADY_MS);
+    yield* Effect.sleep(READINESS_LAG_MS);
     const drained = yield* box.drain(settings.times.stopGraceMs);
     if (!drained) log.warn("Some callers still wait; they are cut off.");
-    yield* Effect.timeoutOption(callers.close(), UNREADY_MS);
+    yield* Effect.timeoutOption(callers.close(), READINESS_LAG_MS);
     yield* box.stop();
-    parts.closeOperators();
+    context.closeOperators();
     log.info("The box has stopped.");
   });
 }
--- a/packages/daemon/src/start_daemon_test.ts
+++ b/packages/daemon/src/start_daemon_test.ts
@@ -25,8 +25,8 @@
 const caller = new HttpJson.HttpCaller({ connections: 8 });
 let daemon: daemons.RunningDaemon;
 
-async function call(address: string, what: HttpJson.HttpCall) {
-  return await Effect.runPromise(caller.call(address, what));
+async function call(address: string, request: HttpJson.HttpCall) {
+  return await Effect.runPromise(caller.call(address, request));
 }
 
 async function submit(body: unknown, headers: Record<string, string> = {}) {
@@ -34,7 +34,7 @@
   return await call(CALLERS, { method: "POST", path, body, headers });
 }
 
-async function awaitOwner(): Promise<void> {
+async function awaitCellOwner(): Promise<void> {
   for (let i = 0; i < 400; i++) {
     const path = "/v1/status";
     const { body } = await call(OPERATORS, { method: "GET", path });
@@ -55,7 +55,7 @@
   );
   const body = { text: embeddedFile, basedOn: 0, applyId: "first" };
   await call(OPERATORS, { method: "POST", path: "/v1/config", body });
-  await awaitOwner();
+  await awaitCellOwner();
 });
 
 afterAll(async () => {
--- a/packages/http/src/callers_server.ts
+++ b/packages/http/src/callers_server.ts
@@ -71,7 +71,7 @@
   }
   const jobId = decodeJobId(pathname);
   if (jobId !== null && req.method === "GET") {
-    return lookUp(box, exchange, jobId);
+    return sendStatus(box, exchange, jobId);
   }
   if (jobId !== null && req.method === "DELETE") {
     return cancel(box, exchange, jobId);
@@ -96,9 +96,9 @@
 function submit(box: Box.Box, exchange: Exchange): Effect.Effect<void> {
   const { req, res, bodyBytes } = exchange;
   return Effect.gen(function* () {
-    const waitSeconds = yield* readWait(req);
+    const waitSeconds = yield* readWaitSeconds(req);
     const body = yield* HttpJson.readJsonBody(req, bodyBytes);
-    const idempotencyKey = headerOf(req, "idempotency-key");
+    const idempotencyKey = readHeader(req, "idempotency-key");
     return yield* box.entry.submit({ body, idempotencyKey, waitSeconds });
   }).pipe(
     Effect.match({
@@ -116,14 +116,14 @@
     : Types.OutcomeKind.NotRun;
 }
 
-function lookUp(
+function sendStatus(
   box: Box.Box,
   exchange: Exchange,
   jobId: string,
 ): Effect.Effect<void> {
   const { req, res } = exchange;
   return Effect.gen(function* () {
-    const waitSeconds = yield* readWait(req);
+    const waitSeconds = yield* readWaitSeconds(req);
     return yield* box.entry.status(jobId, waitSeconds);
   }).pipe(
     Effect.match({
@@ -190,19 +190,19 @@
   }
 }
 
-function headerOf(req: http.IncomingMessage, name: string): string | null {
+function readHeader(req: http.IncomingMessage, name: string): string | null {
   const value = req.headers[name];
   return typeof value === "string" ? value : null;
 }
 
-function readWait(
+function readWaitSeconds(
   req: http.IncomingMessage,
 ): Effect.Effect<number | null, Errors.BadRequestError> {
-  const prefer = headerOf(req, "prefer");
+  const prefer = readHeader(req, "prefer");
   if (prefer === null) return Effect.succeed(null);
-  const found = /(?:^|[,;\s])wait\s*=\s*"?([^\s,;"]+)"?/.exec(prefer);
-  if (found === null) return Effect.succeed(null);
-  const seconds = Number(found[1]);
+  const match = /(?:^|[,;\s])wait\s*=\s*"?([^\s,;"]+)"?/.exec(prefer);
+  if (match === null) return Effect.succeed(null);
+  const seconds = Number(match[1]);
   if (Number.isFinite(seconds) && seconds >= 0) return Effect.succeed(seconds);
   const expected = "wait=N with a number of seconds";
   return Effect.fail(new Errors.BadRequestError({ field: "Prefer", expected }));
--- a/packages/http/src/operators_server.ts
+++ b/packages/http/src/operators_server.ts
@@ -12,11 +12,11 @@
 import process from "node:process";
 import * as problems from "./problems.ts";
 
-const FILE_LIMIT_BYTES = 16_000_000;
+const MAX_FILE_BYTES = 16_000_000;
 const VERSIONS_PATH = "/v1/config/versions/";
 const EXPLAIN_PATTERN = /^\/v1\/jobs\/([^/]+)\/explain$/;
 
-type Handled = Effect.Effect<unknown, problems.HttpFailure>;
+type RouteResult = Effect.Effect<unknown, problems.HttpFailure>;
 
 /** Opens the operators' server of a box; returns how to close it. */
 export function serveOperators(
@@ -45,10 +45,10 @@
     case "/healthz":
       return Effect.sync(() => HttpJson.sendText(res, 200, "ok\n"));
     case "/readyz":
-      return Effect.sync(() => sendReady(box, res));
+      return Effect.sync(() => sendReadiness(box, res));
     case "/metrics":
       return Effect.sync(() => {
-        noteProcess(box);
+        recordProcessUsage(box);
         HttpJson.sendText(res, 200, box.metrics.print());
       });
   }
@@ -62,9 +62,9 @@
   box: Box.Box,
   req: http.IncomingMessage,
   pathname: string,
-): Handled {
-  const explained = EXPLAIN_PATTERN.exec(pathname);
-  if (explained !== null) return explain(box, decodeURIComponent(explained[1]));
+): RouteResult {
+  const match = EXPLAIN_PATTERN.exec(pathname);
+  if (match !== null) return explain(box, decodeURIComponent(match[1]));
   if (pathname.startsWith(VERSIONS_PATH)) {
     return readVersion(box, pathname.slice(VERSIONS_PATH.length));
   }
@@ -81,60 +81,60 @@
     case "/debug/dump":
       return Effect.sync(() => box.dump());
     default:
-      return bad("path", "a route of the operators' address");
+      return reject("path", "a route of the operators' address");
   }
 }
 
-function sendReady(box: Box.Box, res: http.ServerResponse): void {
+function sendReadiness(box: Box.Box, res: http.ServerResponse): void {
   if (box.isReady) HttpJson.sendText(res, 200, "ready\n");
   else HttpJson.sendText(res, 503, "not ready\n");
 }
 
-function noteProcess(box: Box.Box): void {
+function recordProcessUsage(box: Box.Box): void {
   const { user, system } = process.cpuUsage();
   box.metrics.set("process_cpu_seconds_total", (user + system) / 1e6);
   box.metrics.set("process_resident_memory_bytes", process.memoryUsage().rss);
 }
 
-function apply(box: Box.Box, req: http.IncomingMessage): Handled {
+function apply(box: Box.Box, req: http.IncomingMessage): RouteResult {
   return Effect.gen(function* () {
-    const body = yield* HttpJson.readJsonBody(req, FILE_LIMIT_BYTES);
-    const given = (body ?? {}) as Partial<Box.ApplyRequest>;
-    const { text, basedOn, applyId } = given;
-    if (typeof text !== "string") return yield* bad("text", "a file's text");
+    const body = yield* HttpJson.readJsonBody(req, MAX_FILE_BYTES);
+    const fields = (body ?? {}) as Partial<Box.ApplyRequest>;
+    const { text, basedOn, applyId } = fields;
+    if (typeof text !== "string") return yield* reject("text", "a file's text");
     if (typeof basedOn !== "number" || !Number.isInteger(basedOn)) {
-      return yield* bad("basedOn", "a version number");
+      return yield* reject("basedOn", "a version number");
     }
     if (typeof applyId !== "string" || applyId === "") {
-      return yield* bad("applyId", "a unique id");
+      return yield* reject("applyId", "a unique id");
     }
     return yield* box.configs.apply({ text, basedOn, applyId });
   });
 }
 
-function readVersion(box: Box.Box, text: string): Handled {
+function readVersion(box: Box.Box, text: string): RouteResult {
   return Effect.gen(function* () {
     const version = Number(text);
-    const found = Number.isInteger(version) && version > 0
+    const config = Number.isInteger(version) && version > 0
       ? yield* box.configs.read(version)
       : null;
-    if (found === null) {
-      return yield* bad("version", "a version in the history");
+    if (config === null) {
+      return yield* reject("version", "a version in the history");
     }
-    return found;
+    return config;
   });
 }
 
-function readStatus(box: Box.Box): Handled {
+function readStatus(box: Box.Box): RouteResult {
   return Effect.gen(function* () {
     const inForce = box.configs.inForce;
     if (inForce === null) {
       return yield* new Errors.NotReadyError({ waitsFor: "configuration" });
     }
-    const asked = inForce.cfg.cells.map(({ name }) =>
+    const requests = inForce.cfg.cells.map(({ name }) =>
       Effect.result(box.cellStatus(name))
     );
-    const replies = yield* Effect.all(asked, { concurrency: "unbounded" });
+    const replies = yield* Effect.all(requests, { concurrency: "unbounded" });
     return {
       version: inForce.version,
       cells: replies.flatMap((r) => r._tag === "Success" ? [r.success] : []),
@@ -145,7 +145,7 @@
   });
 }
 
-function explain(box: Box.Box, jobId: string): Handled {
+function explain(box: Box.Box, jobId: string): RouteResult {
   return Effect.gen(function* () {
     const cell = jobId.slice(0, Math.max(0, jobId.lastIndexOf(".")));
     const explanation = yield* box.explain(cell, jobId);
@@ -155,7 +155,7 @@
   });
 }
 
-function bad(
+function reject(
   field: string,
   expected: string,
 ): Effect.Effect<never, Errors.BadRequestError> {
--- a/packages/http/src/problems.ts
+++ b/packages/http/src/problems.ts
@@ -26,7 +26,7 @@
 const DEFAULT_RETRY_AFTER_S = 2;
 
 /** Status of each error; errors not listed are 500. */
-const STATUSES: Readonly<Record<string, number>> = {
+const STATUS_BY_ERROR: Readonly<Record<string, number>> = {
   BadRequestError: 400,
   InvalidFileError: 400,
   UnknownJobError: 404,
@@ -48,11 +48,11 @@
   err: HttpFailure,
   outcome: Types.OutcomeKind | null,
 ): void {
-  const status = STATUSES[err._tag] ?? 500;
+  const status = STATUS_BY_ERROR[err._tag] ?? 500;
   const fields = err as unknown as Record<string, unknown>;
   const field = fields["field"];
   const problem: Problem = {
-    type: TYPE_PREFIX + kebab(err._tag),
+    type: TYPE_PREFIX + toKebabCase(err._tag),
     title: err._tag,
     status,
     detail: err.message,
@@ -97,7 +97,7 @@
   HttpJson.sendJson(res, problem.status, { body: problem, headers });
 }
 
-function kebab(tag: string): string {
+function toKebabCase(tag: string): string {
   const name = tag.replace(/Error$/, "");
   return name.replace(/([a-z])([A-Z])/g, "$1-$2").toLowerCase();
 }
--- a/packages/logger/src/logger.ts
+++ b/packages/logger/src/logger.ts
@@ -62,7 +62,7 @@
     level: LEVELS[options.level],
     stdout: process.stderr,
     stderr: process.stderr,
-    reporters: [reporterFor(options.format, options.box)],
+    reporters: [createReporter(options.format, options.box)],
   });
   return new ConsolaLogger(consola);
 }
@@ -74,7 +74,10 @@
   );
 }
 
-function reporterFor(format: LogFormat, box: string): Consola.ConsolaReporter {
+function createReporter(
+  format: LogFormat,
+  box: string,
+): Consola.ConsolaReporter {
   return {
     log(entry) {
       const message = entry.args.map(String).join(" ");
--- a/packages/metrics/src/metrics.ts
+++ b/packages/metrics/src/metrics.ts
@@ -2,8 +2,8 @@
 import * as Hdr from "hdr-histogram-js";
 
 /** 100 is the largest value seen. */
-const QUANTILES: readonly number[] = [50, 95, 99, 100];
-const HIGHEST_MS = 3_600_000;
+const PERCENTILES: readonly number[] = [50, 95, 99, 100];
+const MAX_DURATION_MS = 3_600_000;
 
 interface Series {
   readonly type: "counter" | "gauge";
@@ -21,14 +21,14 @@
 
   /** Adds to a counter. Names end in `_total`. */
   count(name: string, labels: Labels = {}, by = 1): void {
-    const series = this.#get(name, "counter");
+    const series = this.#findOrCreate(name, "counter");
     const key = formatLabels(labels);
     series.values.set(key, (series.values.get(key) ?? 0) + by);
   }
 
   /** Sets a gauge. */
   set(name: string, value: number, labels: Labels = {}): void {
-    this.#get(name, "gauge").values.set(formatLabels(labels), value);
+    this.#findOrCreate(name, "gauge").values.set(formatLabels(labels), value);
   }
 
   /** Value of a counter or gauge; 0 where it was never set. */
@@ -42,7 +42,7 @@
     if (histogram === undefined) {
       histogram = Hdr.build({
         lowestDiscernibleValue: 1,
-        highestTrackableValue: HIGHEST_MS * 1000,
+        highestTrackableValue: MAX_DURATION_MS * 1000,
         numberOfSignificantValueDigits: 2,
         bitBucketSize: 64,
       });
@@ -50,7 +50,7 @@
     }
     const micros = Math.max(
       1,
-      Math.min(HIGHEST_MS * 1000, Math.round(ms * 1000)),
+      Math.min(MAX_DURATION_MS * 1000, Math.round(ms * 1000)),
     );
     histogram.recordValue(micros);
     this.#sums.set(name, (this.#sums.get(name) ?? 0) + ms / 1000);
@@ -80,16 +80,16 @@
 
   #printHistogram(name: string, histogram: Hdr.Histogram): string[] {
     const lines = [`# TYPE ${name} summary`];
-    for (const quantile of QUANTILES) {
-      const seconds = histogram.getValueAtPercentile(quantile) / 1e6;
-      lines.push(`${name}{quantile="${quantile / 100}"} ${seconds}`);
+    for (const percentile of PERCENTILES) {
+      const seconds = histogram.getValueAtPercentile(percentile) / 1e6;
+      lines.push(`${name}{quantile="${percentile / 100}"} ${seconds}`);
     }
     lines.push(`${name}_sum ${this.#sums.get(name) ?? 0}`);
     lines.push(`${name}_count ${histogram.totalCount}`);
     return lines;
   }
 
-  #get(name: string, type: "counter" | "gauge"): Series {
+  #findOrCreate(name: string, type: "counter" | "gauge"): Series {
     let series = this.#series.get(name);
     if (series === undefined) {
       series = { type, values: new Map() };
--- a/packages/ports/src/clock.ts
+++ b/packages/ports/src/clock.ts
@@ -18,9 +18,9 @@
     ms: number,
     work: Effect.Effect<A, E>,
   ): Effect.Effect<Timed<A>, E> {
-    const done = Effect.map(work, (value): Timed<A> => ({ value }));
-    const late = Effect.map(this.sleep(ms), (): Timed<A> => null);
-    return Effect.raceFirst(done, late);
+    const finished = Effect.map(work, (value): Timed<A> => ({ value }));
+    const timedOut = Effect.map(this.sleep(ms), (): Timed<A> => null);
+    return Effect.raceFirst(finished, timedOut);
   }
 
   /** Repeats work for ever with a pause after each run. */
--- a/packages/ports/src/live_list.ts
+++ b/packages/ports/src/live_list.ts
@@ -17,6 +17,6 @@
    * the snapshot with this tag.
    */
   abstract workers(
-    knownTag: string | null,
+    previousTag: string | null,
   ): Effect.Effect<LiveSnapshot | null, failures.StoreError>;
 }
--- a/packages/ports/src/task_workers.ts
+++ b/packages/ports/src/task_workers.ts
@@ -113,13 +113,13 @@
 export abstract class TaskWorkers {
   /** Starts a run; the same run again does nothing. Returns its clock. */
   abstract start(
-    worker: EndpointRef,
+    endpoint: EndpointRef,
     order: StartRun,
   ): Effect.Effect<number, OrderError>;
 
   /** Stops a run; one that has not arrived yet never starts. */
   abstract stop(
-    worker: EndpointRef,
+    endpoint: EndpointRef,
     order: RunRef & { readonly fencingToken: number },
   ): Effect.Effect<number, OrderError>;
 
@@ -128,7 +128,7 @@
    * that the life which numbered the recorded ends will answer, it tells of none.
    */
   abstract renew(
-    worker: EndpointRef,
+    endpoint: EndpointRef,
     order: RenewLease,
   ): Effect.Effect<EndpointView, OrderError>;
 }
--- a/tools/ceiling/bin.ts
+++ b/tools/ceiling/bin.ts
@@ -5,7 +5,7 @@
 import * as ceilings from "./mod.ts";
 
 /** The users' callers go on for 3 s (their `deadline ms`). */
-const PATIENCE_S = "3";
+const DEFAULT_PATIENCE_S = "3";
 /** Exit code for an argument or a file that is not valid, as of `cairngate`. */
 const EXIT_BAD_INPUT = 2;
 
@@ -15,7 +15,7 @@
     description: "Print the most that a played day could have earned",
     examples: [["A report of the bench", "npm run ceiling -- report.json"]],
   });
-  patience = Clipanion.Option.String("--patience", PATIENCE_S, {
+  patience = Clipanion.Option.String("--patience", DEFAULT_PATIENCE_S, {
     description: "Seconds for which a caller goes on asking",
   });
   json = Clipanion.Option.Boolean("--json", false);
@@ -29,7 +29,7 @@
     }
     try {
       const report = ceilings.readReport(fs.readFileSync(this.file, "utf8"));
-      this.#print(report, ceilings.boundOf(report, { patienceS }));
+      this.#print(report, ceilings.computeBound(report, { patienceS }));
     } catch (err) {
       const text = err instanceof Error ? err.message : String(err);
       this.context.stderr.write(`${this.file}: ${text}\n`);
@@ -50,8 +50,8 @@
         `${share}% of the requests could not be kept by anybody\n`,
     );
     for (const { name, earned } of report.parts) {
-      const most = bound.parts[name].toFixed(3);
-      stdout.write(`  ${name}: ${earned.toFixed(3)} of at most ${most}\n`);
+      const limit = bound.parts[name].toFixed(3);
+      stdout.write(`  ${name}: ${earned.toFixed(3)} of at most ${limit}\n`);
     }
   }
 }
--- a/tools/ceiling/mod.ts
+++ b/tools/ceiling/mod.ts
@@ -1,5 +1,10 @@
 /** The ceiling of a played day. */
-export { type Bound, boundOf, findOutages, type Span } from "./src/ceiling.ts";
+export {
+  type Bound,
+  computeBound,
+  findOutages,
+  type Span,
+} from "./src/ceiling.ts";
 export {
   type DayReport,
   MalformedReport,
--- a/tools/ceiling/src/ceiling.ts
+++ b/tools/ceiling/src/ceiling.ts
@@ -26,13 +26,13 @@
 }
 
 /** Windows that count as the worst ones. */
-const WORST_WINDOWS = 2;
+const WORST_WINDOW_COUNT = 2;
 /** The share that is not served counts by its logarithm, over three nines. */
-const NINES = 3;
+const MAX_NINES = 3;
 /** Boxes of a role that all start again are back after this, in s. */
 const RESTART_S = 0.5;
 /** Prices of boxes that are there whatever is decided. */
-const UNAVOIDABLE: readonly string[] = [
+const UNAVOIDABLE_PRICES: readonly string[] = [
   "machine-seconds",
   "memory, GB x seconds",
 ];
@@ -40,36 +40,38 @@
 /** Times in which no request could be kept. */
 export function findOutages(events: readonly reports.DayEvent[]): Span[] {
   return events.flatMap(({ kind, fromS, toS }): Span[] => {
-    const [name, how = ""] = kind.split(" (");
-    const isOfAll = !/nodes|tables|log/.test(how);
-    if (name === "platform_down" && isOfAll) return [{ fromS, toS }];
+    const [name, detail = ""] = kind.split(" (");
+    const isTotal = !/nodes|tables|log/.test(detail);
+    if (name === "platform_down" && isTotal) return [{ fromS, toS }];
     if (name === "closing") return [{ fromS, toS: fromS + RESTART_S }];
     return [];
   });
 }
 
 /** The bound of a day. */
-export function boundOf(
+export function computeBound(
   report: reports.DayReport,
   { patienceS }: BoundOptions,
 ): Bound {
-  const hopeless = findOutages(report.events)
+  const unservable = findOutages(report.events)
     .map(({ fromS, toS }): Span => ({ fromS, toS: toS - patienceS }));
-  const shares = report.windows.map((window) => lostShareOf(window, hopeless));
+  const shares = report.windows.map((window) =>
+    lostShareOf(window, unservable)
+  );
   const owed = report.windows.reduce((sum, window) => sum + window.owed, 0);
   const lost = report.windows.reduce(
     (sum, window, i) => sum + window.owed * shares[i],
     0,
   );
   const lostShare = owed === 0 ? 0 : lost / owed;
-  const worstWindows = meanOfHighest(shares, WORST_WINDOWS);
+  const worstWindows = meanOfHighest(shares, WORST_WINDOW_COUNT);
   const parts: Record<string, number> = {};
   for (const { name } of report.parts) {
     parts[name] = boundOfPart(name, { lostShare, worstWindows });
   }
   const prices = report.prices
-    .filter(({ name }) => UNAVOIDABLE.includes(name))
-    .reduce((sum, { taken }) => sum + taken, 0);
+    .filter(({ name }) => UNAVOIDABLE_PRICES.includes(name))
+    .reduce((sum, { deducted }) => sum + deducted, 0);
   const weights = report.parts.reduce((sum, { weight }) => sum + weight, 0);
   const earned = report.parts.reduce(
     (sum, { name, weight }) => sum + weight * parts[name],
@@ -85,7 +87,7 @@
   if (name === "worst windows") return 1 - lost.worstWindows;
   if (name !== "nines") return 1 - lost.lostShare;
   if (lost.lostShare === 0) return 1;
-  return Math.min(1, -Math.log10(lost.lostShare) / NINES);
+  return Math.min(1, -Math.log10(lost.lostShare) / MAX_NINES);
 }
 
 /** Share of a window that lies in any of the spans, which do not overlap. */
--- a/tools/ceiling/src/ceiling_test.ts
+++ b/tools/ceiling/src/ceiling_test.ts
@@ -20,21 +20,21 @@
     part("nines", 0.25),
   ];
   const prices = [
-    { name: "machine-seconds", taken: 0.02 },
-    { name: "core-seconds of work thrown away", taken: 0.3 },
+    { name: "machine-seconds", deducted: 0.02 },
+    { name: "core-seconds of work thrown away", deducted: 0.3 },
   ];
   return { worth: 0.4, parts, prices, windows, events };
 }
 
-const down = (fromS: number, toS: number, how = "") => ({
-  kind: `platform_down${how}`,
+const down = (fromS: number, toS: number, detail = "") => ({
+  kind: `platform_down${detail}`,
   fromS,
   toS,
 });
 
 vitest.describe("the bound of a day", () => {
   vitest.it("is all but the boxes where nothing was out", () => {
-    const bound = ceilings.boundOf(buildReport([]), PATIENCE);
+    const bound = ceilings.computeBound(buildReport([]), PATIENCE);
     vitest.expect(bound.lostShare).toBe(0);
     vitest.expect(bound.worth).toBeCloseTo(0.98);
   });
@@ -42,7 +42,7 @@
   vitest.it("leaves out who gives up before an outage ends", () => {
     // Out from 2 to 6 s: who came from 2 to 3 s has left by 6 s.
     const report = buildReport([down(2, 6, " (silent)")]);
-    const bound = ceilings.boundOf(report, PATIENCE);
+    const bound = ceilings.computeBound(report, PATIENCE);
     vitest.expect(bound.lostShare).toBeCloseTo(0.1);
     vitest.expect(bound.parts["worst windows"]).toBeCloseTo(0.75);
     vitest.expect(bound.parts["nines"]).toBeCloseTo(1 / 3);
@@ -52,7 +52,7 @@
 
   vitest.it("does not count what is out in part, or for a short time", () => {
     const events = [down(2, 9, " (nodes busy)"), down(2, 4.5)];
-    const bound = ceilings.boundOf(buildReport(events), PATIENCE);
+    const bound = ceilings.computeBound(buildReport(events), PATIENCE);
     vitest.expect(bound.lostShare).toBe(0);
   });
 });
@@ -69,7 +69,7 @@
     vitest.expect(reports.readReport(text)).toEqual({
       worth: 0.5,
       parts: [{ name: "nines", weight: 0.35, earned: 0.4 }],
-      prices: [{ name: "machine-seconds", taken: 0.03 }],
+      prices: [{ name: "machine-seconds", deducted: 0.03 }],
       windows: [{ fromS: 4, lengthS: 2, owed: 7 }],
       events: [{ kind: "burst", fromS: 1, toS: 2 }],
     });
--- a/tools/ceiling/src/day_report.ts
+++ b/tools/ceiling/src/day_report.ts
@@ -27,7 +27,7 @@
 /** One price, as taken off the mark. */
 export interface DayPrice {
   readonly name: string;
-  readonly taken: number;
+  readonly deducted: number;
 }
 
 /** A played day. */
@@ -80,7 +80,7 @@
       weight,
       earned,
     })),
-    prices: wire.prices.map(([name, , taken]) => ({ name, taken })),
+    prices: wire.prices.map(([name, , deducted]) => ({ name, deducted })),
     windows: wire.windows.map(({ name, n, not_owed }) => ({
       fromS: Number(name),
       lengthS: WINDOW_S,
--- a/tools/decisions/bin.ts
+++ b/tools/decisions/bin.ts
@@ -24,24 +24,24 @@
       : [...decisions.LOADS.keys()];
     const unknown = names.find((name) => !decisions.LOADS.has(name));
     if (unknown !== undefined || !Number.isInteger(seeds) || seeds < 1) {
-      const known = [...decisions.LOADS.keys()].join(", ");
+      const loadNames = [...decisions.LOADS.keys()].join(", ");
       this.context.stderr.write(
-        `Takes loads (${known}) and --seeds of 1 and more.\n`,
+        `Takes loads (${loadNames}) and --seeds of 1 and more.\n`,
       );
       return Promise.resolve(EXIT_BAD_INPUT);
     }
-    for (const name of names) this.#play(name, seeds);
+    for (const name of names) this.#simulate(name, seeds);
     return Promise.resolve(0);
   }
 
   /** One line of JSON a play, for comparisons. */
-  #play(name: string, seeds: number): void {
+  #simulate(name: string, seeds: number): void {
     const load = decisions.LOADS.get(name);
     if (load === undefined) return;
     for (let seed = 1; seed <= seeds; seed++) {
-      const marks = decisions.marksOf(decisions.play(load, seed));
+      const scores = decisions.scoreSimulation(decisions.simulate(load, seed));
       const line = JSON.stringify(
-        { load: name, seed, ...marks },
+        { load: name, seed, ...scores },
         (_, value) =>
           typeof value === "number" ? Math.round(value * 1e4) / 1e4 : value,
       );
--- a/tools/decisions/src/draw.ts
+++ b/tools/decisions/src/draw.ts
@@ -20,7 +20,7 @@
 }
 
 /** Numbers that repeat for a seed. */
-export class Draws {
+export class SeededRandom {
   readonly #generator: ReturnType<typeof Xoroshiro.xoroshiro128plus>;
 
   constructor(seed: number) {
@@ -33,18 +33,18 @@
   }
 
   /** Time to the next of events that come at random, in ms. */
-  gapMs(perSecond: number): number {
+  sampleGapMs(perSecond: number): number {
     return -Math.log(1 - this.next()) / perSecond * 1000;
   }
 
   /** About a mean, mostly within a share of it. */
-  around(mean: number, spread: number, max: number): number {
+  sampleAround(mean: number, spread: number, max: number): number {
     const sum = this.next() + this.next() + this.next() - 1.5;
     return Math.min(max, Math.max(mean * 0.1, mean * (1 + spread * 2 * sum)));
   }
 
   /** Many small ones and few large ones. */
-  width(mean: number, max: number): number {
+  sampleWidth(mean: number, max: number): number {
     const drawn = Math.ceil(-Math.log(1 - this.next()) * mean);
     return Math.min(max, Math.max(1, drawn));
   }
@@ -65,23 +65,23 @@
   lengthMs: number,
 ): Arrival[] {
   const arrivals = load.queues.flatMap((queue, i) => {
-    const draws = new Draws(seed * 31 + i);
+    const draws = new SeededRandom(seed * 31 + i);
     const drawn: Arrival[] = [];
     const peak = Math.max(
       1,
       ...load.bursts.map(({ factor }) => factor),
     ) * (1 + (load.wave?.swing ?? 0));
-    let atMs = draws.gapMs(queue.perSecond * peak);
+    let atMs = draws.sampleGapMs(queue.perSecond * peak);
     while (atMs < lengthMs) {
       // Thinned from the highest rate, so that a burst changes no other draw.
       const isKept = draws.next() < rateAt(load, queue, atMs) / peak;
-      if (isKept) drawn.push(drawOne({ load, queue, draws, atMs }));
-      atMs += draws.gapMs(queue.perSecond * peak);
+      if (isKept) drawn.push(drawArrival({ load, queue, draws, atMs }));
+      atMs += draws.sampleGapMs(queue.perSecond * peak);
     }
     return drawn;
   });
   arrivals.sort((a, b) => a.atMs - b.atMs);
-  return weigh(arrivals);
+  return scaleWorth(arrivals);
 }
 
 function rateAt(
@@ -90,7 +90,7 @@
   atMs: number,
 ): number {
   const { wave } = load;
-  const swung = wave === undefined
+  const waveFactor = wave === undefined
     ? 1
     : 1 + wave.swing * Math.sin(2 * Math.PI * atMs / wave.periodMs);
   return load.bursts
@@ -98,7 +98,7 @@
       (burst.queue === null || burst.queue === queue.queue) &&
       burst.fromMs <= atMs && atMs < burst.untilMs
     )
-    .reduce((rate, { factor }) => rate * factor, swung);
+    .reduce((rate, { factor }) => rate * factor, waveFactor);
 }
 
 /** The share that each team has of all guarantees and of all work. */
@@ -112,62 +112,62 @@
   return weights.map((weight) => weight / sum);
 }
 
-function drawTeam(load: loads.Load, draws: Draws): string {
+function drawTeam(load: loads.Load, draws: SeededRandom): string {
   const drawn = draws.next();
   // A few teams are large.
   if (load.teamSkew === undefined) {
-    return nameOfTeam(Math.floor(load.teams * drawn ** 2));
+    return teamName(Math.floor(load.teams * drawn ** 2));
   }
-  let left = drawn;
+  let remaining = drawn;
   const shares = teamShares(load);
   for (const [i, share] of shares.entries()) {
-    left -= share;
-    if (left < 0) return nameOfTeam(i);
+    remaining -= share;
+    if (remaining < 0) return teamName(i);
   }
-  return nameOfTeam(load.teams - 1);
+  return teamName(load.teams - 1);
 }
 
 /** Name of a load's team. */
-export function nameOfTeam(i: number): string {
+export function teamName(i: number): string {
   return `team-${i}`;
 }
 
-let ids = 0;
+let nextId = 0;
 
-function drawOne(
+function drawArrival(
   { load, queue, draws, atMs }: {
     load: loads.Load;
     queue: loads.QueueLoad;
-    draws: Draws;
+    draws: SeededRandom;
     atMs: number;
   },
 ): Arrival {
-  const count = draws.width(queue.width.mean, queue.width.max);
-  const trueMs = draws.around(
+  const count = draws.sampleWidth(queue.width.mean, queue.width.max);
+  const trueMs = draws.sampleAround(
     queue.runMs.mean,
     queue.runMs.spread,
     queue.runMs.max,
   );
-  const off = 1 + queue.estimateOff * (2 * draws.next() - 1);
+  const estimateFactor = 1 + queue.estimateError * (2 * draws.next() - 1);
   const racks = Math.ceil(load.endpoints / load.rackSize);
   const gang = draws.next() < queue.gangShare;
   const accelerators = draws.choose(queue.accelerators);
-  const fits = fitsOneRack(load, queue, { count, accelerators });
-  const isNear = draws.next() < queue.nearShare && fits;
+  const fitsRack = fitsOneRack(load, queue, { count, accelerators });
+  const hasLocalData = draws.next() < queue.localDataShare && fitsRack;
   const rack = `rack-${Math.floor(draws.next() * racks)}`;
   const step = Workflow.createStep({
     count,
     cpuMillis: queue.cpuMillis,
     memoryMb: queue.memoryMb,
     accelerators,
-    estimateMs: trueMs * off,
+    estimateMs: trueMs * estimateFactor,
     checkpoints: draws.next() < queue.checkpointShare,
     gang,
-    sameRack: gang && draws.next() < queue.oneRackShare && fits,
-    rack: isNear ? rack : null,
+    sameRack: gang && draws.next() < queue.oneRackShare && fitsRack,
+    rack: hasLocalData ? rack : null,
   });
   const workflow = new Workflow.Workflow({
-    id: `w${ids++}`,
+    id: `w${nextId++}`,
     tenant: drawTeam(load, draws),
     policy: {
       queue: queue.queue,
@@ -186,7 +186,7 @@
   const runMs = new Map(
     [...workflow.tasks].map(({ key }) => [
       key,
-      trueMs * (0.85 + 0.3 * draws.next()) * drawTail(queue, draws),
+      trueMs * (0.85 + 0.3 * draws.next()) * drawTailFactor(queue, draws),
     ]),
   );
   const longestMs = Math.max(...runMs.values());
@@ -202,7 +202,10 @@
   };
 }
 
-function drawTail({ tail }: loads.QueueLoad, draws: Draws): number {
+function drawTailFactor(
+  { tail }: loads.QueueLoad,
+  draws: SeededRandom,
+): number {
   if (tail === undefined || draws.next() >= tail.share) return 1;
   return tail.factor;
 }
@@ -213,21 +216,21 @@
   queue: loads.QueueLoad,
   step: { readonly count: number; readonly accelerators: number },
 ): boolean {
-  const onOne = Math.floor(Math.min(
+  const tasksPerEndpoint = Math.floor(Math.min(
     load.cpuMillis / queue.cpuMillis,
     load.memoryMb / queue.memoryMb,
     load.accelerators / step.accelerators,
   ));
-  return step.count <= onOne * load.rackSize;
+  return step.count <= tasksPerEndpoint * load.rackSize;
 }
 
 /** Larger workflows are worth more, up to four times the usual one. */
-function weigh(arrivals: readonly Arrival[]): Arrival[] {
+function scaleWorth(arrivals: readonly Arrival[]): Arrival[] {
   const means = new Map<string, number>();
   for (const { queue } of arrivals) {
-    const own = arrivals.filter((other) => other.queue === queue);
-    const sum = own.reduce((total, { work }) => total + work, 0);
-    means.set(queue.queue, sum / own.length);
+    const sameQueue = arrivals.filter((other) => other.queue === queue);
+    const sum = sameQueue.reduce((total, { work }) => total + work, 0);
+    means.set(queue.queue, sum / sameQueue.length);
   }
   return arrivals.map((arrival) => {
     const mean = means.get(arrival.queue.queue) ?? 1;
--- a/tools/decisions/src/load.ts
+++ b/tools/decisions/src/load.ts
@@ -22,7 +22,7 @@
     readonly max: number;
   };
   /** How far estimates are off, as a share of the time. */
-  readonly estimateOff: number;
+  readonly estimateError: number;
   /** A share of the tasks takes so many times as long as the others. */
   readonly tail?: { readonly share: number; readonly factor: number };
   readonly gangShare: number;
@@ -30,7 +30,7 @@
   readonly oneRackShare: number;
   readonly checkpointShare: number;
   /** Share of the steps whose data lies in one rack. */
-  readonly nearShare: number;
+  readonly localDataShare: number;
   /** What a workflow of mean size is worth in time, and late. */
   readonly worth: number;
   readonly lateWorth: number;
@@ -75,10 +75,10 @@
   readonly hardLoad?: Scheduler.HardLoad;
 }
 
-const SIZES: readonly number[] = [1, 2, 4, 8, 8];
+const ACCELERATOR_COUNTS: readonly number[] = [1, 2, 4, 8, 8];
 
 /** Rebuilds of maps, diagnostics and batches, the users' three kinds of work. */
-function queuesOf(options: {
+function createQueues(options: {
   readonly cpuMillis: number;
   readonly rebuild: Partial<QueueLoad>;
   readonly urgent: Partial<QueueLoad>;
@@ -96,13 +96,13 @@
       width: { mean: 13, max: 78 },
       cpuMillis: Math.round(cpuMillis * 0.406),
       memoryMb: 100_000,
-      accelerators: SIZES,
+      accelerators: ACCELERATOR_COUNTS,
       runMs: { mean: 8500, spread: 0.3, max: 11_000 },
-      estimateOff: 0.2,
+      estimateError: 0.2,
       gangShare: 1,
       oneRackShare: 0.6,
       checkpointShare: 0.45,
-      nearShare: 0.3,
+      localDataShare: 0.3,
       worth: 3,
       lateWorth: 0.9,
       ...options.rebuild,
@@ -117,13 +117,13 @@
       width: { mean: 5.4, max: 32 },
       cpuMillis: Math.round(cpuMillis * 0.117),
       memoryMb: 44_000,
-      accelerators: SIZES,
+      accelerators: ACCELERATOR_COUNTS,
       runMs: { mean: 2500, spread: 0.5, max: 8000 },
-      estimateOff: 0.2,
+      estimateError: 0.2,
       gangShare: 1,
       oneRackShare: 0.8,
       checkpointShare: 0,
-      nearShare: 0,
+      localDataShare: 0,
       worth: 4,
       lateWorth: 0.8,
       ...options.urgent,
@@ -140,11 +140,11 @@
       memoryMb: 59_000,
       accelerators: [1],
       runMs: { mean: 6100, spread: 0.3, max: 11_000 },
-      estimateOff: 0.2,
+      estimateError: 0.2,
       gangShare: 0,
       oneRackShare: 0,
       checkpointShare: 0.45,
-      nearShare: 0.12,
+      localDataShare: 0.12,
       worth: 1,
       lateWorth: 0.3,
       ...options.batch,
@@ -153,7 +153,7 @@
 }
 
 /** A burst of everything, then one of batches: a heavy day in short. */
-const HEAVY: readonly Burst[] = [
+const HEAVY_BURSTS: readonly Burst[] = [
   { queue: null, fromMs: 6000, untilMs: 11_000, factor: 2 },
   { queue: "batch", fromMs: 16_000, untilMs: 20_000, factor: 2.6 },
   { queue: "rebuild", fromMs: 22_000, untilMs: 24_000, factor: 3 },
@@ -171,13 +171,13 @@
   guaranteedShare: 0.6,
   stopMs: 150,
   checkpointMs: 500,
-  queues: queuesOf({
+  queues: createQueues({
     cpuMillis: 128_000,
     rebuild: { memoryMb: 270_000 },
-    urgent: { estimateOff: 0.9 },
+    urgent: { estimateError: 0.9 },
     batch: {},
   }),
-  bursts: HEAVY,
+  bursts: HEAVY_BURSTS,
 };
 
 /** Endpoints of 32 cores, where accelerators alone are scarce. */
@@ -188,7 +188,7 @@
   cpuMillis: 32_000,
   memoryMb: 131_072,
   stopMs: 600,
-  queues: queuesOf({
+  queues: createQueues({
     cpuMillis: 32_000,
     rebuild: { memoryMb: 26_000, perSecond: 1.2 },
     urgent: { memoryMb: 11_000, perSecond: 6.1 },
@@ -203,7 +203,7 @@
   endpoints: 33,
   rackSize: 8,
   teams: 4,
-  queues: queuesOf({
+  queues: createQueues({
     cpuMillis: 32_000,
     rebuild: {
       memoryMb: 26_000,
@@ -231,14 +231,14 @@
   guaranteedShare: 0.62,
   stopMs: 150,
   checkpointMs: 1000,
-  queues: queuesOf({
+  queues: createQueues({
     cpuMillis: 64_000,
     rebuild: {
       attempts: 2,
       memoryMb: 38_000,
       perSecond: 0.94,
       runMs: { mean: 11_000, spread: 0.3, max: 11_000 },
-      estimateOff: 0.5,
+      estimateError: 0.5,
     },
     urgent: { memoryMb: 20_000, perSecond: 5, latencyMs: 250 },
     batch: {
@@ -246,7 +246,7 @@
       memoryMb: 8200,
       perSecond: 1.15,
       runMs: { mean: 7600, spread: 0.3, max: 11_000 },
-      estimateOff: 0.9,
+      estimateError: 0.9,
     },
   }),
 };
@@ -264,14 +264,14 @@
   speeds: [0.6, 1, 1.6],
   hardLoad: { teamsCompete: false, endpointsDiffer: true },
   wave: { swing: 0.55, periodMs: 13_000 },
-  queues: queuesOf({
+  queues: createQueues({
     cpuMillis: 128_000,
     rebuild: {
       attempts: 3,
       memoryMb: 210_000,
       perSecond: 1.27,
       runMs: { mean: 7200, spread: 0.3, max: 76_000 },
-      estimateOff: 0.5,
+      estimateError: 0.5,
       tail: LONG_TAIL,
     },
     urgent: {
@@ -286,7 +286,7 @@
       memoryMb: 33_000,
       perSecond: 1.56,
       runMs: { mean: 5200, spread: 0.3, max: 55_000 },
-      estimateOff: 0.5,
+      estimateError: 0.5,
       tail: LONG_TAIL,
     },
   }),
--- a/tools/decisions/src/marks.ts
+++ b/tools/decisions/src/marks.ts
@@ -2,7 +2,7 @@
 import type * as plays from "./play.ts";
 
 /** Shares of what was owed that was earned, and what was thrown away. */
-export interface Marks {
+export interface Scores {
   readonly all: number;
   readonly byQueue: Readonly<Record<string, number>>;
   readonly worstTeam: number;
@@ -28,75 +28,81 @@
 /** An end within this many times the objective is late, and still of use. */
 const LATE_FACTOR = 3;
 /** A run that is stopped before this time from its start has just begun, in ms. */
-const EARLY_MS = 1000;
+const EARLY_STOP_MS = 1000;
 /** Length of a span, in ms. */
 const SPAN_MS = 2000;
 /** Spans that count as the worst ones, by the users' rules. */
-const WORST_SPANS = 2;
+const WORST_SPAN_COUNT = 2;
 /** The users' weights of the whole, the worst team, spans and queue. */
 const WEIGHTS = { all: 0.4, team: 0.2, spans: 0.15, queue: 0.1 };
 /** Price of a core-second for each unit of worth owed: 71,740 cost 0.055 of 1,250. */
-const PRICE = 0.00095;
+const LOST_WORK_PRICE = 0.00095;
 
 /** Marks of a play. */
-export function marksOf(played: plays.Played): Marks {
-  const { served } = played;
-  const queues = group(served, ({ arrival }) => arrival.queue.queue);
-  const teams = group(served, ({ arrival }) => arrival.workflow.spec.tenant);
+export function scoreSimulation(result: plays.SimulationResult): Scores {
+  const { outcomes } = result;
+  const queues = group(outcomes, ({ arrival }) => arrival.queue.queue);
+  const teams = group(outcomes, ({ arrival }) => arrival.workflow.spec.tenant);
   const spans = group(
-    served,
+    outcomes,
     ({ arrival }) => String(Math.floor(arrival.atMs / SPAN_MS)),
   );
-  const all = shareOf(served);
-  const worstTeam = lowest([...teams.values()].map(shareOf), 1);
-  const worstSpans = lowest([...spans.values()].map(shareOf), WORST_SPANS);
-  const worstQueue = lowest([...queues.values()].map(shareOf), 1);
+  const all = earnedShare(outcomes);
+  const worstTeam = meanOfLowest([...teams.values()].map(earnedShare), 1);
+  const worstSpans = meanOfLowest(
+    [...spans.values()].map(earnedShare),
+    WORST_SPAN_COUNT,
+  );
+  const worstQueue = meanOfLowest([...queues.values()].map(earnedShare), 1);
   const large = [...queues.values()].flatMap((own) =>
     [...own].sort((a, b) => b.arrival.work - a.arrival.work)
       .slice(0, Math.ceil(own.length / 10))
   );
-  const owed = served.reduce((sum, { arrival }) => sum + arrival.worth, 0);
-  const thrownAway = played.thrownAway / owed;
+  const owed = outcomes.reduce((sum, { arrival }) => sum + arrival.worth, 0);
+  const thrownAway = result.lostWork / owed;
   const weights = Object.values(WEIGHTS).reduce((sum, one) => sum + one, 0);
   const earned = WEIGHTS.all * all + WEIGHTS.team * worstTeam +
     WEIGHTS.spans * worstSpans + WEIGHTS.queue * worstQueue;
   return {
     all,
     byQueue: Object.fromEntries(
-      [...queues].map(([queue, own]) => [queue, shareOf(own)]),
+      [...queues].map(([queue, own]) => [queue, earnedShare(own)]),
     ),
     worstTeam,
-    large: shareOf(large),
+    large: earnedShare(large),
     worstSpans,
     thrownAway,
-    stranded: played.strandedShare,
-    used: played.usedShare,
-    ...countStops(played),
-    mark: earned / weights - PRICE * thrownAway,
+    stranded: result.strandedShare,
+    used: result.usedShare,
+    ...countStops(result),
+    mark: earned / weights - LOST_WORK_PRICE * thrownAway,
   };
 }
 
-function countStops({ stops, served }: plays.Played) {
+function countStops(
+  { preemptions, outcomes }: plays.SimulationResult,
+) {
   const inTime = new Set(
-    served
+    outcomes
       .filter(({ arrival, tookMs }) =>
         tookMs !== null && tookMs <= arrival.objectiveMs
       )
       .map(({ arrival }) => arrival.workflow),
   );
-  const ofTasks = [...group(stops, ({ task }) => task.name).values()];
+  const ofTasks = [...group(preemptions, ({ task }) => task.name).values()];
   return {
-    stops: stops.length,
-    earlyStops: stops.filter(({ ranMs }) => ranMs < EARLY_MS).length,
-    idleStops: stops.filter(({ claimant }) => !inTime.has(claimant)).length,
+    stops: preemptions.length,
+    earlyStops: preemptions.filter(({ ranMs }) => ranMs < EARLY_STOP_MS).length,
+    idleStops:
+      preemptions.filter(({ claimant }) => !inTime.has(claimant)).length,
     mostStops: Math.max(0, ...ofTasks.map((own) => own.length)),
   };
 }
 
-function shareOf(served: readonly plays.Served[]): number {
+function earnedShare(outcomes: readonly plays.WorkflowOutcome[]): number {
   let owed = 0;
   let earned = 0;
-  for (const { arrival, tookMs } of served) {
+  for (const { arrival, tookMs } of outcomes) {
     const { worth, queue, objectiveMs } = arrival;
     owed += worth;
     if (tookMs === null) continue;
@@ -110,17 +116,17 @@
 
 function group<T>(
   all: readonly T[],
-  keyOf: (one: T) => string,
+  getKey: (one: T) => string,
 ): Map<string, T[]> {
   const groups = new Map<string, T[]>();
   for (const one of all) {
-    const key = keyOf(one);
+    const key = getKey(one);
     groups.set(key, [...groups.get(key) ?? [], one]);
   }
   return groups;
 }
 
-function lowest(shares: readonly number[], count: number): number {
+function meanOfLowest(shares: readonly number[], count: number): number {
   const sorted = [...shares].sort((a, b) => a - b).slice(0, count);
   return sorted.reduce((sum, one) => sum + one, 0) / Math.max(1, sorted.length);
 }
--- a/tools/decisions/src/play.ts
+++ b/tools/decisions/src/play.ts
@@ -5,28 +5,28 @@
 import type * as loads from "./load.ts";
 
 /** A workflow at the end of a play. */
-export interface Served {
+export interface WorkflowOutcome {
   readonly arrival: draws.Arrival;
   /** Null: it had not ended when the play did. */
   readonly tookMs: number | null;
 }
 
 /** What came of a play. */
-export interface Played {
-  readonly served: readonly Served[];
+export interface SimulationResult {
+  readonly outcomes: readonly WorkflowOutcome[];
   /** Core-seconds of work that was stopped and not saved. */
-  readonly thrownAway: number;
+  readonly lostWork: number;
   /** Accelerators that were free where nothing that waited fitted, mean share. */
   readonly strandedShare: number;
   /** Accelerators in use, mean share. */
   readonly usedShare: number;
   readonly plans: number;
   /** Stops for others, as far as they struck a run. */
-  readonly stops: readonly StopSeen[];
+  readonly preemptions: readonly Preemption[];
 }
 
 /** One stop of a run, and with it of its gang, for others. */
-export interface StopSeen {
+export interface Preemption {
   readonly task: Workflow.Task;
   readonly claimant: Workflow.Workflow;
   readonly ranMs: number;
@@ -35,13 +35,13 @@
 /** Traffic of the users' days, in ms. */
 const TRAFFIC_MS = 34_000;
 /** After the traffic the fleet goes on for this time, in ms. */
-const RUN_OUT_MS = 60_000;
+const DRAIN_MS = 60_000;
 /** Plans are this far apart at least, in ms: a plan of a large fleet and its pause. */
-const PLAN_EACH_MS = 20;
+const PLAN_INTERVAL_MS = 20;
 /** From a plan to the start on the endpoint: a record and an order, in ms. */
-const START_MS = 12;
+const START_DELAY_MS = 12;
 /** A run tells its pace after this time, in ms. */
-const PACE_KNOWN_MS = 600;
+const MIN_PACE_RUN_MS = 600;
 /** How much slower work runs away from its rack. */
 const REMOTE_PENALTY = 3;
 
@@ -55,7 +55,7 @@
   readonly doneBefore: number;
   /** Speed of its endpoint, or of the slowest that its gang runs on. */
   readonly speed: number;
-  readonly isAway: boolean;
+  readonly isRemote: boolean;
   isStopped: boolean;
 }
 
@@ -63,35 +63,35 @@
   readonly id: string;
   readonly rack: string;
   readonly speed: number;
-  readonly occupants: Set<Workflow.Task>;
+  readonly tasks: Set<Workflow.Task>;
 }
 
 /** Plays one seed of a load. */
-export function play(load: loads.Load, seed: number): Played {
-  return new Play(load, seed).run();
+export function simulate(load: loads.Load, seed: number): SimulationResult {
+  return new Simulation(load, seed).run();
 }
 
-class Play {
+class Simulation {
   readonly #load: loads.Load;
   readonly #endpoints: readonly Endpoint[];
   readonly #byId: ReadonlyMap<string, Endpoint>;
   readonly #arrivals: readonly draws.Arrival[];
   readonly #guarantees: ReadonlyMap<string, number>;
-  readonly #live = new Map<Workflow.Workflow, draws.Arrival>();
+  readonly #active = new Map<Workflow.Workflow, draws.Arrival>();
   readonly #runs = new Set<Run>();
-  readonly #runOf = new Map<Workflow.Task, Run>();
+  readonly #runByTask = new Map<Workflow.Task, Run>();
   /** Share of a unit that its checkpoint saves, by its first task. */
-  readonly #saved = new Map<Workflow.Task, number>();
-  readonly #stops: { run: Run; atMs: number }[] = [];
-  readonly #served: Served[] = [];
-  readonly #stopsSeen: StopSeen[] = [];
+  readonly #savedShares = new Map<Workflow.Task, number>();
+  readonly #pendingStops: { run: Run; atMs: number }[] = [];
+  readonly #outcomes: WorkflowOutcome[] = [];
+  readonly #preemptions: Preemption[] = [];
   readonly #urgent = new Scheduler.UrgentArrivals();
   readonly #estimates = new Scheduler.EstimateCorrections();
   #nowMs = 0;
-  #thrownAway = 0;
+  #lostWork = 0;
   #plans = 0;
-  #stranded = 0;
-  #used = 0;
+  #strandedSum = 0;
+  #usedSum = 0;
   #teamUse: Scheduler.TeamAmounts = new Map();
   #teamShares: Scheduler.TeamShares = new Map();
 
@@ -103,52 +103,52 @@
       rack: `rack-${Math.floor(i / load.rackSize)}`,
       // Not in order, so that each rack has endpoints of all speeds.
       speed: speeds[(i * 7 + Math.floor(i / load.rackSize)) % speeds.length],
-      occupants: new Set<Workflow.Task>(),
+      tasks: new Set<Workflow.Task>(),
     }));
     this.#byId = new Map(this.#endpoints.map((one) => [one.id, one]));
     this.#arrivals = draws.drawArrivals(load, seed, TRAFFIC_MS);
     const all = load.endpoints * load.accelerators * load.guaranteedShare;
     this.#guarantees = new Map(
       draws.teamShares(load).map((share, i) => [
-        draws.nameOfTeam(i),
+        draws.teamName(i),
         Math.round(all * share),
       ]),
     );
   }
 
-  run(): Played {
+  run(): SimulationResult {
     let next = 0;
-    const endMs = TRAFFIC_MS + RUN_OUT_MS;
-    for (; this.#nowMs < endMs; this.#nowMs += PLAN_EACH_MS) {
+    const endMs = TRAFFIC_MS + DRAIN_MS;
+    for (; this.#nowMs < endMs; this.#nowMs += PLAN_INTERVAL_MS) {
       while (this.#arrivals[next]?.atMs <= this.#nowMs) {
         const arrival = this.#arrivals[next++];
-        this.#live.set(arrival.workflow, arrival);
+        this.#active.set(arrival.workflow, arrival);
       }
       this.#endStops();
       this.#endRuns();
-      if (this.#live.size > 0) this.#plan();
-      if (next === this.#arrivals.length && this.#live.size === 0) break;
+      if (this.#active.size > 0) this.#plan();
+      if (next === this.#arrivals.length && this.#active.size === 0) break;
     }
-    for (const arrival of this.#live.values()) {
-      this.#served.push({ arrival, tookMs: null });
+    for (const arrival of this.#active.values()) {
+      this.#outcomes.push({ arrival, tookMs: null });
     }
     return {
-      served: this.#served,
-      thrownAway: this.#thrownAway,
-      strandedShare: this.#stranded / this.#plans,
-      usedShare: this.#used / this.#plans,
+      outcomes: this.#outcomes,
+      lostWork: this.#lostWork,
+      strandedShare: this.#strandedSum / this.#plans,
+      usedShare: this.#usedSum / this.#plans,
       plans: this.#plans,
-      stops: this.#stopsSeen,
+      preemptions: this.#preemptions,
     };
   }
 
   #plan(): void {
     const states = this.#endpoints.map((one) => this.#stateOf(one));
-    this.#urgent.record(this.#live.keys());
-    this.#judgeShares(states);
+    this.#urgent.record(this.#active.keys());
+    this.#updateShares(states);
     const plan = Scheduler.makePlan({
       endpoints: states,
-      workflows: [...this.#live.keys()],
+      workflows: [...this.#active.keys()],
       guarantees: this.#guarantees,
       nowMs: this.#nowMs,
       wallMs: this.#nowMs,
@@ -163,14 +163,14 @@
     for (const stop of plan.stops) this.#stop(stop);
     for (const start of plan.starts) this.#start(start);
     this.#plans++;
-    this.#measureRoom(plan);
+    this.#measureUse(plan);
   }
 
   /** As the coordinator keeps them, but anew for each plan. */
-  #judgeShares(states: readonly Scheduler.EndpointSnapshot[]): void {
+  #updateShares(states: readonly Scheduler.EndpointSnapshot[]): void {
     if (this.#load.hardLoad?.teamsCompete !== true) return;
-    const held = Scheduler.sharesHeld(states);
-    this.#teamUse = Scheduler.decayUse(this.#teamUse, held, PLAN_EACH_MS);
+    const usage = Scheduler.sharesHeld(states);
+    this.#teamUse = Scheduler.decayUse(this.#teamUse, usage, PLAN_INTERVAL_MS);
     this.#teamShares = Scheduler.computeShares(
       Scheduler.weightsOf(this.#guarantees),
       this.#teamUse,
@@ -179,13 +179,13 @@
   }
 
   #stateOf(
-    { id, rack, speed, occupants }: Endpoint,
+    { id, rack, speed, tasks }: Endpoint,
   ): Scheduler.EndpointSnapshot {
-    for (const task of occupants) {
-      const run = this.#runOf.get(task);
+    for (const task of tasks) {
+      const run = this.#runByTask.get(task);
       if (run === undefined) continue;
-      const isKnown = this.#nowMs - run.beganAtMs > PACE_KNOWN_MS;
-      if (isKnown) task.endsAtMs = run.endsAtMs;
+      const isPaceKnown = this.#nowMs - run.beganAtMs > MIN_PACE_RUN_MS;
+      if (isPaceKnown) task.endsAtMs = run.endsAtMs;
     }
     return {
       id,
@@ -196,74 +196,77 @@
       total: this.#load,
       usable: true,
       speed,
-      tasks: [...occupants],
+      tasks: [...tasks],
     };
   }
 
-  #start({ unit, endpointIds: workers }: Scheduler.StartDecision): void {
-    const arrival = this.#live.get(unit.workflow);
+  #start({ unit, endpointIds }: Scheduler.StartDecision): void {
+    const arrival = this.#active.get(unit.workflow);
     if (arrival === undefined) return;
     const run = 1 + Math.max(...unit.tasks.map((task) => task.run));
     unit.tasks.forEach((task, i) => {
-      task.place(workers[i], run, this.#nowMs);
+      task.place(endpointIds[i], run, this.#nowMs);
       task.state = Workflow.TaskState.Running;
-      this.#byId.get(workers[i])?.occupants.add(task);
+      this.#byId.get(endpointIds[i])?.tasks.add(task);
     });
-    const racks = new Set(workers.map((id) => this.#byId.get(id)?.rack));
+    const racks = new Set(endpointIds.map((id) => this.#byId.get(id)?.rack));
     const { step } = unit;
-    const isAway = (step.rack !== null && !isOnly(racks, step.rack)) ||
+    const isRemote = (step.rack !== null && !isOnly(racks, step.rack)) ||
       (step.gang && step.sameRack && racks.size > 1);
     // A gang comes on at the pace of its slowest member.
     const longestMs = Math.max(
       ...unit.tasks.map(({ key }, i) =>
         (arrival.runMs.get(key) ?? 0) /
-        (this.#byId.get(workers[i])?.speed ?? 1)
+        (this.#byId.get(endpointIds[i])?.speed ?? 1)
       ),
     );
-    const doneBefore = this.#saved.get(unit.tasks[0]) ?? 0;
-    const lastsMs = longestMs * (isAway ? REMOTE_PENALTY : 1);
-    const began: Run = {
+    const doneBefore = this.#savedShares.get(unit.tasks[0]) ?? 0;
+    const durationMs = longestMs * (isRemote ? REMOTE_PENALTY : 1);
+    const newRun: Run = {
       tasks: unit.tasks,
       run,
       arrival,
-      beganAtMs: this.#nowMs + START_MS,
-      endsAtMs: this.#nowMs + START_MS + lastsMs * (1 - doneBefore),
+      beganAtMs: this.#nowMs + START_DELAY_MS,
+      endsAtMs: this.#nowMs + START_DELAY_MS + durationMs * (1 - doneBefore),
       doneBefore,
       speed: Math.min(
-        ...workers.map((id) => this.#byId.get(id)?.speed ?? 1),
+        ...endpointIds.map((id) => this.#byId.get(id)?.speed ?? 1),
       ),
-      isAway,
+      isRemote,
       isStopped: false,
     };
-    this.#runs.add(began);
-    for (const task of unit.tasks) this.#runOf.set(task, began);
+    this.#runs.add(newRun);
+    for (const task of unit.tasks) this.#runByTask.set(task, newRun);
   }
 
   #stop({ task, claimant }: Scheduler.StopDecision): void {
-    const run = this.#runOf.get(task);
+    const run = this.#runByTask.get(task);
     if (run === undefined || run.isStopped) return;
     run.isStopped = true;
     const ranMs = this.#nowMs - run.beganAtMs;
     for (const member of run.tasks) member.preemptions++;
-    this.#stopsSeen.push({ task, claimant: claimant.workflow, ranMs });
+    this.#preemptions.push({ task, claimant: claimant.workflow, ranMs });
     for (const member of run.tasks) {
       member.state = Workflow.TaskState.Stopping;
     }
-    this.#stops.push({ run, atMs: this.#nowMs + this.#load.stopMs });
+    this.#pendingStops.push({ run, atMs: this.#nowMs + this.#load.stopMs });
   }
 
   #endStops(): void {
-    const due = this.#stops.filter(({ atMs }) => atMs <= this.#nowMs);
+    const due = this.#pendingStops.filter(({ atMs }) => atMs <= this.#nowMs);
     for (const { run, atMs } of due) {
-      this.#stops.splice(this.#stops.findIndex((s) => s.run === run), 1);
+      this.#pendingStops.splice(
+        this.#pendingStops.findIndex((s) => s.run === run),
+        1,
+      );
       if (!this.#runs.has(run)) continue;
-      this.#throwAway(run, atMs);
+      this.#recordLostWork(run, atMs);
       this.#end(run, Workflow.RunEnd.Stopped);
     }
   }
 
   /** Work that is lost with a stopped run; a checkpoint saves the rest. */
-  #throwAway(run: Run, atMs: number): void {
+  #recordLostWork(run: Run, atMs: number): void {
     const { step } = run.tasks[0];
     const ranMs = Math.max(0, atMs - run.beganAtMs);
     const lostMs = step.checkpoints
@@ -271,23 +274,25 @@
       : ranMs;
     const weight = step.cpuMillis / 1000 +
       draws.ACCELERATOR_WEIGHT * step.accelerators;
-    this.#thrownAway += run.tasks.length * weight * lostMs / 1000;
+    this.#lostWork += run.tasks.length * weight * lostMs / 1000;
     if (!step.checkpoints) return;
     const allMs = (run.endsAtMs - run.beganAtMs) / (1 - run.doneBefore);
     const done = run.doneBefore + (ranMs - lostMs) / allMs;
-    this.#saved.set(run.tasks[0], Math.min(1, done));
+    this.#savedShares.set(run.tasks[0], Math.min(1, done));
   }
 
   #endRuns(): void {
     for (const run of this.#runs) {
       if (run.endsAtMs > this.#nowMs) continue;
-      this.#learn(run);
+      this.#recordRunTime(run);
       this.#end(run, Workflow.RunEnd.Done);
     }
   }
 
   /** Runs that began from a checkpoint or away from their data say little. */
-  #learn({ tasks, speed, isAway, doneBefore, beganAtMs, endsAtMs }: Run): void {
+  #recordRunTime(
+    { tasks, speed, isRemote: isAway, doneBefore, beganAtMs, endsAtMs }: Run,
+  ): void {
     if (isAway || doneBefore > 0) return;
     const [{ workflow, step: { estimateMs } }] = tasks;
     const { queue } = workflow.spec.policy;
@@ -299,31 +304,31 @@
     this.#runs.delete(run);
     const { workflow } = run.arrival;
     for (const task of run.tasks) {
-      this.#runOf.delete(task);
-      this.#byId.get(task.endpoint ?? "")?.occupants.delete(task);
+      this.#runByTask.delete(task);
+      this.#byId.get(task.endpoint ?? "")?.tasks.delete(task);
       const end = { run: run.run, how, checkpoint: "" };
       workflow.endRun(task, end, this.#nowMs);
     }
     if (!workflow.isOver) return;
-    this.#live.delete(workflow);
+    this.#active.delete(workflow);
     const tookMs = run.endsAtMs - run.arrival.atMs;
-    this.#served.push({ arrival: run.arrival, tookMs });
+    this.#outcomes.push({ arrival: run.arrival, tookMs });
   }
 
-  #measureRoom(plan: Scheduler.Plan): void {
+  #measureUse(plan: Scheduler.Plan): void {
     let free = 0;
     for (const endpoint of this.#endpoints) {
-      const held = [...endpoint.occupants];
-      const taken = held.reduce((sum, t) => sum + t.step.accelerators, 0);
-      free += this.#load.accelerators - taken;
+      const tasks = [...endpoint.tasks];
+      const inUse = tasks.reduce((sum, t) => sum + t.step.accelerators, 0);
+      free += this.#load.accelerators - inUse;
     }
     const all = this.#load.endpoints * this.#load.accelerators;
-    this.#used += 1 - free / all;
+    this.#usedSum += 1 - free / all;
     const isWaiting = plan.waits.some(({ reason }) =>
       reason === Scheduler.WaitReason.Room ||
       reason === Scheduler.WaitReason.Share
     );
-    if (isWaiting) this.#stranded += free / all;
+    if (isWaiting) this.#strandedSum += free / all;
   }
 }
 
