--- a/packages/cli/bin.ts
+++ b/packages/cli/bin.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `cairngate`: see `cairngate --help`. */
+/** The executable `cairngate`; `cairngate --help` lists its commands. */
 import process from "node:process";
 import * as cli from "./src/run_cli.ts";
 
--- a/packages/cli/mod.ts
+++ b/packages/cli/mod.ts
@@ -1,2 +1,2 @@
-/** cairngate: the operators' command line. */
+/** The command-line tool `cairngate` for operators. */
 export { runCli } from "./src/run_cli.ts";
--- a/packages/cli/src/apply_command.ts
+++ b/packages/cli/src/apply_command.ts
@@ -1,4 +1,4 @@
-/** `cairngate apply FILE`. */
+/** `cairngate apply FILE`: applies an operators' file. */
 import * as Config from "@cairngate/config";
 import type * as Types from "@cairngate/types";
 import * as Clipanion from "clipanion";
@@ -14,13 +14,13 @@
   readonly changed: boolean;
 }
 
-/** Applies a whole file against the version in force. */
+/** Replaces the configuration in force by an operators' file. */
 export class ApplyCommand extends base.BaseCommand {
   static override paths = [["apply"]];
   static override usage = Clipanion.Command.Usage({
-    description: "Apply a whole operators' file",
-    details: "The file replaces the one in force. It is refused where " +
-      "another version came into force since the one it is based on.",
+    description: "Apply an operators' file",
+    details: "The file replaces the one in force. It is refused if " +
+      "another version has come into force since the one it is based on.",
     examples: [
       ["Apply against the version in force", "cairngate apply polni.yaml"],
       ["Apply against version 7", "cairngate apply polni.yaml --based-on 7"],
@@ -28,7 +28,8 @@
   });
   file = Clipanion.Option.String();
   basedOn = Clipanion.Option.String("--based-on", {
-    description: "Version the file was written from (default: in force now)",
+    description:
+      "Version that the file is based on (default: the one in force)",
   });
 
   override async execute(): Promise<number> {
@@ -77,5 +78,5 @@
   const { version, hash, changed } = applied;
   return changed
     ? `Version ${version} (${hash}) is in force.`
-    : `Nothing changed: version ${version} (${hash}) is in force already.`;
+    : `Nothing changed: version ${version} (${hash}) is already in force.`;
 }
--- a/packages/cli/src/base_command.ts
+++ b/packages/cli/src/base_command.ts
@@ -1,4 +1,4 @@
-/** What all commands share: the box to ask, JSON output, typed failures. */
+/** Shared parts of all commands: addresses, JSON output and exit codes. */
 import * as HttpJson from "@cairngate/http-json";
 import * as Clipanion from "clipanion";
 import * as Consola from "consola";
@@ -11,14 +11,14 @@
 const CONNECTIONS = 1;
 const STATUS_CONFLICT = 409;
 
-/** A problem as a box sends it. */
+/** Problem details as sent by a box. */
 interface ProblemBody {
   readonly title?: string;
   readonly detail?: string;
   readonly outcome?: string | null;
 }
 
-/** Base of every command. */
+/** Base class of all commands. */
 export abstract class BaseCommand extends Clipanion.Command {
   box = Clipanion.Option.String("--box", {
     description: "Operators' address of a box, host:port " +
@@ -32,13 +32,13 @@
   });
   readonly #caller = new HttpJson.HttpCaller({ connections: CONNECTIONS });
 
-  /** Prints an answer as JSON, or as lines for people. */
+  /** Prints a result as JSON with `--json`, otherwise as readable lines. */
   protected print(body: unknown, lines: () => readonly string[]): void {
     const text = this.json ? JSON.stringify(body) : lines().join("\n");
     this.context.stdout.write(`${text}\n`);
   }
 
-  /** Calls the operators' address. */
+  /** Calls the operators' API; prints an error and returns null without a response. */
   protected callBox(
     request: HttpJson.HttpCall,
   ): Promise<HttpJson.HttpReply | null> {
@@ -47,7 +47,7 @@
     return this.#call(address, request);
   }
 
-  /** Calls the callers' address. */
+  /** Calls the callers' API; prints an error and returns null without a response. */
   protected callCallersApi(
     request: HttpJson.HttpCall,
   ): Promise<HttpJson.HttpReply | null> {
@@ -56,7 +56,7 @@
     return this.#call(address, request);
   }
 
-  /** Reports an answer that is not a success; returns the exit code. */
+  /** Prints the error of an unsuccessful response; returns the exit code. */
   protected fail(reply: HttpJson.HttpReply | null): exitCodes.ExitCode {
     if (reply === null) return exitCodes.ExitCode.Unreachable;
     const problem = (reply.body ?? {}) as ProblemBody;
@@ -70,7 +70,7 @@
     return isInvalid ? exitCodes.ExitCode.Invalid : exitCodes.ExitCode.Refused;
   }
 
-  /** Prints an error for people. */
+  /** Prints an error message to standard error. */
   protected printError(message: string): void {
     const log = Consola.createConsola({
       stdout: process.stderr,
@@ -87,7 +87,7 @@
       Effect.result(this.#caller.call(address, request)),
     );
     if (result._tag === "Success") return result.success;
-    this.printError(`${address} does not answer (${result.failure.cause}).`);
+    this.printError(`${address} does not respond (${result.failure.cause}).`);
     return null;
   }
 }
--- a/packages/cli/src/config_commands.ts
+++ b/packages/cli/src/config_commands.ts
@@ -5,7 +5,7 @@
 import * as exitCodes from "./exit_codes.ts";
 import * as rendering from "./render.ts";
 
-/** Lists the versions of the configuration. */
+/** `cairngate config history`: lists the versions of the configuration. */
 export class HistoryCommand extends base.BaseCommand {
   static override paths = [["config", "history"]];
   static override usage = Clipanion.Command.Usage({
@@ -23,7 +23,7 @@
   }
 }
 
-/** Shows what changed between two versions. */
+/** `cairngate config diff`: shows the differences between two versions. */
 export class DiffCommand extends base.BaseCommand {
   static override paths = [["config", "diff"]];
   static override usage = Clipanion.Command.Usage({
--- a/packages/cli/src/doctor_command.ts
+++ b/packages/cli/src/doctor_command.ts
@@ -1,4 +1,4 @@
-/** `cairngate doctor`: checks settings and whether everything answers. */
+/** `cairngate doctor`: checks a settings file and the state of its box. */
 import * as Config from "@cairngate/config";
 import * as Clipanion from "clipanion";
 import * as Effect from "effect/Effect";
@@ -11,11 +11,11 @@
   readonly detail: string;
 }
 
-/** Checks one box. */
+/** Checks the settings, liveness and readiness of one box, and its cells' owners. */
 export class DoctorCommand extends base.BaseCommand {
   static override paths = [["doctor"]];
   static override usage = Clipanion.Command.Usage({
-    description: "Check a settings file and whether its box answers",
+    description: "Check a settings file and whether its box responds",
     examples: [["Check a box", "cairngate doctor --settings box-1.yaml"]],
   });
   settings = Clipanion.Option.String("--settings", { required: true });
--- a/packages/cli/src/log_line.ts
+++ b/packages/cli/src/log_line.ts
@@ -1,20 +1,20 @@
-/** Lines of boxes' logs, in either format that a box writes. */
+/** Parses log lines of boxes, in text or JSON format. */
 
-/** One line of a log. */
+/** A parsed log line. */
 export interface LogLine {
-  /** Wall-clock time as the box wrote it, ISO 8601. */
+  /** Wall-clock time of the box, in ISO 8601. */
   readonly at: string;
-  /** The box that wrote it; the file's name where lines do not tell. */
+  /** The box that wrote the line; the file's name if the line does not contain it. */
   readonly box: string;
   readonly level: string;
   readonly part: string;
   readonly message: string;
 }
 
-/** A line of text: time, level, part in brackets, sentence. */
+/** Text format: time, level, part in brackets, message. */
 const TEXT_LINE = /^(\d{4}-\d\d-\d\dT[\d:.]+Z) +(\w+) +\[([^\]]*)\] (.*)$/;
 
-/** Reads a line; null where it is none of a log. */
+/** Parses a line; null if it is not a log line. */
 export function parseLogLine(text: string, file: string): LogLine | null {
   return text.startsWith("{")
     ? parseJsonLine(text, file)
@@ -33,7 +33,7 @@
   try {
     value = JSON.parse(text);
   } catch {
-    // The caller counts lines that are none.
+    // The caller counts lines that are not log lines.
     return null;
   }
   const { at, box, level, part, message } = value as Partial<LogLine>;
--- a/packages/cli/src/node_command.ts
+++ b/packages/cli/src/node_command.ts
@@ -1,4 +1,4 @@
-/** `cairngate node`: what one workflow node knows and why work waits. */
+/** `cairngate node`: the state of a box that runs workflows. */
 import * as Clipanion from "clipanion";
 import * as base from "./base_command.ts";
 import * as exitCodes from "./exit_codes.ts";
@@ -6,12 +6,12 @@
 
 const STATE_PATH = "/state";
 
-/** Shows a node's state; the coordinator's also shows workflows and workers. */
+/** Shows the state of a box; the coordinator's includes workflows and endpoints. */
 export class NodeCommand extends base.BaseCommand {
   static override paths = [["node"]];
   static override usage = Clipanion.Command.Usage({
-    description: "Show what a workflow node knows, and why work waits",
-    examples: [["Ask a node", "cairngate node --box 127.0.0.1:8523"]],
+    description: "Show the state of a box and why its workflows wait",
+    examples: [["Show one box", "cairngate node --box 127.0.0.1:8523"]],
   });
 
   override async execute(): Promise<number> {
--- a/packages/cli/src/read_commands.ts
+++ b/packages/cli/src/read_commands.ts
@@ -1,11 +1,11 @@
-/** Commands that read back: status, explain, dump. */
+/** Commands that only read: status, explain and dump. */
 import type * as Types from "@cairngate/types";
 import * as Clipanion from "clipanion";
 import * as base from "./base_command.ts";
 import * as exitCodes from "./exit_codes.ts";
 import * as rendering from "./render.ts";
 
-/** `cairngate status`. */
+/** `cairngate status`: shows the state of all cells. */
 export class StatusCommand extends base.BaseCommand {
   static override paths = [["status"]];
   static override usage = Clipanion.Command.Usage({
@@ -22,7 +22,7 @@
   }
 }
 
-/** `cairngate explain JOB`. */
+/** `cairngate explain JOB`: explains the state of a job. */
 export class ExplainCommand extends base.BaseCommand {
   static override paths = [["explain"]];
   static override usage = Clipanion.Command.Usage({
@@ -41,11 +41,11 @@
   }
 }
 
-/** `cairngate dump`. */
+/** `cairngate dump`: prints the internal state of a box. */
 export class DumpCommand extends base.BaseCommand {
   static override paths = [["dump"]];
   static override usage = Clipanion.Command.Usage({
-    description: "Print the whole state of a box as JSON",
+    description: "Print the complete state of a box as JSON",
     examples: [["Dump one box", "cairngate dump --box 10.0.0.4:7102"]],
   });
 
--- a/packages/cli/src/render.ts
+++ b/packages/cli/src/render.ts
@@ -1,7 +1,7 @@
-/** Text for people, at most 80 columns wide. */
+/** Renders results as text of at most 80 columns. */
 import type * as Types from "@cairngate/types";
 
-/** Answer to `/v1/status`. */
+/** Response to `/v1/status`. */
 export interface StatusBody {
   readonly version: number;
   readonly cells: readonly Types.CellStatus[];
@@ -12,17 +12,17 @@
 const WORKERS_PER_LINE = 7;
 const TIMESTAMP_CHARS = 19;
 
-/** The status of all cells. */
+/** Renders the status of all cells. */
 export function renderStatus(body: StatusBody): string[] {
   const lines = [`Configuration version ${body.version}`];
   for (const cell of body.cells) lines.push("", ...renderCell(cell));
   for (const cell of body.unreachable) {
-    lines.push("", `Cell ${cell}: no owner answers`);
+    lines.push("", `Cell ${cell}: no owner responds`);
   }
   return lines.map(truncate);
 }
 
-/** The explanation of one job. */
+/** Renders the explanation of one job. */
 export function renderExplanation(job: Types.Explanation): string[] {
   if (job.history === undefined) {
     const { jobId, state } = job;
@@ -54,7 +54,7 @@
   return lines;
 }
 
-/** The versions of the configuration. */
+/** Renders the versions of the configuration. */
 export function renderHistory(
   versions: readonly Omit<Types.ConfigVersion, "text">[],
 ): string[] {
@@ -63,7 +63,7 @@
   );
 }
 
-/** Lines that only one of two texts has, by a longest common subsequence. */
+/** Returns the lines that differ between two texts, by longest common subsequence. */
 export function diffLines(before: string, after: string): string[] {
   const a = before.split("\n");
   const b = after.split("\n");
--- a/packages/cli/src/render_node.ts
+++ b/packages/cli/src/render_node.ts
@@ -1,20 +1,20 @@
-/** The state of a workflow node as lines for people. */
+/** Renders the state of a box that runs workflows as text. */
 
-/** What a node tells of itself. */
+/** Response to `/state`. */
 export interface NodeState {
   readonly node: string;
   readonly ready: boolean;
   readonly configVersion: number | null;
   readonly coordinator: string | null;
   readonly storeSilentMs: number;
-  /** Rows of the store that it can't use; a box of an earlier version is silent. */
+  /** Rows of the store that can't be used; not sent by boxes of earlier versions. */
   readonly unusableRows?: number;
-  /** Data centres in which nothing starts, and since when. */
+  /** Evacuated data centres, in which nothing starts. */
   readonly evacuations: readonly {
     readonly dataCentre: string;
     readonly sinceMs: number;
   }[];
-  /** Whether it has not heard the operator for so long that it starts nothing. */
+  /** Whether the operator's rows are so outdated that the box starts nothing. */
   readonly mayMissEvacuations: boolean;
   readonly work: {
     readonly token: number;
@@ -25,7 +25,7 @@
       readonly state: string;
       readonly tasks: Readonly<Record<string, number>>;
       readonly waitsFor: string | null;
-      /** Left out by boxes of an earlier version. */
+      /** Not sent by boxes of earlier versions. */
       readonly waitsForMs?: number | null;
     }[];
     readonly workers: readonly {
@@ -46,7 +46,7 @@
   } | null;
 }
 
-/** Lines for people. */
+/** Renders the state of a box as readable lines. */
 export function describeNode(state: NodeState): string[] {
   const lines = [
     `${state.node}: ${state.ready ? "ready" : "not ready"}, ` +
@@ -94,17 +94,21 @@
   const lines = state.evacuations.map(({ dataCentre, sinceMs }) => {
     const since = new Date(sinceMs).toISOString();
     const match = work?.evacuations.find((e) => e.dataCentre === dataCentre);
-    const runs = match === undefined ? "" : `; ${match.runs} runs go on there`;
+    const runs = match === undefined
+      ? ""
+      : `; ${match.runs} runs continue there`;
     return `  data centre ${dataCentre} evacuated since ${since}${runs}`;
   });
   if (state.mayMissEvacuations) {
-    lines.push("  starts nothing: it has not heard the operator for too long");
+    lines.push(
+      "  starts nothing: the operator's rows have not been read for too long",
+    );
   }
   if (lines.length > 0 && work !== null && work.guarantees.short > 0) {
     const { paidFor, open, short } = work.guarantees;
     lines.push(
       `  guarantees: ${paidFor} accelerators paid for, ${open} left, ` +
-        `${short} can not be had`,
+        `${short} unavailable`,
     );
   }
   return lines;
--- a/packages/cli/src/render_node_test.ts
+++ b/packages/cli/src/render_node_test.ts
@@ -1,4 +1,4 @@
-/** The state of a node as lines. */
+/** Rendering of the state of a box. */
 import * as vitest from "vitest";
 import * as render from "./render_node.ts";
 
@@ -13,7 +13,7 @@
 };
 
 vitest.describe("describeNode", () => {
-  vitest.it("tells why a workflow waits and which workers are out", () => {
+  vitest.it("shows why a workflow waits and unusable endpoints", () => {
     const lines = render.describeNode({
       ...NODE,
       work: {
@@ -41,7 +41,7 @@
     ]);
   });
 
-  vitest.it("shows a node that does not coordinate in one line", () => {
+  vitest.it("shows a box that is not the coordinator in one line", () => {
     const lines = render.describeNode({ ...NODE, ready: false, work: null });
     vitest.expect(lines.length).toBe(1);
     vitest.expect(lines[0]).toContain("not ready");
@@ -55,7 +55,7 @@
       .toEqual(["  rows of the store that can't be used: 3; see its log"]);
   });
 
-  vitest.it("shows evacuations, what goes on there and what is short", () => {
+  vitest.it("shows evacuations, their runs and missing guarantees", () => {
     const lines = render.describeNode({
       ...NODE,
       evacuations: [{ dataCentre: "brno-b", sinceMs: 0 }],
@@ -69,12 +69,12 @@
     });
     vitest.expect(lines.slice(1)).toEqual([
       "  data centre brno-b evacuated since 1970-01-01T00:00:00.000Z; " +
-      "12 runs go on there",
-      "  guarantees: 100 accelerators paid for, 90 left, 10 can not be had",
+      "12 runs continue there",
+      "  guarantees: 100 accelerators paid for, 90 left, 10 unavailable",
     ]);
   });
 
-  vitest.it("tells that a node starts nothing until it hears again", () => {
+  vitest.it("shows that a box starts nothing without operator rows", () => {
     const lines = render.describeNode({
       ...NODE,
       mayMissEvacuations: true,
--- a/packages/cli/src/render_story.ts
+++ b/packages/cli/src/render_story.ts
@@ -1,18 +1,18 @@
-/** What a node tells of one workflow, as lines for people. */
+/** Renders the state of one workflow as text. */
 
-/** A workflow as a node tells of it. */
+/** Response to `/state/{id}`. */
 export interface WorkflowReport {
   readonly id: string;
   readonly state: string;
-  /** Null where it was not given up. */
+  /** Null unless the workflow was given up. */
   readonly giveUp: GiveUpReport | null;
 }
 
-/** Why it was given up. */
+/** Why a workflow was given up. */
 export interface GiveUpReport {
   readonly reason: string;
   readonly task: string;
-  /** The newest run of the task. */
+  /** Number of the task's newest run. */
   readonly run: number;
   readonly failures: number;
   readonly crashes: {
@@ -20,21 +20,21 @@
     readonly excused: number;
     readonly unseen: number;
   };
-  /** Null where an earlier version kept none. */
+  /** Null if an earlier version gave the workflow up without storing the runs. */
   readonly runs: readonly { readonly sentence: string }[] | null;
-  /** More runs may have counted. */
+  /** Whether further runs may have contributed. */
   readonly isPartial: boolean;
 }
 
-/** Places of a task within its workflow, behind the id of the workflow. */
+/** Indices of a task within its workflow, appended to the workflow's id. */
 const TASK_SUFFIX = /(\.\d+){3}$/;
 
-/** The workflow that an id of a workflow or of a task names. */
+/** Returns the workflow's id for the id of a workflow or of a task. */
 export function workflowIdOf(id: string): string {
   return id.replace(TASK_SUFFIX, "");
 }
 
-/** Lines for people. */
+/** Renders a workflow as readable lines. */
 export function renderWorkflow(
   { id, state, giveUp }: WorkflowReport,
 ): string[] {
@@ -45,9 +45,9 @@
   return [
     `Workflow ${id} is ${state}.`,
     `It was given up for ${reason} of ${task}, last with run ${run}: ` +
-    `${failures} runs failed, ${crashes.laid} crashes are laid to it, ` +
-    `${crashes.excused} are excused, with ${crashes.unseen} nothing has shown ` +
-    "its run.",
+    `${failures} runs failed, ${crashes.laid} crashes are attributed to it, ` +
+    `${crashes.excused} are excused, and in ${crashes.unseen} nothing proved ` +
+    "that the run had started.",
     ...renderRuns(giveUp),
   ];
 }
@@ -55,16 +55,16 @@
 function renderRuns({ runs, isPartial }: GiveUpReport): string[] {
   if (runs === null) {
     return [
-      "  An earlier version gave it up and kept no list of runs; the logs of " +
-      "that time may tell them.",
+      "  An earlier version gave it up and stored no list of runs; the logs " +
+      "of that time may contain them.",
     ];
   }
   const lines = runs.map(({ sentence }) => `  ${sentence}`);
   return isPartial
     ? [
       ...lines,
-      "  More runs may have counted: they were too many, or an earlier " +
-      "coordinator saw them.",
+      "  More runs may have counted: they were too many to store, or were " +
+      "handled by an earlier coordinator.",
     ]
     : lines;
 }
--- a/packages/cli/src/render_story_test.ts
+++ b/packages/cli/src/render_story_test.ts
@@ -1,4 +1,4 @@
-/** Why a workflow was given up, as lines. */
+/** Rendering of the reasons why a workflow was given up. */
 import * as vitest from "vitest";
 import * as workflows from "./render_story.ts";
 
@@ -21,35 +21,35 @@
   isPartial: false,
 };
 
-vitest.describe("the story of a workflow", () => {
-  vitest.it("tells each run for which it was given up", () => {
+vitest.describe("a rendered workflow", () => {
+  vitest.it("shows each run for which it was given up", () => {
     const report = { id: ID, state: "failed", giveUp: GIVE_UP };
     vitest.expect(workflows.renderWorkflow(report)).toEqual([
       `Workflow ${ID} is failed.`,
       `It was given up for crashes of ${ID}.0.0.3, last with run 3: ` +
-      "1 runs failed, 3 crashes are laid to it, 1 are excused, with 2 " +
-      "nothing has shown its run.",
+      "1 runs failed, 3 crashes are attributed to it, 1 are excused, and in " +
+      "2 nothing proved that the run had started.",
       "  run 3 on i-1 ended as crashed: seen there.",
     ]);
   });
 
-  vitest.it("tells where runs may be missing", () => {
+  vitest.it("shows that runs may be missing", () => {
     const giveUp = { ...GIVE_UP, isPartial: true };
     const report = { id: ID, state: "failed", giveUp };
     vitest.expect(workflows.renderWorkflow(report).at(-1))
       .toContain("More runs may have counted");
   });
 
-  vitest.it("tells that an earlier version kept no runs", () => {
+  vitest.it("shows that an earlier version stored no runs", () => {
     const giveUp = { ...GIVE_UP, runs: null, isPartial: true };
     const report = { id: ID, state: "failed", giveUp };
     vitest.expect(workflows.renderWorkflow(report).slice(2)).toEqual([
-      "  An earlier version gave it up and kept no list of runs; the logs of " +
-      "that time may tell them.",
+      "  An earlier version gave it up and stored no list of runs; the logs " +
+      "of that time may contain them.",
     ]);
   });
 
-  vitest.it("is one line where it was not given up", () => {
+  vitest.it("is one line if it was not given up", () => {
     vitest.expect(
       workflows.renderWorkflow({ id: ID, state: "completed", giveUp: null }),
     ).toEqual([`Workflow ${ID} is completed; it was not given up.`]);
--- a/packages/cli/src/render_test.ts
+++ b/packages/cli/src/render_test.ts
@@ -30,7 +30,7 @@
   };
 }
 
-describe("what is printed", () => {
+describe("rendered output", () => {
   test("explains a job within 80 columns", () => {
     const lines = rendering.renderExplanation(explanation());
     expect(Math.max(...lines.map((line) => line.length)))
@@ -39,7 +39,7 @@
     expect(lines.join("\n")).toContain("starts about 120 s from now");
   });
 
-  test("shows a cell within 80 columns, with what is short", () => {
+  test("shows a cell with its shortage within 80 columns", () => {
     const lines = rendering.renderStatus({
       version: 3,
       unreachable: ["olomouc"],
@@ -70,7 +70,7 @@
       .toBeLessThanOrEqual(MAX_COLUMNS);
     expect(lines.join("\n")).toContain("SHORT BY 8");
     expect(lines.join("\n")).toContain("holding over");
-    expect(lines.join("\n")).toContain("olomouc: no owner answers");
+    expect(lines.join("\n")).toContain("olomouc: no owner responds");
   });
 
   test("shows only the lines that differ between two versions", () => {
--- a/packages/cli/src/run_cli.ts
+++ b/packages/cli/src/run_cli.ts
@@ -1,4 +1,4 @@
-/** Registers the commands and runs one. */
+/** The command line of `cairngate`. */
 import * as Clipanion from "clipanion";
 import * as apply from "./apply_command.ts";
 import * as config from "./config_commands.ts";
@@ -8,7 +8,7 @@
 import * as submit from "./submit_command.ts";
 import * as trace from "./trace_command.ts";
 
-/** Runs the command line; returns the exit code. */
+/** Runs the command given by the arguments; returns the exit code. */
 export function runCli(args: readonly string[]): Promise<number> {
   const cli = new Clipanion.Cli({
     binaryName: "cairngate",
--- a/packages/cli/src/submit_command.ts
+++ b/packages/cli/src/submit_command.ts
@@ -1,4 +1,4 @@
-/** `cairngate submit`. */
+/** `cairngate submit`: submits a job. */
 import * as Clipanion from "clipanion";
 import process from "node:process";
 import * as base from "./base_command.ts";
@@ -21,7 +21,7 @@
 ]);
 const LONG_POLL_S = 2;
 
-/** Submits a job. */
+/** Submits a job and, with `--wait`, waits for its end. */
 export class SubmitCommand extends base.BaseCommand {
   static override paths = [["submit"]];
   static override usage = Clipanion.Command.Usage({
@@ -49,7 +49,7 @@
     description: "any, worker or rack",
   });
   key = Clipanion.Option.String("--key", {
-    description: "Idempotency key: the same key is the same job",
+    description: "Idempotency key; repeated submissions with a key are one job",
   });
   wait = Clipanion.Option.Boolean("--wait", false, {
     description: "Wait for the end and show progress",
@@ -74,7 +74,7 @@
     return exitCodeOf(job);
   }
 
-  /** Null where an argument is not valid. */
+  /** Null if an argument is not valid. */
   #buildBody(): Record<string, unknown> | null {
     const body: Record<string, unknown> = {
       team: this.team,
@@ -89,7 +89,7 @@
     try {
       return { ...body, input: JSON.parse(this.input) as unknown };
     } catch {
-      this.printError("--input has to be valid JSON.");
+      this.printError("--input must be valid JSON.");
       return null;
     }
   }
--- a/packages/cli/src/trace.ts
+++ b/packages/cli/src/trace.ts
@@ -1,31 +1,31 @@
-/** The story of one job or task, from the logs of several boxes. */
+/** Merges log lines of several boxes about one job or task. */
 import type * as logLines from "./log_line.ts";
 import * as parsing from "./log_line.ts";
 
-/** What was found of one id. */
+/** Log lines that mention an id, and counts of omitted lines. */
 export interface Trace {
   readonly id: string;
-  /** By time; of equal times as they were read. */
+  /** Sorted by time; lines with equal times stay in the order they were read. */
   readonly lines: readonly logLines.LogLine[];
-  /** Lines that name the id and are left out because there are too many. */
+  /** Number of lines that mention the id but exceed the limit. */
   readonly leftOut: number;
-  /** Lines that are none of a log, by file. */
+  /** Number of lines that are not log lines, by file. */
   readonly broken: Readonly<Record<string, number>>;
 }
 
-/** A log, line by line. */
+/** A log as a stream of lines. */
 export interface LogSource {
   readonly name: string;
   readonly lines: AsyncIterable<string>;
 }
 
 /**
- * Lines that are kept: the memory of a trace does not grow with the logs. At 300
- * bytes a line it is 3 MB.
+ * Maximum number of lines in a trace, so that its memory does not grow with the logs:
+ * 3 MB at 300 bytes per line.
  */
 const MAX_LINES = 10_000;
 
-/** Reads logs one after another and merges what they tell of an id. */
+/** Reads logs one after another and merges the lines that mention an id. */
 export async function readTrace(
   id: string,
   sources: readonly LogSource[],
@@ -48,7 +48,7 @@
   return { id, lines: matches, leftOut, broken };
 }
 
-/** Whether a sentence names the id, or one of its tasks. */
+/** Whether a message mentions the id or one of its tasks. */
 function mentionsId(message: string, id: string): boolean {
   for (let at = message.indexOf(id); at >= 0;) {
     const before = message[at - 1] ?? " ";
@@ -59,10 +59,10 @@
   return false;
 }
 
-/** The story for people: time since the first line, box, part, sentence. */
+/** Renders a trace: time since the first line, box, part and message. */
 export function renderTrace(trace: Trace): string[] {
   const { id, lines: entries } = trace;
-  if (entries.length === 0) return [`No line names ${id}.`];
+  if (entries.length === 0) return [`No log line mentions ${id}.`];
   const firstMs = Date.parse(entries[0].at);
   const width = Math.max(...entries.map(({ box }) => box.length));
   const rows = entries.map(({ at, box, part, message }) => {
@@ -73,14 +73,14 @@
   return [`${id} from ${entries[0].at} on, in seconds:`, ...rows];
 }
 
-/** What a reader has to know about the story's gaps. */
+/** Returns warnings about lines that are missing from a trace. */
 export function renderWarnings({ leftOut, broken }: Trace): string[] {
   const warnings = Object.entries(broken).map(([name, count]) =>
-    `${name}: ${count} lines are no lines of a log and were passed over.`
+    `${name}: ${count} lines are not log lines and were skipped.`
   );
   if (leftOut > 0) {
     warnings.push(
-      `${leftOut} more lines were left out; name a task to see them.`,
+      `${leftOut} more lines were left out; trace a single task to see them.`,
     );
   }
   return warnings;
--- a/packages/cli/src/trace_command.ts
+++ b/packages/cli/src/trace_command.ts
@@ -1,4 +1,4 @@
-/** `cairngate trace`: the story of one job, from a box and from log files. */
+/** `cairngate trace`: the history of one job, from a box and from log files. */
 import type * as HttpJson from "@cairngate/http-json";
 import * as Clipanion from "clipanion";
 import * as fs from "node:fs";
@@ -14,16 +14,17 @@
 const STANDARD_INPUT = "-";
 const STATE_PATH = "/state";
 
-/** Merges what a box and logs tell of one id. */
+/** Prints the state of a workflow from a box and its lines from logs. */
 export class TraceCommand extends base.BaseCommand {
   static override paths = [["trace"]];
   static override usage = Clipanion.Command.Usage({
-    description: "Print what a box and logs tell of one job or task",
-    details: "Asks a box why the job was given up and for which runs, where " +
-      "--box names one or where neither files nor a pipe are given. Reads log " +
+    description: "Print the history of a job or task from a box and logs",
+    details:
+      "Requests from a box why the job was given up and for which runs, " +
+      "if --box is given or if there are neither files nor a pipe. Reads log " +
       "files of any boxes, as text or JSON, or standard input, and prints the " +
-      "lines that name the id by time. Clocks of boxes may differ a little, " +
-      "and so may the order.",
+      "lines that mention the id, sorted by time. The order is approximate, " +
+      "because the clocks of boxes may differ.",
     examples: [
       [
         "Why it was given up",
@@ -41,7 +42,7 @@
     const files = this.#listFiles();
     const missing = files.find((f) => f !== STANDARD_INPUT && !isFile(f));
     if (missing !== undefined) {
-      this.printError(`${missing} is no file that can be read.`);
+      this.printError(`${missing} is not a readable file.`);
       return exitCodes.ExitCode.Invalid;
     }
     return files.length === 0
@@ -49,7 +50,7 @@
       : await this.#printLogs(files);
   }
 
-  /** What a box tells alone. */
+  /** Prints only the workflow's state from a box. */
   async #printWorkflow(): Promise<exitCodes.ExitCode> {
     const reply = await this.#fetchWorkflow();
     if (reply?.status !== 200) return this.fail(reply);
@@ -58,7 +59,7 @@
     return exitCodes.ExitCode.Ok;
   }
 
-  /** What logs tell, after what a box tells where one is named. */
+  /** Prints log lines, preceded by the workflow's state if a box is given. */
   async #printLogs(files: readonly string[]): Promise<exitCodes.ExitCode> {
     const usesBox = this.box !== undefined;
     const reply = usesBox ? await this.#fetchWorkflow() : null;
@@ -74,14 +75,14 @@
     for (const line of traces.renderWarnings(trace)) this.printError(line);
     if (usesBox && reply === null) return exitCodes.ExitCode.Unreachable;
     if (usesBox && story === null) {
-      this.printError("The box does not tell of it.");
+      this.printError("The box returned no state for this id.");
     }
     return story !== null || trace.lines.length > 0
       ? exitCodes.ExitCode.Ok
       : exitCodes.ExitCode.Refused;
   }
 
-  /** A terminal is no log: without files a box is asked instead. */
+  /** Log files to read; none on a terminal without files, where a box is queried. */
   #listFiles(): readonly string[] {
     if (this.files.length > 0) return this.files;
     const { isTTY } = this.context.stdin as tty.ReadStream;
@@ -104,7 +105,7 @@
   }
 }
 
-/** Opens the input when its first line is asked for. */
+/** Yields the lines of an input, which is opened when the first one is read. */
 async function* readLines(
   open: () => stream.Readable,
 ): AsyncGenerator<string> {
--- a/packages/cli/src/trace_test.ts
+++ b/packages/cli/src/trace_test.ts
@@ -1,4 +1,4 @@
-/** Stories of one id from several logs. */
+/** Traces of one id from several logs and from a box. */
 import * as HttpJson from "@cairngate/http-json";
 import * as TestUtils from "@cairngate/test-utils";
 import * as Effect from "effect/Effect";
@@ -55,7 +55,7 @@
     ]);
   });
 
-  vitest.it("takes no id for another that begins alike", async () => {
+  vitest.it("does not match ids that only share a prefix", async () => {
     const lines = [
       text("34.1", `Run 1 of ${ID}.0.0.17: lost.`),
       text("34.2", `Run 1 of ${ID}.0.0.1: lost.`),
@@ -65,16 +65,16 @@
     vitest.expect(trace.lines.map((line) => line.at)).toEqual([at("34.2")]);
   });
 
-  vitest.it("counts broken lines and tells of them", async () => {
+  vitest.it("counts and reports lines that are not log lines", async () => {
     const lines = ["", "no log", "{broken", text("34.1", `Job ${ID}.`)];
     const trace = await traces.readTrace(ID, [source("box-1", lines)]);
     vitest.expect(trace.lines).toHaveLength(1);
     vitest.expect(traces.renderWarnings(trace)).toEqual([
-      "box-1: 2 lines are no lines of a log and were passed over.",
+      "box-1: 2 lines are not log lines and were skipped.",
     ]);
   });
 
-  vitest.it("keeps a bounded number of lines", async () => {
+  vitest.it("limits the number of lines", async () => {
     const lines = Array.from({ length: 50 }, () => text("34.1", `Job ${ID}.`));
     const trace = await traces.readTrace(ID, [source("box-1", lines)], 10);
     vitest.expect(trace.lines).toHaveLength(10);
@@ -82,7 +82,7 @@
   });
 });
 
-vitest.describe("the command", () => {
+vitest.describe("the trace command", () => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "cairngate-trace-"));
   const file = path.join(folder, "box-1.log");
 
@@ -115,14 +115,14 @@
     vitest.expect(fromPipe.text).toContain(`Job ${ID}.`);
   });
 
-  vitest.it("tells by its code what was wrong", async () => {
+  vitest.it("returns codes for unknown ids and missing files", async () => {
     const unknown = await run(["0000000000000000", file]);
     vitest.expect(unknown.code).toBe(exitCodes.ExitCode.Refused);
     const noFile = await run([ID, path.join(folder, "none.log")]);
     vitest.expect(noFile.code).toBe(exitCodes.ExitCode.Invalid);
   });
 
-  /** A node that knows one workflow, and what it was asked for. */
+  /** Starts a box with one workflow; records the requested paths. */
   async function startBox() {
     const requestedPaths: string[] = [];
     const server = http.createServer((req, res) => {
@@ -147,18 +147,18 @@
     return { address, requestedPaths, close };
   }
 
-  vitest.it("asks a box for the runs of a workflow given up", async () => {
+  vitest.it("queries a box for the runs of a workflow given up", async () => {
     const box = await startBox();
     const found = await run([`${ID}.0.0.3`, "--box", box.address]);
     vitest.expect(found.code).toBe(exitCodes.ExitCode.Ok);
     vitest.expect(found.text).toContain("given up for crashes");
     vitest.expect(found.text).toContain("  run 3 on i-1 ended as crashed.");
-    vitest.expect(found.text).not.toContain("No line names");
+    vitest.expect(found.text).not.toContain("No log line mentions");
     vitest.expect(box.requestedPaths).toEqual([`/state/${ID}`]);
     box.close();
   });
 
-  vitest.it("asks a box at a terminal without files", async () => {
+  vitest.it("queries a box on a terminal without files", async () => {
     const box = await startBox();
     vitest.vi.stubEnv("CAIRNGATE_OPERATORS", box.address);
     const found = await run([ID], true);
@@ -168,7 +168,7 @@
     box.close();
   });
 
-  vitest.it("prints what the box tells before the lines of logs", async () => {
+  vitest.it("prints the workflow's state before the log lines", async () => {
     const box = await startBox();
     const found = await run([ID, file, "--box", box.address, "--json"]);
     const body = JSON.parse(found.text);
@@ -177,7 +177,7 @@
     box.close();
   });
 
-  vitest.it("prints lines of logs though no box answers", async () => {
+  vitest.it("prints log lines even if the box does not respond", async () => {
     const address = `127.0.0.1:${await TestUtils.findFreePort()}`;
     const found = await run([ID, file, "--box", address]);
     vitest.expect(found.text).toContain(`Workflow ${ID} waits.`);
@@ -185,7 +185,7 @@
   });
 
   vitest.it(
-    "tells by its code that the box knows no such workflow",
+    "returns an exit code if the box has no such workflow",
     async () => {
       const box = await startBox();
       const found = await run(["0000000000000000", "--box", box.address]);
--- a/packages/config/mod.ts
+++ b/packages/config/mod.ts
@@ -1,4 +1,4 @@
-/** Reads and checks operators' files and box settings. */
+/** Parses and validates operators' files and settings files. */
 export { parseDeployment } from "./src/deployment.ts";
 export {
   type BoxSettings,
--- a/packages/config/src/decode_yaml.ts
+++ b/packages/config/src/decode_yaml.ts
@@ -1,20 +1,20 @@
-/** Decodes YAML by a schema and reports every fault at once. */
+/** Decodes YAML by a schema and reports all faults at once. */
 import * as Errors from "@cairngate/errors";
 import * as Effect from "effect/Effect";
 import * as Schema from "effect/Schema";
 import * as SchemaIssue from "effect/SchemaIssue";
 import * as Yaml from "yaml";
 
-/** Most aliases of a file; protects against expansion without end. */
+/** Maximum number of aliases in a file, against exponential expansion. */
 const MAX_ALIASES = 100;
 
-/** What to do, where the schema library only names its rule. */
+/** Readable replacements for messages of the schema library. */
 const PLAIN_MESSAGES: ReadonlyMap<string, string> = new Map([
   ["Missing key", "is required; add it"],
   ["Expected no excess property", "is not known here; remove it"],
 ]);
 
-/** Parses and checks a text; all faults are in the error. */
+/** Parses and validates a text; the error lists all faults. */
 export function decodeYaml<S extends Schema.Codec<unknown, unknown>>(
   schema: S,
   source: { file: string; text: string },
--- a/packages/config/src/deployment.ts
+++ b/packages/config/src/deployment.ts
@@ -1,4 +1,4 @@
-/** The schema of operators' files, and the checks across their parts. */
+/** The schema of operators' files and the checks of references within them. */
 import * as Errors from "@cairngate/errors";
 import * as Types from "@cairngate/types";
 import * as Effect from "effect/Effect";
@@ -17,7 +17,7 @@
 );
 const Endpoint = Schema.String.check(
   Schema.isPattern(/^[0-9a-fA-F.:[\]]+:\d{1,5}$/, {
-    message: "Expected an IP number and a port, such as 127.0.0.1:7000",
+    message: "Expected an IP address and a port, such as 127.0.0.1:7000",
   }),
 );
 const Count = Schema.Int.check(Schema.isGreaterThanOrEqualTo(0));
@@ -94,7 +94,7 @@
 
 const DEFAULT_WAITING_LIMIT = 1000;
 
-/** Parses an operators' file; the error lists every fault with its path. */
+/** Parses an operators' file; the error lists all faults with their paths. */
 export function parseDeployment(
   text: string,
   file = "operators' file",
--- a/packages/config/src/hash_text.ts
+++ b/packages/config/src/hash_text.ts
@@ -3,7 +3,7 @@
 
 const HASH_HEX_DIGITS = 12;
 
-/** Short SHA-256 of a text, as shown to operators. */
+/** Returns the first 12 hex digits of a text's SHA-256, as shown to operators. */
 export function hashText(text: string): string {
   const digest = crypto.createHash("sha256").update(text).digest("hex");
   return digest.slice(0, HASH_HEX_DIGITS);
--- a/packages/config/src/node_settings.ts
+++ b/packages/config/src/node_settings.ts
@@ -1,4 +1,4 @@
-/** The schema of a workflow node's settings file. */
+/** The schema of the settings file of a box that runs workflows. */
 import type * as Errors from "@cairngate/errors";
 import * as Types from "@cairngate/types";
 import * as Effect from "effect/Effect";
@@ -9,15 +9,15 @@
 const Name = Schema.NonEmptyString;
 const Address = Schema.String.check(
   Schema.isPattern(/^[0-9a-fA-F.:[\]]+:\d{1,5}$/, {
-    message: "Expected an IP number and a port, such as 127.0.0.1:7000",
+    message: "Expected an IP address and a port, such as 127.0.0.1:7000",
   }),
 );
 const Positive = Schema.Number.check(Schema.isGreaterThan(0));
 
 /**
- * What operators who evacuate data centres ask for, in ms. The time for
- * configurations is no stand-in: at 2 s a store that answers in 0.4 s would hold up
- * all starts now and then.
+ * Default of `evacuationInForceMs`, as required by operators who evacuate data centres.
+ * `configInForceMs` is no substitute: at 2 s, a store with a latency of 0.4 s would
+ * block all starts now and then.
  */
 const DEFAULT_EVACUATION_MS = 5000;
 
@@ -63,7 +63,7 @@
   logFormat: Schema.optionalKey(Schema.Literals(["text", "json"])),
 });
 
-/** Bounds that the platform sets; times are in milliseconds. */
+/** Bounds set by the platform; times are in milliseconds. */
 export interface NodeBounds {
   readonly longestLeaseMs: number;
   readonly stopMs: number;
@@ -72,43 +72,43 @@
   readonly keepEndedMs: number;
 }
 
-/** What a box may use of its processor: a share of each of its cores. */
+/** CPU available to a box: a share of each of its cores. */
 export interface Processor {
   readonly share: number;
   readonly cores: number;
 }
 
-/** Checked settings of a node. */
+/** Validated settings of a box that runs workflows. */
 export interface NodeSettings {
   readonly node: string;
   readonly zone: string;
   readonly callersAddress: string;
   readonly readinessAddress: string;
-  /** Where peers open their links, as host:port. */
+  /** Address for connections of peers, as host:port. */
   readonly peersAddress: string;
   readonly processor: Processor;
   readonly storeAddress: string;
   readonly storeWritesPerSecond: number;
-  /** Most bytes of one row's value. */
+  /** Maximum size of one row's value, in bytes. */
   readonly storeRowBytes: number;
   readonly configInForceMs: number;
   /**
-   * Time within which nothing starts any more in a data centre that the operator
-   * evacuates; where it is not set, 5 s.
+   * Time after which nothing starts any more in a data centre that the operator
+   * evacuates; 5 s by default.
    */
   readonly evacuationInForceMs: number;
-  /** Time from the signal to stop until the process is killed, in seconds. */
+  /** Time from the stop signal until the process is killed, in seconds. */
   readonly graceSeconds: number;
-  /** Address of the advice service; null where there is none. */
+  /** Address of the advice service; null if there is none. */
   readonly adviceAddress: string | null;
   readonly bounds: NodeBounds;
-  /** Features for hard load; those that are not set are off. */
+  /** Modes of the features for hard load; off by default. */
   readonly hardLoad: Types.HardLoadSettings;
   readonly logLevel: "error" | "warn" | "info" | "debug";
   readonly logFormat: "text" | "json";
 }
 
-/** Parses a node's settings; the error lists every fault with its path. */
+/** Parses a settings file; the error lists all faults with their paths. */
 export function parseNodeSettings(
   text: string,
   file: string,
@@ -124,7 +124,7 @@
   }));
 }
 
-/** Reads and checks a node's settings file. */
+/** Reads and validates a settings file. */
 export function readNodeSettings(
   file: string,
 ): Effect.Effect<NodeSettings, Errors.InvalidFileError> {
--- a/packages/config/src/node_settings_test.ts
+++ b/packages/config/src/node_settings_test.ts
@@ -1,4 +1,4 @@
-/** Settings of a workflow node. */
+/** Settings of a box that runs workflows. */
 import * as Effect from "effect/Effect";
 import * as vitest from "vitest";
 import * as settings from "./node_settings.ts";
@@ -27,13 +27,13 @@
   Effect.runPromise(settings.parseNodeSettings(text, "node.yaml"));
 
 vitest.describe("evacuationInForceMs", () => {
-  vitest.it("is what the file says", async () => {
+  vitest.it("is read from the file", async () => {
     const parsed = await parse(`${TEXT}evacuationInForceMs: 4000\n`);
     vitest.expect(parsed.evacuationInForceMs).toBe(4000);
   });
 
   vitest.it(
-    "is 5 s where the file has none, or nothing behind it",
+    "is 5 s if the key is missing or has no value",
     async () => {
       const unset = [
         await parse(TEXT),
@@ -44,7 +44,7 @@
     },
   );
 
-  vitest.it("is refused where it is no time", async () => {
+  vitest.it("is rejected if it is not a positive time", async () => {
     const parsed = settings.parseNodeSettings(
       `${TEXT}evacuationInForceMs: -1`,
       "node.yaml",
@@ -55,7 +55,7 @@
 });
 
 vitest.describe("hardLoad", () => {
-  vitest.it("is off where the file does not ask for it", async () => {
+  vitest.it("is off by default", async () => {
     const { hardLoad } = await parse(TEXT);
     vitest.expect(hardLoad).toEqual({
       competingTeams: "off",
@@ -63,7 +63,7 @@
     });
   });
 
-  vitest.it("is what the file says, each feature by itself", async () => {
+  vitest.it("is read from the file separately for each feature", async () => {
     const { hardLoad } = await parse(
       `${TEXT}hardLoad: { competingTeams: auto }`,
     );
@@ -73,7 +73,7 @@
     });
   });
 
-  vitest.it("is refused where it is no known use", async () => {
+  vitest.it("is rejected if the mode is unknown", async () => {
     const parsed = settings.parseNodeSettings(
       `${TEXT}hardLoad: { competingTeams: sometimes }`,
       "node.yaml",
--- a/packages/config/src/read_settings_file.ts
+++ b/packages/config/src/read_settings_file.ts
@@ -1,10 +1,10 @@
-/** Reads a settings file from disk. */
+/** Reads settings files from disk. */
 import * as Errors from "@cairngate/errors";
 import * as Effect from "effect/Effect";
 import * as fs from "node:fs/promises";
 import * as settings from "./settings.ts";
 
-/** Reads and checks a settings file. */
+/** Reads and validates a box's settings file. */
 export function readSettingsFile(
   file: string,
 ): Effect.Effect<settings.BoxSettings, Errors.InvalidFileError> {
--- a/packages/config/src/settings.ts
+++ b/packages/config/src/settings.ts
@@ -7,7 +7,7 @@
 const Name = Schema.NonEmptyString;
 const Address = Schema.String.check(
   Schema.isPattern(/^[0-9a-fA-F.:[\]]+:\d{1,5}$/, {
-    message: "Expected an IP number and a port, such as 127.0.0.1:7000",
+    message: "Expected an IP address and a port, such as 127.0.0.1:7000",
   }),
 );
 const Millis = Schema.Int.check(Schema.isGreaterThan(0));
@@ -49,14 +49,14 @@
   times: Schema.optionalKey(TimesSchema),
 });
 
-/** Another box. */
+/** Name and address of another box. */
 export interface PeerSettings {
   readonly name: string;
-  /** Its peers address, host:port. */
+  /** Its `peersAddress`, as host:port. */
   readonly address: string;
 }
 
-/** Limits of a box, with defaults filled in. */
+/** Limits of a box, with defaults applied. */
 export interface LimitSettings {
   readonly waitingCallers: number;
   readonly bodyBytes: number;
@@ -64,7 +64,7 @@
   readonly connectionsPerWorker: number;
 }
 
-/** Intervals of a box in milliseconds, with defaults filled in. */
+/** Intervals of a box in milliseconds, with defaults applied. */
 export interface TimeSettings {
   readonly heartbeatMs: number;
   readonly peerTimeoutMs: number;
@@ -75,7 +75,7 @@
   readonly stopGraceMs: number;
 }
 
-/** Checked settings of a box. */
+/** Validated settings of a box. */
 export interface BoxSettings {
   readonly box: string;
   readonly dataCentre: string;
@@ -108,7 +108,7 @@
   stopGraceMs: 30_000,
 };
 
-/** Parses a settings file; the error lists every fault with its path. */
+/** Parses a settings file; the error lists all faults with their paths. */
 export function parseSettings(
   text: string,
   file: string,
--- a/packages/config/src/settings_test.ts
+++ b/packages/config/src/settings_test.ts
@@ -20,14 +20,14 @@
   );
 }
 
-test("settings fill in what is left out", async () => {
+test("settings that are left out have defaults", async () => {
   const parsed = await parse(VALID);
   expect(parsed).toMatchObject({
     success: { logLevel: "info", times: { heartbeatMs: 500 }, peers: [] },
   });
 });
 
-test("every fault of a settings file is told at once, with its path", async () => {
+test("all faults of a settings file are reported, with paths", async () => {
   const text = VALID.replace("box: box_1\n", "")
     .replace("127.0.0.1:1", "nowhere") +
     "spare: 1\ntimes: {heartbeatMs: -5}\nlogLevel: loud\n";
@@ -46,7 +46,7 @@
   expect(failure!.message).toContain("$.spare: is not known here; remove it");
 });
 
-test("text that is no YAML names its line", async () => {
+test("a YAML syntax error names its line", async () => {
   const parsed = await parse("box: [1\nx: }");
   const failure = parsed._tag === "Failure" ? parsed.failure : null;
   expect(failure!.faults[0].path).toMatch(/^line \d+$/);
--- a/packages/daemon/bin.ts
+++ b/packages/daemon/bin.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `cairngated`: one box. Exit codes: 0 stopped, 1 failed, 2 bad settings. */
+/** The executable `cairngated`. Exit codes: 0 stopped, 1 failed, 2 invalid settings. */
 import * as Config from "@cairngate/config";
 import * as Clipanion from "clipanion";
 import * as Effect from "effect/Effect";
@@ -17,7 +17,7 @@
     examples: [
       ["Run a box", "cairngated --settings box-1.yaml"],
       [
-        "Run alone on stand-ins",
+        "Run with simulated workers",
         "cairngated --settings box-1.yaml --embedded deployment.yaml",
       ],
     ],
@@ -27,7 +27,7 @@
     description: "Settings file of the box (YAML)",
   });
   embedded = Clipanion.Option.String("--embedded", {
-    description: "Operators' file whose workers are stood in for",
+    description: "Operators' file whose workers are simulated",
   });
 
   override async execute(): Promise<number> {
--- a/packages/daemon/mod.ts
+++ b/packages/daemon/mod.ts
@@ -1,4 +1,4 @@
-/** cairngated: one box as a process. */
+/** The daemon `cairngated`, which runs one box as a process. */
 export {
   type RunningDaemon,
   startDaemon,
--- a/packages/daemon/src/embedded_platform.ts
+++ b/packages/daemon/src/embedded_platform.ts
@@ -1,4 +1,4 @@
-/** The platform and its workers in the daemon's own process. */
+/** In-process stand-ins for the platform and its workers. */
 import * as Adapters from "@cairngate/adapters";
 import * as Config from "@cairngate/config";
 import type * as Errors from "@cairngate/errors";
@@ -7,7 +7,7 @@
 import * as StandIns from "@cairngate/stand-ins";
 import * as Effect from "effect/Effect";
 
-/** Adapters that a box needs besides its peers. */
+/** Adapters of a box, except for the peer network. */
 export interface PlatformAdapters {
   readonly clock: Ports.Clock;
   readonly random: Ports.RandomSource;
@@ -18,7 +18,7 @@
   readonly workers: Ports.Workers;
 }
 
-/** Adds the machine's clock and random numbers. */
+/** Adds the system's clock and random numbers. */
 export function withSystemTime(
   metrics: Metrics.Metrics,
   adapters: Omit<PlatformAdapters, "clock" | "random" | "metrics">,
@@ -28,7 +28,7 @@
   return { ...adapters, clock, random, metrics };
 }
 
-/** Stand-ins for all workers of an operators' file. */
+/** Creates a platform with a stand-in for each worker of an operators' file. */
 export function createEmbeddedPlatform(
   text: string,
 ): Effect.Effect<PlatformAdapters, Errors.InvalidFileError> {
--- a/packages/daemon/src/start_daemon.ts
+++ b/packages/daemon/src/start_daemon.ts
@@ -1,4 +1,4 @@
-/** Wires a box to its adapters and servers. */
+/** Connects a box to its adapters and servers. */
 import * as Adapters from "@cairngate/adapters";
 import * as Box from "@cairngate/box";
 import type * as Config from "@cairngate/config";
@@ -10,24 +10,24 @@
 import * as Effect from "effect/Effect";
 import * as embedded from "./embedded_platform.ts";
 
-/** How to start. */
+/** Options of a daemon. */
 export interface StartOptions {
   readonly settings: Config.BoxSettings;
-  /** Text of an operators' file: run on stand-ins in this process. */
+  /** Text of an operators' file to run on in-process stand-ins; null: real platform. */
   readonly embeddedFile: string | null;
 }
 
 /** A running daemon. */
 export interface RunningDaemon {
   readonly box: Box.Box;
-  /** Hands over, finishes what is in flight, then ends. */
+  /** Hands over the box's cells, waits for pending requests, then stops the box. */
   stop(): Effect.Effect<void>;
 }
 
-/** Time for the balancer to notice that this box is not ready. */
+/** Time within which the load balancer detects that the box is not ready. */
 const READINESS_LAG_MS = 1000;
 
-/** Starts a box and its servers. */
+/** Starts a box and its HTTP servers. */
 export function startDaemon(
   options: StartOptions,
 ): Effect.Effect<RunningDaemon, Errors.ListenError | Errors.InvalidFileError> {
@@ -115,12 +115,12 @@
 function stopDaemon(context: StopContext): Effect.Effect<void> {
   const { box, callers, log, settings } = context;
   return Effect.gen(function* () {
-    log.info("The box leaves.");
+    log.info("The box is shutting down.");
     callers.beginClosing();
     yield* box.leave();
     yield* Effect.sleep(READINESS_LAG_MS);
     const drained = yield* box.drain(settings.times.stopGraceMs);
-    if (!drained) log.warn("Some callers still wait; they are cut off.");
+    if (!drained) log.warn("Disconnecting callers that are still waiting.");
     yield* Effect.timeoutOption(callers.close(), READINESS_LAG_MS);
     yield* box.stop();
     context.closeOperators();
--- a/packages/daemon/src/start_daemon_test.ts
+++ b/packages/daemon/src/start_daemon_test.ts
@@ -64,7 +64,7 @@
 });
 
 describe("callers' HTTP", () => {
-  test("answers a match with its own plates", async () => {
+  test("returns a match of the submitted plates", async () => {
     const reply = await submit({
       team: "gantry_west",
       service: "plate_match",
@@ -85,7 +85,7 @@
     });
   });
 
-  test("stores a long gang and gives its result later", async () => {
+  test("stores a long gang and returns its result later", async () => {
     const accepted = await submit({
       team: "settlement_office",
       service: "night_settlement",
@@ -118,7 +118,7 @@
     expect(reply.body).toMatchObject({ field, outcome: "not-run" });
   });
 
-  test("refuses a body that is too large, and goes on", async () => {
+  test("refuses a body that is too large and keeps serving", async () => {
     const input = "x".repeat(30_000);
     const body = { team: "gantry_west", service: "plate_match", input };
     expect((await submit(body)).status).toBe(413);
@@ -126,7 +126,7 @@
     expect((await call(OPERATORS, { method: "GET", path })).status).toBe(200);
   });
 
-  test("knows no job that was never sent", async () => {
+  test("responds with 404 for a job that was never submitted", async () => {
     const path = "/v1/jobs/astana.0000";
     const reply = await call(CALLERS, { method: "GET", path });
     expect(reply.status).toBe(404);
--- a/packages/errors/mod.ts
+++ b/packages/errors/mod.ts
@@ -1,2 +1,2 @@
-/** Every failure of cairngate as a tagged error. */
+/** All failures of cairngate, as tagged errors. */
 export * from "./src/errors.ts";
--- a/packages/errors/src/errors.ts
+++ b/packages/errors/src/errors.ts
@@ -1,13 +1,13 @@
-/** Tagged errors. Each message says what failed and what to do next. */
+/** Tagged errors. Messages name the failure and, where useful, the next step. */
 import * as Data from "effect/Data";
 
-/** One fault in a file: where, and what was expected there. */
+/** A fault in a file: its path and the expected value. */
 export interface Fault {
   readonly path: string;
   readonly expected: string;
 }
 
-/** A settings or operators' file with faults. Final: correct the file. */
+/** A settings file or operators' file has faults. Not retryable. */
 export class InvalidFileError extends Data.TaggedError("InvalidFileError")<{
   readonly file: string;
   readonly faults: readonly Fault[];
@@ -20,7 +20,7 @@
   }
 }
 
-/** Guaranteed shapes that cannot all be placed at once. Final. */
+/** The guaranteed shapes cannot all be placed at once. Not retryable. */
 export class InfeasibleGuaranteeError
   extends Data.TaggedError("InfeasibleGuaranteeError")<{
     readonly team: string;
@@ -36,7 +36,7 @@
   }
 }
 
-/** The file was written against another version. Read it again, then apply. */
+/** The file is based on a version that is not in force. */
 export class VersionConflictError
   extends Data.TaggedError("VersionConflictError")<{
     readonly basedOn: number;
@@ -50,39 +50,39 @@
   }
 }
 
-/** The table service did not answer in time or refused. May be retried. */
+/** The table service did not respond in time or refused. Retryable. */
 export class StoreUnavailableError
   extends Data.TaggedError("StoreUnavailableError")<{
     readonly operation: string;
     readonly cause: string;
-    /** True where an earlier try of the same write got no answer. */
+    /** True if an earlier attempt of the same write got no response. */
     readonly perhapsDone?: boolean;
   }> {
   override get message(): string {
-    return `The platform's store did not carry out ${this.operation} ` +
+    return `The platform's store did not complete ${this.operation} ` +
       `(${this.cause}). Try again in a few seconds.`;
   }
 }
 
-/** The table service takes no such write, however often it is asked. */
+/** The table service rejects the write. Not retryable. */
 export class WriteRefusedError extends Data.TaggedError("WriteRefusedError")<{
-  /** Key of the first row that was to be written. */
+  /** Key of the first row of the write. */
   readonly key: string;
   readonly cause: string;
 }> {
   override get message(): string {
-    return `The platform's store takes no such write of ${this.key} ` +
-      `(${this.cause}). The row is too large, or a name in it is not allowed.`;
+    return `The platform's store rejected the write of ${this.key} ` +
+      `(${this.cause}). The row is too large or a name in it is not allowed.`;
   }
 }
 
-/** An answer from the store was lost; the write may have taken effect. */
+/** The store's response was lost; the write may have taken effect. */
 export class AnswerLostError extends Data.TaggedError("AnswerLostError")<{
   readonly operation: string;
 }> {
   override get message(): string {
-    return `The answer to ${this.operation} was lost; ` +
-      `read back to learn whether it took effect.`;
+    return `The response to ${this.operation} was lost; ` +
+      `read the rows to find out whether it took effect.`;
   }
 }
 
@@ -103,7 +103,7 @@
 export class WorkerRefusedError extends Data.TaggedError("WorkerRefusedError")<{
   readonly worker: string;
   readonly reason: RefusalReason;
-  /** The epoch the worker holds to. */
+  /** Highest epoch that the worker has seen. */
   readonly epoch: number;
 }> {
   override get message(): string {
@@ -112,7 +112,7 @@
   }
 }
 
-/** Why a worker refuses an order. */
+/** Reasons why a worker refuses an order. */
 export enum RefusalReason {
   StaleEpoch = "stale-epoch",
   Leaving = "leaving",
@@ -123,19 +123,19 @@
   Malformed = "malformed",
 }
 
-/** A worker did not answer; whether the order took effect is not known. */
+/** A worker did not respond; the order may or may not have taken effect. */
 export class WorkerLostError extends Data.TaggedError("WorkerLostError")<{
   readonly worker: string;
   readonly cause: string;
-  /** True where the order certainly never left this box. */
+  /** True if the order was certainly not sent. */
   readonly neverSent: boolean;
 }> {
   override get message(): string {
-    return `Worker ${this.worker} did not answer (${this.cause}).`;
+    return `Worker ${this.worker} did not respond (${this.cause}).`;
   }
 }
 
-/** A box could not be reached. May be retried. */
+/** A box could not be reached. Retryable. */
 export class PeerUnreachableError
   extends Data.TaggedError("PeerUnreachableError")<{
     readonly box: string;
@@ -146,18 +146,18 @@
   }
 }
 
-/** The box asked does not own the cell. Ask the named owner. */
+/** The receiver of a request does not own the cell. */
 export class NotOwnerError extends Data.TaggedError("NotOwnerError")<{
   readonly cell: string;
   readonly epoch: number;
 }> {
   override get message(): string {
     return `This box does not own cell ${this.cell} ` +
-      `(highest epoch seen: ${this.epoch}). Ask again shortly.`;
+      `(highest epoch seen: ${this.epoch}). Try again shortly.`;
   }
 }
 
-/** A caller's request that cannot be taken as it is. Final. */
+/** A field of a caller's request is not valid. Not retryable. */
 export class BadRequestError extends Data.TaggedError("BadRequestError")<{
   readonly field: string;
   readonly expected: string;
@@ -167,7 +167,7 @@
   }
 }
 
-/** No such job, or one whose record is gone. */
+/** The job does not exist or its record has been deleted. */
 export class UnknownJobError extends Data.TaggedError("UnknownJobError")<{
   readonly jobId: string;
 }> {
@@ -176,7 +176,7 @@
   }
 }
 
-/** Too much work for the moment; nothing was started. */
+/** A load limit is reached; nothing was started. */
 export class OverloadedError extends Data.TaggedError("OverloadedError")<{
   readonly limit: string;
   readonly retryAfterSeconds: number;
@@ -187,16 +187,16 @@
   }
 }
 
-/** This box cannot serve yet or any more. */
+/** The box is starting or stopping and cannot serve. */
 export class NotReadyError extends Data.TaggedError("NotReadyError")<{
   readonly waitsFor: string;
 }> {
   override get message(): string {
-    return `This box is not ready: it waits for ${this.waitsFor}.`;
+    return `This box is not ready: waiting for ${this.waitsFor}.`;
   }
 }
 
-/** A message between processes that has no known shape. Dropped and counted. */
+/** A message between processes is malformed. It is dropped and counted. */
 export class MalformedMessageError
   extends Data.TaggedError("MalformedMessageError")<{
     readonly from: string;
@@ -207,7 +207,7 @@
   }
 }
 
-/** The store could not keep a value. */
+/** A value exceeds a size limit. */
 export class TooLargeError extends Data.TaggedError("TooLargeError")<{
   readonly what: string;
   readonly limitBytes: number;
@@ -217,7 +217,7 @@
   }
 }
 
-/** A server could not be opened on its address. */
+/** A server could not listen on its address. */
 export class ListenError extends Data.TaggedError("ListenError")<{
   readonly address: string;
   readonly cause: string;
@@ -228,34 +228,34 @@
   }
 }
 
-/** The history of a feed is gone from this position. Read all rows again. */
+/** A feed's history after a position has been deleted. Read all rows again. */
 export class HistoryLostError extends Data.TaggedError("HistoryLostError")<{
   readonly position: number;
 }> {
   override get message(): string {
-    return `The history after position ${this.position} is gone. ` +
+    return `The history after position ${this.position} has been deleted. ` +
       `Read all rows again.`;
   }
 }
 
-/** Why a worker refuses an order of a workflow's task. */
+/** Reasons why an endpoint refuses an order for a task of a workflow. */
 export enum OrderRefusal {
-  /** It has seen a higher fencing token. */
+  /** The endpoint has seen a higher fencing token. */
   Fenced = "fenced",
-  /** The run is not above one that was stopped or ended there. */
+  /** The run is not newer than one that was stopped or has ended there. */
   OldRun = "old-run",
-  /** The lease given with the order has run out. */
+  /** The lease in the order has expired. */
   Late = "late",
-  /** The task does not fit beside what runs there. */
+  /** The task does not fit beside the current runs. */
   NoRoom = "no-room",
-  /** The ticket of the advice service does not hold. */
+  /** The ticket of the advice service is not valid. */
   Ticket = "ticket",
   Malformed = "malformed",
-  /** The worker is not well; it has done nothing. */
+  /** The endpoint is unhealthy and did not carry out the order. */
   Unhealthy = "unhealthy",
 }
 
-/** A worker refused an order; nothing was done. */
+/** An endpoint refused an order, which had no effect. */
 export class OrderRefusedError extends Data.TaggedError("OrderRefusedError")<{
   readonly worker: string;
   readonly reason: OrderRefusal;
@@ -265,7 +265,7 @@
   }
 }
 
-/** Another life of the worker answered; all that ran in the former is gone. */
+/** Another incarnation of the endpoint responded; earlier runs are lost. */
 export class WorkerReplacedError
   extends Data.TaggedError("WorkerReplacedError")<{
     readonly worker: string;
@@ -275,73 +275,73 @@
   }
 }
 
-/** The caller's key is unknown. */
+/** The caller's API key does not belong to a team of the queue. */
 export class UnknownKeyError extends Data.TaggedError("UnknownKeyError")<{
   readonly queue: string;
 }> {
   override get message(): string {
-    return `The key given is not one of a tenant of queue ${this.queue}.`;
+    return `The key does not belong to a team of queue ${this.queue}.`;
   }
 }
 
-/** No queue is reached at this host and path. */
+/** No queue is configured for the host and path of a request. */
 export class UnknownQueueError extends Data.TaggedError("UnknownQueueError")<{
   readonly path: string;
 }> {
   override get message(): string {
-    return `No queue is reached at ${this.path}.`;
+    return `No queue is configured at ${this.path}.`;
   }
 }
 
-/** Why a row of the store can't be used. */
+/** Reasons why a row of the store can't be used. */
 export enum UnusableReason {
-  /** Its bytes are no text. */
+  /** The bytes are not valid text. */
   Bytes = "bytes",
-  /** Its text is no JSON. */
+  /** The text is not valid JSON. */
   Json = "json",
-  /** A field is missing, or of another type or range. */
+  /** A field is missing, or has a wrong type or range. */
   Shape = "shape",
-  /** It is used, but for some of its parts. */
+  /** The row is used except for some of its parts. */
   Part = "part",
 }
 
-/** A row that some other writer left in a form that says nothing here. */
+/** A row written by another program can't be decoded. */
 export class UnusableRowError extends Data.TaggedError("UnusableRowError")<{
   readonly key: string;
   readonly revision: number;
   readonly reason: UnusableReason;
-  /** Names the field; it never shows what stands there. */
+  /** Names the field, but never contains its value. */
   readonly cause: string;
 }> {
   override get message(): string {
-    return `Row ${this.key} of revision ${this.revision} can't be used ` +
-      `(${this.cause}). Whoever wrote it has to write it again.`;
+    return `Row ${this.key} at revision ${this.revision} can't be used ` +
+      `(${this.cause}). Its writer has to write it again.`;
   }
 }
 
-/** Why a submission is rejected while there is too little room. */
+/** Reasons why a submission is rejected for lack of capacity. */
 export enum RejectReason {
-  /** No endpoint that was seen is large enough for one of its tasks. */
+  /** No listed endpoint is large enough for one of its tasks. */
   NoEndpoint = "no-endpoint",
   /** All endpoints together are too small for one of its gangs. */
   NoFleet = "no-fleet",
-  /** No rack is large enough for one of its gangs, and across racks it is late. */
+  /** No rack fits one of its gangs, and across racks it would be late. */
   NoRack = "no-rack",
-  /** It would end when it is of no use any more. */
+  /** It would end after its result has become useless. */
   TooLate = "too-late",
-  /** It came again before the time that it was told. */
+  /** It was resubmitted before its retry time. */
   Turn = "turn",
 }
 
-/** A submission that could not be of use now. Nothing of it was stored. */
+/** A submission was rejected for lack of capacity. Nothing was stored. */
 export class RejectedError extends Data.TaggedError("RejectedError")<{
   readonly jobId: string;
   readonly reason: RejectReason;
-  /** Time after which it may come again, in ms. */
+  /** Delay before a resubmission, in ms. */
   readonly retryAfterMs: number;
 }> {
   override get message(): string {
-    return `Job ${this.jobId} is not taken and has not run: ${this.reason}. ` +
-      `Hand it in again in ${Math.ceil(this.retryAfterMs / 1000)} s.`;
+    return `Job ${this.jobId} was rejected and has not run: ${this.reason}. ` +
+      `Submit it again in ${Math.ceil(this.retryAfterMs / 1000)} s.`;
   }
 }
--- a/packages/http/mod.ts
+++ b/packages/http/mod.ts
@@ -1,3 +1,3 @@
-/** The callers' and the operators' HTTP servers. */
+/** The HTTP servers for callers and for operators. */
 export { type CallersServer, serveCallers } from "./src/callers_server.ts";
 export { serveOperators } from "./src/operators_server.ts";
--- a/packages/http/src/callers_server.ts
+++ b/packages/http/src/callers_server.ts
@@ -1,6 +1,7 @@
 /**
- * Callers' HTTP: `POST /v1/jobs`, `GET` and `DELETE /v1/jobs/{id}`.
- * `Idempotency-Key` names a job; `Prefer: wait=N` waits up to N seconds.
+ * HTTP API for callers: `POST /v1/jobs`, `GET` and `DELETE /v1/jobs/{id}`.
+ * `Idempotency-Key` makes a submission repeatable; `Prefer: wait=N` waits up to N
+ * seconds.
  */
 import type * as Box from "@cairngate/box";
 import * as Entry from "@cairngate/entry";
@@ -11,11 +12,11 @@
 import * as http from "node:http";
 import * as problems from "./problems.ts";
 
-/** A running server. */
+/** A running HTTP server for callers. */
 export interface CallersServer {
-  /** Answers are the last of their connections from now on. */
+  /** Closes each connection after its next response. */
   beginClosing(): void;
-  /** Takes no new connections; resolves when the last answer is sent. */
+  /** Refuses new connections; resolves once the last response is sent. */
   close(): Effect.Effect<void>;
 }
 
@@ -25,7 +26,7 @@
 const KEEP_ALIVE_MS = 60_000;
 const MAX_CONNECTIONS = 5000;
 
-/** Opens the callers' server of a box. */
+/** Starts the HTTP server for callers of a box. */
 export function serveCallers(
   box: Box.Box,
   options: { address: string; bodyBytes: number },
@@ -83,7 +84,7 @@
   });
 }
 
-/** Null where the path names no job. */
+/** Null if the path does not name a job. */
 function decodeJobId(pathname: string): string | null {
   if (!pathname.startsWith(`${JOBS_PATH}/`)) return null;
   try {
@@ -103,13 +104,13 @@
   }).pipe(
     Effect.match({
       onSuccess: (submission) => sendSubmission(res, submission),
-      // A submission that fails has sent nothing to a worker.
+      // Nothing has been sent to a worker when a submission fails.
       onFailure: (err) => problems.sendFailure(res, err, outcomeOfFailure(err)),
     }),
   );
 }
 
-/** A write whose answer was lost may have stored the job. */
+/** The job may be stored if the response to its write was lost. */
 function outcomeOfFailure(err: { _tag: string }): Types.OutcomeKind {
   return err._tag === "StoreUnavailableError"
     ? Types.OutcomeKind.Unknown
@@ -176,7 +177,7 @@
   HttpJson.sendJson(res, status, { body, headers });
 }
 
-/** Null while the job has not ended. */
+/** Null unless the job has ended with one of the callers' outcomes. */
 function outcomeOfState(state: Types.JobState): Types.OutcomeKind | null {
   switch (state) {
     case Types.JobState.Done:
@@ -204,6 +205,6 @@
   if (match === null) return Effect.succeed(null);
   const seconds = Number(match[1]);
   if (Number.isFinite(seconds) && seconds >= 0) return Effect.succeed(seconds);
-  const expected = "wait=N with a number of seconds";
+  const expected = "wait=N, where N is a number of seconds";
   return Effect.fail(new Errors.BadRequestError({ field: "Prefer", expected }));
 }
--- a/packages/http/src/operators_server.ts
+++ b/packages/http/src/operators_server.ts
@@ -1,5 +1,5 @@
 /**
- * Operators' HTTP, on an address of its own: `/healthz`, `/readyz`,
+ * HTTP API for operators, on a separate address: `/healthz`, `/readyz`,
  * `/metrics`, `/debug/dump`, `/v1/config` (GET and POST),
  * `/v1/config/history`, `/v1/config/versions/{n}`, `/v1/status`,
  * `/v1/jobs/{id}/explain`.
@@ -18,7 +18,7 @@
 
 type RouteResult = Effect.Effect<unknown, problems.HttpFailure>;
 
-/** Opens the operators' server of a box; returns how to close it. */
+/** Starts the HTTP server for operators; returns a function that closes it. */
 export function serveOperators(
   box: Box.Box,
   address: string,
@@ -81,7 +81,7 @@
     case "/debug/dump":
       return Effect.sync(() => box.dump());
     default:
-      return reject("path", "a route of the operators' address");
+      return reject("path", "a route of the operators' API");
   }
 }
 
--- a/packages/http/src/problems.ts
+++ b/packages/http/src/problems.ts
@@ -1,21 +1,21 @@
-/** Errors as RFC 9457 problem details with a typed outcome. */
+/** Errors as RFC 9457 problem details with the outcome of the job. */
 import * as HttpJson from "@cairngate/http-json";
 import * as Types from "@cairngate/types";
 import type * as http from "node:http";
 
-/** A failure that can be told over HTTP. */
+/** An error that can be sent as problem details. */
 export interface HttpFailure {
   readonly _tag: string;
   readonly message: string;
 }
 
-/** Body of a problem answer. */
+/** Body of a problem details response. */
 export interface Problem {
   readonly type: string;
   readonly title: string;
   readonly status: number;
   readonly detail: string;
-  /** What became of the job; null where the request was not about one. */
+  /** Outcome of the job; null if the request did not concern one. */
   readonly outcome: Types.OutcomeKind | null;
   readonly jobId?: string;
   readonly attempt?: string | null;
@@ -25,7 +25,7 @@
 const TYPE_PREFIX = "urn:cairngate:problem:";
 const DEFAULT_RETRY_AFTER_S = 2;
 
-/** Status of each error; errors not listed are 500. */
+/** HTTP status by error tag; other errors are sent with status 500. */
 const STATUS_BY_ERROR: Readonly<Record<string, number>> = {
   BadRequestError: 400,
   InvalidFileError: 400,
@@ -42,7 +42,7 @@
 
 const STATUS_UNAVAILABLE = 503;
 
-/** Sends an error. `outcome` tells what became of the job, where it is one. */
+/** Sends an error; `outcome` is null if the request did not concern a job. */
 export function sendFailure(
   res: http.ServerResponse,
   err: HttpFailure,
--- a/packages/logger/mod.ts
+++ b/packages/logger/mod.ts
@@ -1,4 +1,4 @@
-/** Short log sentences with a fixed prefix for each part. */
+/** Logging of sentences, tagged with the part of the process they come from. */
 export {
   createLogger,
   type LogFormat,
--- a/packages/logger/src/logger.ts
+++ b/packages/logger/src/logger.ts
@@ -1,20 +1,20 @@
-/** Logs through consola, as text or as one JSON object a line. */
+/** Logging through consola, as text or as one JSON object per line. */
 import process from "node:process";
 import * as Consola from "consola";
 
-/** Least severe level that is printed. */
+/** Lowest severity that is printed. */
 export type LogLevel = "error" | "warn" | "info" | "debug";
 
-/** How lines are printed. */
+/** Format of log lines. */
 export type LogFormat = "text" | "json";
 
-/** Writes log sentences of one part. */
+/** Logger of one part of a process; messages are full sentences. */
 export abstract class Logger {
   abstract error(sentence: string): void;
   abstract warn(sentence: string): void;
   abstract info(sentence: string): void;
   abstract debug(sentence: string): void;
-  /** A logger for another part of the same process. */
+  /** Creates a logger for another part of the same process. */
   abstract part(prefix: string): Logger;
 }
 
@@ -54,7 +54,7 @@
   debug: 4,
 };
 
-/** Creates the logger of a process; logs go to standard error. */
+/** Creates the logger of a process, which writes to standard error. */
 export function createLogger(
   options: { level: LogLevel; format: LogFormat; box: string },
 ): Logger {
@@ -67,7 +67,7 @@
   return new ConsolaLogger(consola);
 }
 
-/** A logger that prints nothing. */
+/** Creates a logger that prints nothing. */
 export function silentLogger(): Logger {
   return new ConsolaLogger(
     Consola.createConsola({ level: -999, reporters: [] }),
--- a/packages/metrics/mod.ts
+++ b/packages/metrics/mod.ts
@@ -1,2 +1,2 @@
-/** Counters, gauges and histograms, printed as Prometheus text. */
+/** Counters, gauges and histograms, exported as Prometheus text. */
 export { Metrics } from "./src/metrics.ts";
--- a/packages/metrics/src/metrics.ts
+++ b/packages/metrics/src/metrics.ts
@@ -1,7 +1,7 @@
-/** The metrics of one process. */
+/** Metrics of a process. */
 import * as Hdr from "hdr-histogram-js";
 
-/** 100 is the largest value seen. */
+/** Exported percentiles; 100 is the maximum. */
 const PERCENTILES: readonly number[] = [50, 95, 99, 100];
 const MAX_DURATION_MS = 3_600_000;
 
@@ -10,16 +10,16 @@
   readonly values: Map<string, number>;
 }
 
-/** Labels of one value, by name. */
+/** Label values of a series, by label name. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** Named counters, gauges and histograms. */
+/** Registry of named counters, gauges and histograms. */
 export class Metrics {
   readonly #series = new Map<string, Series>();
   readonly #histograms = new Map<string, Hdr.Histogram>();
   readonly #sums = new Map<string, number>();
 
-  /** Adds to a counter. Names end in `_total`. */
+  /** Increments a counter. Names end in `_total`. */
   count(name: string, labels: Labels = {}, by = 1): void {
     const series = this.#findOrCreate(name, "counter");
     const key = formatLabels(labels);
@@ -31,12 +31,12 @@
     this.#findOrCreate(name, "gauge").values.set(formatLabels(labels), value);
   }
 
-  /** Value of a counter or gauge; 0 where it was never set. */
+  /** Returns the value of a counter or gauge; 0 if it was never set. */
   get(name: string, labels: Labels = {}): number {
     return this.#series.get(name)?.values.get(formatLabels(labels)) ?? 0;
   }
 
-  /** Records a duration. Names end in `_seconds`; values are milliseconds. */
+  /** Records a duration in milliseconds. Names end in `_seconds`, the exported unit. */
   observeMs(name: string, ms: number): void {
     let histogram = this.#histograms.get(name);
     if (histogram === undefined) {
@@ -56,14 +56,14 @@
     this.#sums.set(name, (this.#sums.get(name) ?? 0) + ms / 1000);
   }
 
-  /** A quantile of a histogram in milliseconds, 0 to 100. */
+  /** Returns a percentile (0 to 100) of a histogram in milliseconds; 0 without data. */
   quantileMs(name: string, percentile: number): number {
     const histogram = this.#histograms.get(name);
     if (histogram === undefined) return 0;
     return histogram.getValueAtPercentile(percentile) / 1000;
   }
 
-  /** All metrics as Prometheus text. */
+  /** Returns all metrics as Prometheus text. */
   print(): string {
     const lines: string[] = [];
     for (const [name, series] of this.#series) {
--- a/packages/ports/mod.ts
+++ b/packages/ports/mod.ts
@@ -1,4 +1,4 @@
-/** Ports: what cairngate needs from the platform, the workers and the time. */
+/** Ports to the platform, the workers, the peers, time and random numbers. */
 export { Clock, type Timed } from "./src/clock.ts";
 export { LiveList, type LiveSnapshot } from "./src/live_list.ts";
 export { ObjectStore } from "./src/object_store.ts";
--- a/packages/ports/src/access_config.ts
+++ b/packages/ports/src/access_config.ts
@@ -1,23 +1,23 @@
-/** The operator's configuration of queues, tenants and services. */
+/** The operator's configuration of queues and teams. */
 import type * as Workflow from "@cairngate/workflow";
 
-/** Where a queue is reached and who may use it. */
+/** A queue with the host and path under which callers reach it. */
 export interface QueueRoute extends Workflow.QueuePolicy {
   readonly host: string;
   readonly pathPrefix: string;
-  /** No key is needed. */
+  /** Whether requests need no API key. */
   readonly anonymous: boolean;
 }
 
-/** A tenant, its keys and what it has paid for. */
+/** A team with its API keys and its guarantee. */
 export interface TenantAccess {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Accelerators that belong to it for work of priority 0. */
+  /** Accelerators guaranteed to the team for work of priority 0. */
   readonly guaranteed: number;
 }
 
-/** One version, whole. */
+/** One complete version of the configuration. */
 export interface AccessConfig {
   readonly version: number;
   readonly queues: readonly QueueRoute[];
--- a/packages/ports/src/advisor.ts
+++ b/packages/ports/src/advisor.ts
@@ -1,27 +1,27 @@
-/** A service that knows which workers a policy lets run a step. */
+/** The advice service, which decides which endpoints a policy allows for a step. */
 import type * as Errors from "@cairngate/errors";
 import type * as Effect from "effect/Effect";
 
-/** Permission to run a step's tasks on one life of a worker. */
+/** Permission to run a step's tasks on one incarnation of an endpoint. */
 export interface AdviceTicket {
   readonly worker: string;
   readonly ticket: string;
 }
 
-/** The workers that may run a step; the others asked about may not. */
+/** The endpoints that may run a step; the others in the request may not. */
 export interface Advice {
   readonly tickets: readonly AdviceTicket[];
   readonly validityMs: number;
 }
 
-/** Most workers that one question may name. */
+/** Maximum number of endpoints in one request. */
 export const MOST_ADVISED = 100;
 
-/** Port of the advice service. It answers a node's questions one by one. */
+/** Port of the advice service, which handles one request of a box at a time. */
 export abstract class Advisor {
-  /** Which of these workers may run a step. */
+  /** Returns which of the given endpoints may run a step. */
   abstract ask(
     step: string,
-    workers: readonly string[],
+    endpoints: readonly string[],
   ): Effect.Effect<Advice, Errors.StoreUnavailableError>;
 }
--- a/packages/ports/src/clock.ts
+++ b/packages/ports/src/clock.ts
@@ -1,19 +1,19 @@
-/** Time, passed in so that tests can control it. */
+/** Time as a dependency, so that tests can control it. */
 import * as Effect from "effect/Effect";
 
-/** Result of work that was given a time limit. */
+/** Result of an effect with a timeout; null if the timeout elapsed first. */
 export type Timed<A> = { readonly value: A } | null;
 
-/** A source of time. */
+/** Port of time. */
 export abstract class Clock {
-  /** Wall-clock time in milliseconds since 1970; may jump. */
+  /** Wall-clock time in milliseconds since 1970; may jump in either direction. */
   abstract wallMs(): number;
-  /** Milliseconds since some start; never goes back. */
+  /** Milliseconds since an arbitrary origin; never decreases. */
   abstract monotonicMs(): number;
-  /** Waits. */
+  /** Waits for `ms` milliseconds. */
   abstract sleep(ms: number): Effect.Effect<void>;
 
-  /** Runs work for at most `ms`; null when the time is up. */
+  /** Runs an effect for at most `ms` milliseconds; null on a timeout. */
   within<A, E>(
     ms: number,
     work: Effect.Effect<A, E>,
@@ -23,7 +23,7 @@
     return Effect.raceFirst(finished, timedOut);
   }
 
-  /** Repeats work for ever with a pause after each run. */
+  /** Repeats an effect forever, pausing for `ms` milliseconds after each run. */
   every(ms: number, work: Effect.Effect<void>): Effect.Effect<never> {
     return Effect.forever(Effect.andThen(work, this.sleep(ms)));
   }
--- a/packages/ports/src/live_list.ts
+++ b/packages/ports/src/live_list.ts
@@ -1,11 +1,11 @@
-/** The platform's list of live and leaving machines. It lags. */
+/** The platform's list of live and leaving workers, which lags behind reality. */
 import type * as Types from "@cairngate/types";
 import type * as Effect from "effect/Effect";
 import type * as failures from "./store_error.ts";
 
-/** The list as it was read. */
+/** One version of the live list. */
 export interface LiveSnapshot {
-  /** Changes whenever the list does. */
+  /** Version tag; changes whenever the list does. */
   readonly tag: string;
   readonly workers: readonly Types.LiveEntry[];
 }
@@ -13,8 +13,8 @@
 /** Port of the live list. */
 export abstract class LiveList {
   /**
-   * Workers as the platform last knew them; null where nothing changed since
-   * the snapshot with this tag.
+   * Reads the list; null if nothing has changed since the snapshot with
+   * `previousTag`.
    */
   abstract workers(
     previousTag: string | null,
--- a/packages/ports/src/object_store.ts
+++ b/packages/ports/src/object_store.ts
@@ -4,12 +4,12 @@
 
 /** Port of the object store. */
 export abstract class ObjectStore {
-  /** Stores an object under a key; the same key again replaces it. */
+  /** Stores an object under a key, replacing an earlier one. */
   abstract put(
     key: string,
     value: unknown,
   ): Effect.Effect<void, failures.StoreError>;
 
-  /** Reads an object; undefined where there is none. */
+  /** Reads an object; undefined if there is none. */
   abstract get(key: string): Effect.Effect<unknown, failures.StoreError>;
 }
--- a/packages/ports/src/operator_entry.ts
+++ b/packages/ports/src/operator_entry.ts
@@ -1,4 +1,4 @@
-/** What the operator asks for, row by row. */
+/** Rows of the store that the operator writes. */
 import type * as access from "./access_config.ts";
 
 /** Kinds of rows that the operator writes. */
@@ -7,20 +7,20 @@
   Evacuation = "evacuation",
 }
 
-/** The newest configuration, whole. */
+/** The newest configuration, complete. */
 export interface ConfigEntry {
   readonly kind: OperatorEntryKind.Config;
   readonly config: access.AccessConfig;
 }
 
 /**
- * Nothing may start in a data centre while this row is there; what runs there may
- * go on.
+ * Evacuates a data centre: nothing may start there while this row exists. Runs that
+ * have started may continue.
  */
 export interface EvacuationEntry {
   readonly kind: OperatorEntryKind.Evacuation;
   readonly dataCentre: string;
 }
 
-/** One row of the operator. */
+/** A row that the operator writes. */
 export type OperatorEntry = ConfigEntry | EvacuationEntry;
--- a/packages/ports/src/page_ask.ts
+++ b/packages/ports/src/page_ask.ts
@@ -1,9 +1,9 @@
-/** Reads that come page by page. */
+/** Paged reads. */
 
-/** Which rows of a partition one read asks for. */
+/** The range of rows that one read requests. */
 export interface PageAsk {
-  /** Where to begin, as the page before told; null for the first row. */
+  /** The `next` of the previous page; null starts at the first row. */
   readonly from: string | null;
-  /** Most rows of the answer; the store may give fewer. */
+  /** Maximum number of rows; the store may return fewer. */
   readonly most: number;
 }
--- a/packages/ports/src/peer_network.ts
+++ b/packages/ports/src/peer_network.ts
@@ -3,26 +3,26 @@
 import type * as Types from "@cairngate/types";
 import type * as Effect from "effect/Effect";
 
-/** Answers a request of another box. A failure is sent back as it is. */
+/** Handles a request of another box. A failure is returned to the sender. */
 export type PeerHandler = (
   from: string,
   req: Types.PeerRequest,
 ) => Effect.Effect<unknown, Errors.NotOwnerError | Errors.NotReadyError>;
 
-/** Port of the links between boxes. */
+/** Port of the connections between boxes. */
 export abstract class PeerNetwork {
   /** Names of the other boxes, from the settings. */
   abstract peers(): readonly string[];
 
-  /** Sets who answers requests; called once at start. */
+  /** Installs the request handler; called once at the start. */
   abstract listen(
     handler: PeerHandler,
   ): Effect.Effect<void, Errors.ListenError>;
 
-  /** Whether this box's link to a peer is open. */
+  /** Whether the connection to a peer is open. */
   abstract isOpen(box: string): boolean;
 
-  /** Sends a message that has no reply; lost where no link is open. */
+  /** Sends a message without a reply; dropped if no connection is open. */
   abstract notify(box: string, req: Types.PeerRequest): void;
 
   /** Sends a request and waits for its reply. */
@@ -37,6 +37,6 @@
     | Errors.NotReadyError
   >;
 
-  /** Closes all links. */
+  /** Closes all connections. */
   abstract close(): Effect.Effect<void>;
 }
--- a/packages/ports/src/random_source.ts
+++ b/packages/ports/src/random_source.ts
@@ -1,13 +1,13 @@
-/** Random numbers, passed in so that tests can repeat them. */
+/** Random numbers as a dependency, so that tests can repeat them. */
 
-/** A source of random numbers. */
+/** Port of random numbers. */
 export abstract class RandomSource {
-  /** A number from 0 up to but not including 1. */
+  /** Returns a number from 0 (inclusive) to 1 (exclusive). */
   abstract next(): number;
-  /** An identifier that no other call returns. */
+  /** Returns a unique identifier. */
   abstract id(): string;
 
-  /** A wait between half of `ms` and `ms`. */
+  /** Returns a random delay between half of `ms` and `ms`. */
   jitter(ms: number): number {
     return ms / 2 + this.next() * ms / 2;
   }
--- a/packages/ports/src/row_feed.ts
+++ b/packages/ports/src/row_feed.ts
@@ -1,43 +1,43 @@
-/** Rows that can be followed as they change. */
+/** Rows with a feed of their changes. */
 import type * as Errors from "@cairngate/errors";
 import type * as Effect from "effect/Effect";
 import type * as pages from "./page_ask.ts";
 import type * as failures from "./store_error.ts";
 
-/** A row as it is now; a null value means that it is gone. */
+/** The current state of a row; a null value means that it was deleted. */
 export interface FeedEntry<T> {
   readonly key: string;
   readonly value: T | null;
 }
 
-/** Changes up to a moment. */
+/** Changes up to a position. */
 export interface FeedPage<T> {
   readonly entries: readonly FeedEntry<T>[];
-  /** Where to go on from. */
+  /** Position to pass to the next read of changes. */
   readonly position: number;
 }
 
-/** Some of the rows of a partition. */
+/** One page of the rows of a partition. */
 export interface SnapshotPage<T> {
   readonly items: readonly FeedEntry<T>[];
-  /** Where the next page begins; null after the last one. */
+  /** Start of the next page; null after the last one. */
   readonly next: string | null;
   /** Changes after this position may be missing from this page. */
   readonly position: number;
 }
 
-/** Port of rows that can be followed. */
+/** Port of rows with a feed of their changes. */
 export abstract class RowFeed<T> {
-  /** Partitions of the rows; each can fail while the others can be read. */
+  /** Partitions of the rows; each can fail independently of the others. */
   abstract readonly partitions: readonly string[];
 
-  /** Rows of one partition, a page at a time. */
+  /** Reads one page of a partition's rows. */
   abstract page(
     partition: string,
     ask: pages.PageAsk,
   ): Effect.Effect<SnapshotPage<T>, failures.StoreError>;
 
-  /** Waits until rows change after a position, at most for a time. */
+  /** Returns the changes after a position; waits up to `waitMs` for the first one. */
   abstract changes(
     position: number,
     waitMs: number,
--- a/packages/ports/src/store_error.ts
+++ b/packages/ports/src/store_error.ts
@@ -1,7 +1,7 @@
-/** What a call to the platform's store can fail with. */
+/** Failures of calls to the platform's store. */
 import type * as Errors from "@cairngate/errors";
 
-/** The service did not answer; a write may or may not have taken effect. */
+/** The store did not respond; a write may or may not have taken effect. */
 export type StoreError =
   | Errors.StoreUnavailableError
   | Errors.AnswerLostError;
--- a/packages/ports/src/store_peers.ts
+++ b/packages/ports/src/store_peers.ts
@@ -1,12 +1,12 @@
-/** Calls to the store that go through another node. */
+/** Calls to the store that are relayed by another box. */
 import type * as Errors from "@cairngate/errors";
 import type * as Effect from "effect/Effect";
 import type * as pages from "./page_ask.ts";
 import type * as tables from "./table_service.ts";
 
-/** Kinds of calls. */
+/** Kinds of relayed calls. */
 export enum StoreCallKind {
-  /** Asks whether the store answers the peer. */
+  /** Checks whether the store responds to the peer. */
   Probe = "probe",
   Read = "read",
   Scan = "scan",
@@ -16,7 +16,7 @@
   Changes = "changes",
 }
 
-/** A call that a peer makes for this node. */
+/** A call that a peer makes on behalf of this box. */
 export type StoreCall =
   | { readonly kind: StoreCallKind.Probe }
   | { readonly kind: StoreCallKind.Read; readonly keys: readonly string[] }
@@ -44,45 +44,45 @@
     readonly waitMs: number;
   };
 
-/** What became of a call. */
+/** Result of a relayed call. */
 export enum StoreOutcome {
   Done = "done",
-  /** Nothing was done. */
+  /** The call had no effect. */
   Unavailable = "unavailable",
-  /** A write that may have been done. */
+  /** A write whose response was lost; it may have taken effect. */
   AnswerLost = "answer-lost",
   ConditionFailed = "condition-failed",
   HistoryLost = "history-lost",
   WriteRefused = "write-refused",
 }
 
-/** A peer's reply; `value` is the result, or what describes the failure. */
+/** A peer's reply; `value` is the result or the details of the failure. */
 export interface StoreReply {
   readonly outcome: StoreOutcome;
   readonly value: unknown;
 }
 
-/** A node that can be called. */
+/** A box that can relay calls. */
 export interface StorePeer {
   readonly node: string;
   /** host:port */
   readonly address: string;
 }
 
-/** Port of the links between nodes. */
+/** Port of the connections that relay store calls between boxes. */
 export abstract class StorePeers {
-  /** Sets who answers the calls of peers; called once at start. */
+  /** Installs the handler for peers' calls; called once at the start. */
   abstract listen(
     handler: (call: StoreCall) => Effect.Effect<StoreReply>,
   ): Effect.Effect<void, Errors.ListenError>;
 
-  /** Calls a peer; opens a link where there is none. */
+  /** Calls a peer, connecting to it first if necessary. */
   abstract call(
     peer: StorePeer,
     call: StoreCall,
     timeoutMs: number,
   ): Effect.Effect<StoreReply, Errors.PeerUnreachableError>;
 
-  /** Closes all links. */
+  /** Closes all connections. */
   abstract close(): Effect.Effect<void>;
 }
--- a/packages/ports/src/table_service.ts
+++ b/packages/ports/src/table_service.ts
@@ -4,39 +4,39 @@
 import type * as pages from "./page_ask.ts";
 import type * as failures from "./store_error.ts";
 
-/** A row. Revisions grow over the whole table; 0 means the row is absent. */
+/** A row. Revisions increase over the whole table; 0 means the row is absent. */
 export interface Row {
   readonly key: string;
-  /** Undefined where somebody else wrote the row, so that nobody can read it. */
+  /** Undefined if another program wrote the row in a form that can't be decoded. */
   readonly value: unknown;
   readonly revision: number;
-  /** Id of the transaction that wrote the row last. */
+  /** Id of the last transaction that wrote the row. */
   readonly writeId: string;
 }
 
-/** The row must be at this revision when the transaction runs. */
+/** Requires a row to be at a revision when the transaction runs. */
 export interface RowCondition {
   readonly key: string;
   readonly revision: number;
 }
 
-/** A new value for a row; null removes it. */
+/** A new value for a row; null deletes the row. */
 export interface RowWrite {
   readonly key: string;
   readonly value: unknown;
 }
 
-/** All conditions hold and all writes happen, or nothing happens. */
+/** Writes that take effect together if all conditions hold, or not at all. */
 export interface Transaction {
   readonly writeId: string;
   readonly conditions: readonly RowCondition[];
   readonly writes: readonly RowWrite[];
 }
 
-/** Some of the rows under a prefix. */
+/** One page of the rows under a prefix. */
 export interface RowPage {
   readonly items: readonly Row[];
-  /** Where the next page begins; null after the last one. */
+  /** Start of the next page; null after the last one. */
   readonly next: string | null;
 }
 
@@ -48,28 +48,28 @@
 
 /** Port of the table service. */
 export abstract class TableService {
-  /** Reads rows; absent ones are left out. */
+  /** Reads rows; absent ones are omitted. */
   abstract read(
     keys: readonly string[],
   ): Effect.Effect<readonly Row[], failures.StoreError>;
 
   /**
-   * Asks for next to nothing: does the service answer this box? Where open
-   * connections may have turned silent, it goes over a new one.
+   * Checks with a minimal read that the service responds to this box. Adapters use a
+   * new connection where open ones may have gone dead.
    */
   probe(key: string): Effect.Effect<void, failures.StoreError> {
     return Effect.asVoid(this.read([key]));
   }
 
-  /** Rows whose key starts with a prefix and that are newer than a revision. */
+  /** Reads the rows under a key prefix that are newer than a revision. */
   abstract scan(
     prefix: string,
     afterRevision: number,
   ): Effect.Effect<readonly Row[], failures.StoreError>;
 
   /**
-   * Rows whose key starts with a prefix, a page at a time. A service that has no
-   * pages answers with all of them.
+   * Reads one page of the rows under a key prefix. A service without paging returns
+   * all rows at once.
    */
   scanPage(
     prefix: string,
@@ -79,7 +79,7 @@
     return Effect.map(all, (items) => ({ items, next: null }));
   }
 
-  /** Carries out a transaction; returns the new revision. */
+  /** Executes a transaction; returns the new revision. */
   abstract transact(
     tx: Transaction,
   ): Effect.Effect<number, WriteError>;
--- a/packages/ports/src/task_workers.ts
+++ b/packages/ports/src/task_workers.ts
@@ -1,13 +1,14 @@
 /**
- * Workers that run tasks of workflows under a lease. A worker keeps the highest
- * fencing token that it has seen and does nothing for a lower one.
+ * Endpoints that run tasks of workflows under a lease. An endpoint stores the highest
+ * fencing token that it has seen and refuses orders with a lower one.
  */
 import type * as Errors from "@cairngate/errors";
 import type * as Effect from "effect/Effect";
 
 /**
- * A worker by its id. Its lives may share the id: one may begin again under it, empty,
- * with numbers, clock and fencing token anew. Births tell such lives apart.
+ * Id and address of an endpoint. Several incarnations may follow each other under one
+ * id: each starts empty, with its own end numbers, clock and fencing token. Their birth
+ * times tell them apart.
  */
 export interface EndpointRef {
   readonly id: string;
@@ -15,7 +16,7 @@
   readonly address: string;
 }
 
-/** A worker as the platform's list shows it. */
+/** An endpoint's entry in the platform's list. */
 export interface EndpointListing extends EndpointRef {
   readonly service: string;
   readonly dataCentre: string;
@@ -25,58 +26,59 @@
   readonly memoryMb: number;
   readonly accelerators: number;
   readonly draining: boolean;
-  /** Least time that a draining worker has left; null while it stays. */
+  /** Minimum time until a draining endpoint leaves, in ms; null if not draining. */
   readonly leavesInMs: number | null;
-  /** How much longer it runs slowly, from when it wrote the entry; 0: it is warm. */
+  /** Remaining warm-up time when the entry was written, in ms; 0: it is warm. */
   readonly coldForMs: number;
-  /** The worker's steady clock when it wrote the entry. */
+  /** The endpoint's monotonic clock when it wrote the entry. */
   readonly clockMs: number | null;
-  /** When this life began, in ms since 1970 by its own time of day; null: not told. */
+  /** Birth time by the endpoint's wall clock, in ms since 1970; null: unknown. */
   readonly bornMs: number | null;
 }
 
-/** Names one run of a task. */
+/** Identifies one run of a task. */
 export interface RunRef {
   readonly task: string;
   readonly run: number;
 }
 
-/** Starts a run. */
+/** Order to start a run. */
 export interface StartRun extends RunRef {
   readonly payload: string;
   readonly checkpoint: string;
-  /** Permission of the advice service; null where none is needed. */
+  /** Ticket of the advice service; null if none is needed. */
   readonly ticket: string | null;
   readonly fencingToken: number;
-  /** End of the worker's lease, on the worker's clock. */
+  /** End of the endpoint's lease, on the endpoint's monotonic clock. */
   readonly leaseUntilMs: number;
 }
 
-/** Renews the lease and asks what runs. */
+/** Order to renew the lease and report runs. */
 export interface RenewLease {
   readonly fencingToken: number;
-  /** Null leaves the lease as it is. */
+  /** New end of the lease, on the endpoint's clock; null leaves it unchanged. */
   readonly leaseUntilMs: number | null;
-  /** Ends up to this number are recorded and may be forgotten. */
+  /** Ends up to this number are recorded; the endpoint may delete them. */
   readonly recordedEnds: number;
   /**
-   * Birth of the life that numbered these ends; null: it tells none. Another life is
-   * told of no recorded end: it would forget ends that nobody has read.
+   * Birth time of the incarnation that numbered these ends; null if it reports none.
+   * No recorded ends are sent to another incarnation, because it would delete ends of
+   * its own that have not been read.
    */
   readonly recordedBy: number | null;
-  /** The answer waits this long for an end. */
+  /** Maximum time for which the response waits for an end. */
   readonly waitMs: number;
 }
 
-/** A run that a worker holds. */
+/** A run that an endpoint has not ended yet. */
 export interface HeldRun extends RunRef {
   readonly checkpoint: string;
   readonly percent: number;
-  /** Slowest answers in ms for a serving task, cpu in use for others. */
+  /** Slowest response times in ms for a serving task, CPU in use for others. */
   readonly reading: number | null;
 }
 
-/** The ways a run ends, in the worker's words. */
+/** How a run ended, as reported by the endpoint. */
 export type EndKind =
   | "done"
   | "failed"
@@ -85,19 +87,19 @@
   | "broken"
   | "alone";
 
-/** A run that has ended; numbers rise within one life of a worker. */
+/** A run that has ended; `number` increases within one incarnation. */
 export interface EndedRun extends RunRef {
   readonly number: number;
   readonly how: EndKind;
   readonly checkpoint: string;
 }
 
-/** What a worker holds and what has ended there. */
+/** The state of an endpoint: its current runs and the ends not recorded yet. */
 export interface EndpointView {
   readonly clockMs: number;
-  /** When the life that answers began, as in its entry; null: not told. */
+  /** Birth time of the responding incarnation, as in its listing; null: unknown. */
   readonly bornMs: number | null;
-  /** Up to which number this look has told of recorded ends; 0: of none. */
+  /** Highest end number that this poll sent as recorded; 0: none. */
   readonly toldEnds: number;
   readonly held: readonly HeldRun[];
   readonly ended: readonly EndedRun[];
@@ -109,23 +111,23 @@
   | Errors.WorkerReplacedError
   | Errors.WorkerLostError;
 
-/** Port of the workers. */
+/** Port of the endpoints that run tasks of workflows. */
 export abstract class TaskWorkers {
-  /** Starts a run; the same run again does nothing. Returns its clock. */
+  /** Starts a run; repeating the order has no effect. Returns its clock. */
   abstract start(
     endpoint: EndpointRef,
     order: StartRun,
   ): Effect.Effect<number, OrderError>;
 
-  /** Stops a run; one that has not arrived yet never starts. */
+  /** Stops a run, and refuses a start that arrives later. Returns its clock. */
   abstract stop(
     endpoint: EndpointRef,
     order: RunRef & { readonly fencingToken: number },
   ): Effect.Effect<number, OrderError>;
 
   /**
-   * Renews the lease and reads what runs and what has ended. Where it is not sure
-   * that the life which numbered the recorded ends will answer, it tells of none.
+   * Renews the lease and reads current runs and ends. Sends no recorded ends where
+   * another incarnation than the one that numbered them might receive the order.
    */
   abstract renew(
     endpoint: EndpointRef,
--- a/packages/types/mod.ts
+++ b/packages/types/mod.ts
@@ -1,4 +1,4 @@
-/** Shared data types of cairngate. Every other package may import this one. */
+/** Shared data types, which every other package may import. */
 export * from "./src/config.ts";
 export * from "./src/decision.ts";
 export * from "./src/feature_use.ts";
--- a/packages/types/src/config.ts
+++ b/packages/types/src/config.ts
@@ -1,4 +1,4 @@
-/** Operators' files: racks, cells, teams, services. */
+/** Contents of operators' files: racks, cells, teams and services. */
 import type * as job from "./job.ts";
 
 /** One worker of a rack. */
@@ -9,14 +9,14 @@
   readonly accelerators: number;
 }
 
-/** A rack: up to 8 workers that are adjacent. */
+/** A rack of up to 8 adjacent workers. */
 export interface RackSpec {
   readonly name: string;
   readonly dataCentre: string;
   readonly workers: readonly WorkerSpec[];
 }
 
-/** A set of racks that one box decides for. */
+/** A set of racks scheduled by one box. */
 export interface CellSpec {
   readonly name: string;
   readonly racks: readonly string[];
@@ -24,21 +24,21 @@
 
 /** Blocks of one size within a team's guaranteed shape. */
 export interface BlockSpec {
-  /** 1, 2, 4 or 8 lie in one worker; 16, 32 or 64 in one rack. */
+  /** Blocks of 1, 2, 4 or 8 fit in one worker; 16, 32 or 64 need one rack. */
   readonly accelerators: number;
   readonly count: number;
 }
 
-/** A paying team. */
+/** A team with its guarantee and its limits. */
 export interface TeamSpec {
   readonly name: string;
   readonly tier: job.Tier;
   readonly guarantee: readonly BlockSpec[];
-  /** The cell that keeps the guarantee and runs the team's jobs. */
+  /** The cell that provides the guarantee and runs the team's jobs. */
   readonly cell: string;
-  /** Most accelerators the team may use at once. */
+  /** Maximum number of accelerators that the team may use at once. */
   readonly quota: number;
-  /** Most short jobs the team may have waiting. */
+  /** Maximum number of the team's waiting short jobs. */
   readonly waitingLimit: number;
 }
 
@@ -57,13 +57,13 @@
   readonly deadlineSeconds: number | null;
 }
 
-/** What the operator cares for most; both weights are 0 to 1. */
+/** Weights of the scheduling objectives, each 0 to 1. */
 export interface Weighting {
   readonly completionTime: number;
   readonly fragmentation: number;
 }
 
-/** A whole operators' file. */
+/** A complete operators' file. */
 export interface DeploymentConfig {
   readonly name: string;
   readonly weighting: Weighting;
@@ -73,7 +73,7 @@
   readonly services: readonly ServiceSpec[];
 }
 
-/** A configuration in force, with its place in the history. */
+/** A version of the configuration in its history. */
 export interface ConfigVersion {
   readonly version: number;
   readonly hash: string;
--- a/packages/types/src/decision.ts
+++ b/packages/types/src/decision.ts
@@ -1,7 +1,7 @@
-/** What the scheduler decides, as plain data. */
+/** Decisions of the scheduler, as plain data. */
 import type * as job from "./job.ts";
 
-/** Where one member of a job runs. */
+/** The accelerators on which one member of a job runs. */
 export interface Slot {
   /** Index of the worker in the cell. */
   readonly worker: number;
@@ -9,22 +9,22 @@
   readonly mask: number;
 }
 
-/** On what ground a job holds its accelerators. */
+/** Whether a job's accelerators are covered by its team's guarantee. */
 export enum Entitlement {
-  /** Inside its team's guaranteed shape. */
+  /** Within its team's guaranteed shape. */
   Guaranteed = "guaranteed",
-  /** On capacity that nobody has claimed; it may have to yield. */
+  /** On spare capacity; the job may be preempted. */
   Opportunistic = "opportunistic",
 }
 
-/** Kinds of decisions. */
+/** Kinds of scheduling decisions. */
 export enum DecisionKind {
   Start = "start",
   Preempt = "preempt",
   Expire = "expire",
 }
 
-/** Run this job on these slots now. */
+/** Starts a job on the given slots. */
 export interface StartDecision {
   readonly kind: DecisionKind.Start;
   readonly jobId: string;
@@ -32,24 +32,24 @@
   readonly entitlement: Entitlement;
 }
 
-/** Checkpoint and stop this job so that another can start. */
+/** Checkpoints and stops a job so that another one can start. */
 export interface PreemptDecision {
   readonly kind: DecisionKind.Preempt;
   readonly jobId: string;
-  /** The job that gains from it; null where a rack is made whole. */
+  /** The job that needs the capacity; null if a rack is defragmented. */
   readonly claimant: string | null;
 }
 
-/** The deadline passed while the job waited; it never ran. */
+/** Ends a job that never ran, because its deadline passed while it waited. */
 export interface ExpireDecision {
   readonly kind: DecisionKind.Expire;
   readonly jobId: string;
 }
 
-/** One decision. */
+/** Any scheduling decision. */
 export type Decision = StartDecision | PreemptDecision | ExpireDecision;
 
-/** Why something happened to a job, or why it waits. */
+/** Kinds of events in a job's history, and kinds of reasons why it waits. */
 export enum ReasonKind {
   Submitted = "submitted",
   PlacedGuaranteed = "placed-guaranteed",
@@ -68,14 +68,14 @@
   WaitsForVictims = "waits-for-victims",
 }
 
-/** One line of a job's history or one reason why it waits. */
+/** One event in a job's history or one reason why it waits. */
 export interface Reason {
   readonly kind: ReasonKind;
   readonly atMs: number;
   readonly detail: string;
 }
 
-/** A job's explanation, readable in one screen. */
+/** The state of a job with its history and the reasons why it waits. */
 export interface Explanation {
   readonly jobId: string;
   readonly team: string;
--- a/packages/types/src/feature_use.ts
+++ b/packages/types/src/feature_use.ts
@@ -1,22 +1,22 @@
-/** Whether a feature that a deployment may ask for is used. */
+/** Modes of optional features of a deployment. */
 
-/** Use of a feature. */
+/** Mode of an optional feature. */
 export enum FeatureUse {
   Off = "off",
-  /** Used while the configuration, or what is seen of the fleet, calls for it. */
+  /** Enabled while the configuration or the observed load requires it. */
   Auto = "auto",
   On = "on",
 }
 
-/** Features for hard load, as an operator sets them. */
+/** Modes of the features for hard load, as set by an operator. */
 export interface HardLoadSettings {
-  /** Teams of very different size compete for too little room. */
+  /** For teams of very different sizes that compete for scarce capacity. */
   readonly competingTeams: FeatureUse;
-  /** Endpoints differ much in speed. */
+  /** For endpoints of very different speeds. */
   readonly unevenEndpoints: FeatureUse;
 }
 
-/** No feature for hard load is used. */
+/** Settings with all features for hard load disabled. */
 export const HARD_LOAD_OFF: HardLoadSettings = {
   competingTeams: FeatureUse.Off,
   unevenEndpoints: FeatureUse.Off,
--- a/packages/types/src/job.ts
+++ b/packages/types/src/job.ts
@@ -1,6 +1,6 @@
-/** Jobs as callers submit them and as boxes keep them. */
+/** Jobs as callers submit them and as boxes store them. */
 
-/** Priority tiers, highest first in `TIER_ORDER`. */
+/** Priority tiers; `TIER_ORDER` gives their order. */
 export enum Tier {
   Urgent = "urgent",
   Standard = "standard",
@@ -14,27 +14,27 @@
   Tier.Batch,
 ];
 
-/** Rank of a tier: 0 is the highest priority. */
+/** Returns the rank of a tier; 0 is the highest priority. */
 export function rankTier(tier: Tier): number {
   return TIER_ORDER.indexOf(tier);
 }
 
-/** How close together the members of a job must lie. */
+/** How close together the members of a job must be placed. */
 export enum Adjacency {
   Any = "any",
   Worker = "worker",
   Rack = "rack",
 }
 
-/** How a service's jobs reach their caller. */
+/** How the results of a service's jobs reach their caller. */
 export enum ServiceKind {
-  /** The caller's connection is held until the answer. */
+  /** The caller's connection stays open until the result is sent. */
   Short = "short",
   /** The job is stored before it is accepted. */
   Long = "long",
 }
 
-/** Where a job is in its life. */
+/** State of a job. */
 export enum JobState {
   Waiting = "waiting",
   Claiming = "claiming",
@@ -61,14 +61,14 @@
   return FINAL_STATES.has(state);
 }
 
-/** The three outcomes a caller can be told. */
+/** Outcomes that are reported to callers. */
 export enum OutcomeKind {
   Done = "done",
   NotRun = "not-run",
   Unknown = "unknown",
 }
 
-/** What the scheduler needs to know of a job. Times are in milliseconds. */
+/** The properties of a job that the scheduler uses. Times are in milliseconds. */
 export interface JobShape {
   readonly id: string;
   readonly team: string;
@@ -79,49 +79,49 @@
   /** Number of members; 1 for a job that is not a gang. */
   readonly gang: number;
   readonly adjacency: Adjacency;
-  /** Estimated run time; null where unknown. */
+  /** Estimated run time; null if unknown. */
   readonly estimateMs: number | null;
   readonly repeatable: boolean;
-  /** Checkpoint interval; null where the job cannot checkpoint. */
+  /** Checkpoint interval; null if the job cannot checkpoint. */
   readonly checkpointMs: number | null;
   readonly submittedAtMs: number;
-  /** Wall-clock time after which an answer is of no use; null for none. */
+  /** Wall-clock time after which the result is useless; null for none. */
   readonly deadlineAtMs: number | null;
 }
 
-/** A job with the work it carries. */
+/** A job with its work and its input. */
 export interface Job extends JobShape {
   readonly kind: ServiceKind;
   readonly cell: string;
-  /** Name of the work that workers do on the input. */
+  /** Name of the operation that workers apply to the input. */
   readonly work: string;
   readonly input: unknown;
   readonly idempotencyKey: string | null;
-  /** Hash of what was asked for; a key stands for one request only. */
+  /** Hash of the request, to detect an idempotency key reused for another request. */
   readonly digest: string;
 }
 
-/** The durable record of a job, as kept in the table service. */
+/** The durable record of a job in the table service. */
 export interface JobRecord {
   readonly job: Job;
   readonly state: JobState;
   readonly attempt: string | null;
   readonly workers: readonly string[];
   readonly result: unknown;
-  /** Object-store key of a result too large for a row; null otherwise. */
+  /** Object-store key of a result that is too large for a row; null otherwise. */
   readonly resultObject: string | null;
   readonly reason: string | null;
   readonly updatedAtMs: number;
 }
 
-/** The final answer to a caller. */
+/** The final response to a caller. */
 export interface Outcome {
   readonly kind: OutcomeKind;
   readonly jobId: string;
   readonly attempt: string | null;
   readonly result: unknown;
-  /** Why the job did not run or is unknown; null when done. */
+  /** Why the job did not run or its outcome is unknown; null when done. */
   readonly reason: string | null;
-  /** When to come back, in seconds; null when it makes no sense. */
+  /** Delay before a retry, in seconds; null if a retry is pointless. */
   readonly retryAfterSeconds: number | null;
 }
--- a/packages/types/src/peer.ts
+++ b/packages/types/src/peer.ts
@@ -1,14 +1,14 @@
 /** Messages between boxes. */
 import type * as job from "./job.ts";
 
-/** Which box owns a cell, under which epoch. */
+/** A box's claim to own a cell under an epoch. */
 export interface OwnerClaim {
   readonly cell: string;
   readonly epoch: number;
   readonly holder: string;
 }
 
-/** State of a box as it tells its peers. */
+/** State of a box as reported to its peers. */
 export enum BoxState {
   Starting = "starting",
   Live = "live",
@@ -28,25 +28,25 @@
   CellStatus = "cell-status",
 }
 
-/** Sent at a fixed interval on every link. */
+/** Message sent at a fixed interval on every connection. */
 export interface Heartbeat {
   readonly kind: PeerKind.Heartbeat;
   readonly box: string;
   readonly state: BoxState;
   readonly configVersion: number;
   readonly owners: readonly OwnerClaim[];
-  /** Owners this box has heard from lately. */
+  /** Owners from which this box has recently received heartbeats. */
   readonly hears: readonly string[];
-  /** Workers this box knows to be leaving. */
+  /** Workers that are leaving, as far as this box has been informed. */
   readonly leavingWorkers: readonly string[];
 }
 
-/** Asks a peer for its configuration. */
+/** Requests a peer's configuration. */
 export interface FetchConfig {
   readonly kind: PeerKind.FetchConfig;
 }
 
-/** Asks the owner where a short job may run; answered when decided. */
+/** Requests a placement for a short job; the reply follows once it is decided. */
 export interface Place {
   readonly kind: PeerKind.Place;
   readonly cell: string;
@@ -56,33 +56,33 @@
   readonly waitMs: number;
 }
 
-/** Tells the owner that a granted attempt has ended. */
+/** Reports the end of a granted attempt to the owner. */
 export interface Released {
   readonly kind: PeerKind.Released;
   readonly cell: string;
   readonly jobId: string;
   readonly attempt: string;
   readonly ran: boolean;
-  /** The task may still occupy its slots: look before reusing them. */
+  /** The task may still occupy its slots, which must be checked before reuse. */
   readonly uncertain: boolean;
 }
 
-/** What the owner knows of a released attempt. */
+/** The owner's state of a released attempt. */
 export interface ReleasedReply {
-  /** False: proved never to have run; null: not known. */
+  /** False: proven never to have run; null: unknown. */
   readonly ran: boolean | null;
-  /** Whether the attempt finished, with its result. */
+  /** Whether the attempt finished; `result` is set then. */
   readonly finished: boolean;
   readonly result: unknown;
 }
 
-/** Tells the owner that a stored job exists. */
+/** Informs the owner of a stored job. */
 export interface Enqueue {
   readonly kind: PeerKind.Enqueue;
   readonly cell: string;
 }
 
-/** Asks the owner for a stored job's record; waits for its end if asked. */
+/** Requests a stored job's record; waits up to `waitMs` for its end. */
 export interface JobStatus {
   readonly kind: PeerKind.JobStatus;
   readonly cell: string;
@@ -90,27 +90,27 @@
   readonly waitMs: number;
 }
 
-/** Asks the owner to cancel a job. */
+/** Requests the owner to cancel a job. */
 export interface Cancel {
   readonly kind: PeerKind.Cancel;
   readonly cell: string;
   readonly jobId: string;
 }
 
-/** Asks the owner to explain a job. */
+/** Requests the explanation of a job from the owner. */
 export interface Explain {
   readonly kind: PeerKind.Explain;
   readonly cell: string;
   readonly jobId: string;
 }
 
-/** Asks the owner for the state of its cell. */
+/** Requests the state of a cell from its owner. */
 export interface CellStatusRequest {
   readonly kind: PeerKind.CellStatus;
   readonly cell: string;
 }
 
-/** Any request from box to box. */
+/** Any request between boxes. */
 export type PeerRequest =
   | Heartbeat
   | FetchConfig
@@ -122,7 +122,7 @@
   | Explain
   | CellStatusRequest;
 
-/** Kinds of an owner's reply to `Place`. */
+/** Kinds of replies to `Place`. */
 export enum GrantKind {
   Granted = "granted",
   NotRun = "not-run",
@@ -141,7 +141,7 @@
   readonly retryAfterSeconds: number | null;
 }
 
-/** A reply to `Place` that says: not run. */
+/** Creates a reply to `Place` for a job that was not run. */
 export function createRefusal(
   jobId: string,
   reason: string,
@@ -163,7 +163,10 @@
 /** State of one rack, as shown to operators. */
 export interface RackStatus {
   readonly name: string;
-  /** One text for each worker: `.` free, `g` guaranteed, `o` opportunistic, `x` unavailable. */
+  /**
+   * A string for each worker with one character per accelerator: `.` free,
+   * `g` guaranteed, `o` opportunistic, `x` unavailable.
+   */
   readonly workers: readonly string[];
 }
 
@@ -179,7 +182,7 @@
   readonly shortfall: number;
 }
 
-/** State of a cell, as its owner sees it. */
+/** State of a cell, as reported by its owner. */
 export interface CellStatus {
   readonly cell: string;
   readonly owner: string;
@@ -194,7 +197,7 @@
   readonly fragmentation: readonly BlockFragmentation[];
 }
 
-/** Share of free accelerators that lies outside whole free blocks. */
+/** Share of the free accelerators that lie outside complete free blocks of a size. */
 export interface BlockFragmentation {
   readonly block: number;
   readonly value: number;
--- a/packages/types/src/worker.ts
+++ b/packages/types/src/worker.ts
@@ -17,13 +17,13 @@
   readonly rank: number;
 }
 
-/** Part of every order: which cell sends it, under which epoch. */
+/** Sender of an order: the cell and its epoch. */
 export interface Fence {
   readonly cell: string;
   readonly epoch: number;
 }
 
-/** Asks a worker to set accelerators aside for a task. */
+/** Order to reserve accelerators for a task. */
 export interface HoldOrder extends TaskKey {
   readonly fence: Fence;
   readonly team: string;
@@ -37,46 +37,46 @@
   readonly checkpointMs: number | null;
   /** Progress of an earlier attempt, 0 to 1. */
   readonly progress: number;
-  /** A hold that is not started within this time is dropped. */
+  /** A hold is released if the task is not started within this time. */
   readonly holdMs: number;
-  /** A running task whose lease is not renewed for this time is stopped. */
+  /** A running task is stopped if its lease is not renewed within this time. */
   readonly leaseMs: number;
-  /** Box and request that wait for the answer; null for stored jobs. */
+  /** Box and request that wait for the result; null for stored jobs. */
   readonly caller: CallerRef | null;
   readonly spec: job.JobShape | null;
 }
 
-/** The box and the request that an answer belongs to. */
+/** The box and the request to which a result belongs. */
 export interface CallerRef {
   readonly box: string;
   readonly request: string;
 }
 
-/** Asks a worker to start a held task, or to stop one. */
+/** Order that refers to a held or running task. */
 export interface TaskOrder extends TaskKey {
   readonly fence: Fence;
 }
 
-/** Asks a worker to stop a task. */
+/** Order to stop a task. */
 export interface StopOrder extends TaskOrder {
-  /** Save progress first. */
+  /** Whether to save a checkpoint first. */
   readonly checkpoint: boolean;
 }
 
-/** What a worker says of a stop. */
+/** A worker's reply to a stop. */
 export interface StopReply {
-  /** False when the task never started and now never will. */
+  /** False if the task has never started and can't start any more. */
   readonly ran: boolean;
-  /** The task had finished before the stop arrived. */
+  /** Whether the task had finished before the stop arrived. */
   readonly finished: boolean;
   readonly progress: number;
   /** The result of a finished task. */
   readonly result: unknown;
-  /** A worker that has restarted does not know what ran before. */
+  /** Changes when the worker restarts, which loses its record of earlier tasks. */
   readonly bootId: string;
 }
 
-/** A task as a worker reports it. */
+/** State of a task, as reported by its worker. */
 export interface TaskReport extends TaskKey {
   readonly state: TaskState;
   readonly epoch: number;
@@ -90,7 +90,7 @@
   readonly spec: job.JobShape | null;
 }
 
-/** Everything a worker holds, read back on a seal. */
+/** All tasks of a worker, returned when a new epoch fences off lower ones. */
 export interface Inventory {
   readonly worker: string;
   /** Changes whenever the worker restarts. */
@@ -100,27 +100,27 @@
   readonly tasks: readonly TaskReport[];
 }
 
-/** Tasks that changed since a version; answered late when nothing changed. */
+/** Tasks that changed since a version; the response is delayed until one does. */
 export interface WorkerReport {
   readonly worker: string;
   readonly bootId: string;
   readonly leaving: boolean;
   readonly version: number;
   readonly changed: readonly TaskReport[];
-  /** Accelerators in use, as measured some time ago. */
+  /** Accelerators in use at the worker's last measurement. */
   readonly usage: number;
 }
 
-/** A long poll for changes; renews the leases of the cell's tasks. */
+/** Long poll for changed tasks; also renews the leases of the cell's tasks. */
 export interface ReportRequest {
   readonly fence: Fence;
   readonly sinceVersion: number;
   readonly waitMs: number;
-  /** Finished tasks the owner has recorded; the worker may forget them. */
+  /** Finished tasks that the owner has recorded; the worker may delete them. */
   readonly acknowledged: readonly TaskKey[];
 }
 
-/** Answer of a finished task. */
+/** Result of a finished task. */
 export interface TaskAnswer extends TaskKey {
   readonly state: TaskState;
   readonly result: unknown;
--- a/tools/ceiling/bin.ts
+++ b/tools/ceiling/bin.ts
@@ -1,22 +1,22 @@
-/** `npm run ceiling`. */
+/** Prints the upper bound of a bench report's score: `npm run ceiling`. */
 import * as Clipanion from "clipanion";
 import * as fs from "node:fs";
 import process from "node:process";
 import * as ceilings from "./mod.ts";
 
-/** The users' callers go on for 3 s (their `deadline ms`). */
+/** The users' callers retry for 3 s (their `deadline ms`). */
 const DEFAULT_PATIENCE_S = "3";
-/** Exit code for an argument or a file that is not valid, as of `cairngate`. */
+/** Exit code for an invalid argument or file, as in `cairngate`. */
 const EXIT_BAD_INPUT = 2;
 
 class CeilingCommand extends Clipanion.Command {
   static override paths = [Clipanion.Command.Default];
   static override usage = Clipanion.Command.Usage({
-    description: "Print the most that a played day could have earned",
-    examples: [["A report of the bench", "npm run ceiling -- report.json"]],
+    description: "Print the highest score that a simulated day allowed",
+    examples: [["Evaluate a bench report", "npm run ceiling -- report.json"]],
   });
   patience = Clipanion.Option.String("--patience", DEFAULT_PATIENCE_S, {
-    description: "Seconds for which a caller goes on asking",
+    description: "Seconds for which a caller retries a request",
   });
   json = Clipanion.Option.Boolean("--json", false);
   file = Clipanion.Option.String();
@@ -24,7 +24,9 @@
   override execute(): Promise<number> {
     const patienceS = Number(this.patience);
     if (!(patienceS > 0)) {
-      this.context.stderr.write("--patience takes seconds above 0.\n");
+      this.context.stderr.write(
+        "--patience must be a number of seconds above 0.\n",
+      );
       return Promise.resolve(EXIT_BAD_INPUT);
     }
     try {
@@ -47,7 +49,7 @@
     const share = (bound.lostShare * 100).toFixed(1);
     stdout.write(
       `earned ${report.worth.toFixed(3)}, at most ${bound.worth.toFixed(3)}; ` +
-        `${share}% of the requests could not be kept by anybody\n`,
+        `${share}% of the requests could not be served by any policy\n`,
     );
     for (const { name, earned } of report.parts) {
       const limit = bound.parts[name].toFixed(3);
--- a/tools/ceiling/mod.ts
+++ b/tools/ceiling/mod.ts
@@ -1,4 +1,4 @@
-/** The ceiling of a played day. */
+/** Upper bound of the score of a simulated day. */
 export {
   type Bound,
   computeBound,
--- a/tools/ceiling/src/ceiling.ts
+++ b/tools/ceiling/src/ceiling.ts
@@ -1,4 +1,4 @@
-/** An upper bound of what a played day could have earned; see README. */
+/** Computes an upper bound of the score of a simulated day; see README. */
 import type * as reports from "./day_report.ts";
 
 /** A span of time, in seconds from the start of traffic. */
@@ -7,37 +7,37 @@
   readonly toS: number;
 }
 
-/** What could have been earned. */
+/** Upper bound of a day's score. */
 export interface Bound {
-  /** Share of the requests that nobody could have kept. */
+  /** Share of the requests that no policy could have served. */
   readonly lostShare: number;
-  /** Most that the mark of the day could have been. */
+  /** Upper bound of the day's score. */
   readonly worth: number;
-  /** The same by part of the mark, before prices. */
+  /** Upper bound of each part of the score, before deductions. */
   readonly parts: Readonly<Record<string, number>>;
-  /** Prices that no policy avoids. */
+  /** Sum of the deductions that no policy can avoid. */
   readonly prices: number;
 }
 
-/** What the bound assumes. */
+/** Assumptions of the bound. */
 export interface BoundOptions {
-  /** How long a caller goes on asking for one request, in s. */
+  /** How long a caller retries one request, in s. */
   readonly patienceS: number;
 }
 
-/** Windows that count as the worst ones. */
+/** Number of windows that count as the worst ones. */
 const WORST_WINDOW_COUNT = 2;
-/** The share that is not served counts by its logarithm, over three nines. */
+/** The unserved share is scored by its logarithm; three nines score 1. */
 const MAX_NINES = 3;
-/** Boxes of a role that all start again are back after this, in s. */
+/** Time until the boxes of a role respond again after all restart at once, in s. */
 const RESTART_S = 0.5;
-/** Prices of boxes that are there whatever is decided. */
+/** Deductions for resources that the boxes use under any policy. */
 const UNAVOIDABLE_PRICES: readonly string[] = [
   "machine-seconds",
   "memory, GB x seconds",
 ];
 
-/** Times in which no request could be kept. */
+/** Returns the spans in which no request could be served. */
 export function findOutages(events: readonly reports.DayEvent[]): Span[] {
   return events.flatMap(({ kind, fromS, toS }): Span[] => {
     const [name, detail = ""] = kind.split(" (");
@@ -48,7 +48,7 @@
   });
 }
 
-/** The bound of a day. */
+/** Computes the upper bound of a day's score. */
 export function computeBound(
   report: reports.DayReport,
   { patienceS }: BoundOptions,
@@ -90,7 +90,7 @@
   return Math.min(1, -Math.log10(lost.lostShare) / MAX_NINES);
 }
 
-/** Share of a window that lies in any of the spans, which do not overlap. */
+/** Returns the share of a window covered by the spans, which must not overlap. */
 function lostShareOf(
   { fromS, lengthS }: reports.DayWindow,
   spans: readonly Span[],
--- a/tools/ceiling/src/ceiling_test.ts
+++ b/tools/ceiling/src/ceiling_test.ts
@@ -1,4 +1,4 @@
-/** The bound of a day. */
+/** Upper bounds of the scores of days, and the parsing of reports. */
 import * as vitest from "vitest";
 import * as ceilings from "./ceiling.ts";
 import * as reports from "./day_report.ts";
@@ -33,14 +33,14 @@
 });
 
 vitest.describe("the bound of a day", () => {
-  vitest.it("is all but the boxes where nothing was out", () => {
+  vitest.it("without outages only deducts the use of the boxes", () => {
     const bound = ceilings.computeBound(buildReport([]), PATIENCE);
     vitest.expect(bound.lostShare).toBe(0);
     vitest.expect(bound.worth).toBeCloseTo(0.98);
   });
 
-  vitest.it("leaves out who gives up before an outage ends", () => {
-    // Out from 2 to 6 s: who came from 2 to 3 s has left by 6 s.
+  vitest.it("excludes callers that give up before an outage ends", () => {
+    // The outage lasts from 2 to 6 s: callers from 2 to 3 s have given up by 6 s.
     const report = buildReport([down(2, 6, " (silent)")]);
     const bound = ceilings.computeBound(report, PATIENCE);
     vitest.expect(bound.lostShare).toBeCloseTo(0.1);
@@ -50,7 +50,7 @@
     vitest.expect(bound.worth).toBeCloseTo(earned - 0.02);
   });
 
-  vitest.it("does not count what is out in part, or for a short time", () => {
+  vitest.it("ignores partial and short outages", () => {
     const events = [down(2, 9, " (nodes busy)"), down(2, 4.5)];
     const bound = ceilings.computeBound(buildReport(events), PATIENCE);
     vitest.expect(bound.lostShare).toBe(0);
@@ -58,7 +58,7 @@
 });
 
 vitest.describe("a report", () => {
-  vitest.it("is read from the bench's own words", () => {
+  vitest.it("is read from the format of the bench", () => {
     const text = JSON.stringify({
       G: 0.5,
       parts: [["nines", 0.35, 0.4]],
@@ -76,7 +76,7 @@
   });
 
   for (const text of ["{", "null", "{}", '{"G":1,"parts":3}']) {
-    vitest.it(`has to be one: ${text}`, () => {
+    vitest.it(`is rejected if malformed: ${text}`, () => {
       vitest.expect(() => reports.readReport(text))
         .toThrow(reports.MalformedReport);
     });
--- a/tools/ceiling/src/day_report.ts
+++ b/tools/ceiling/src/day_report.ts
@@ -1,6 +1,6 @@
-/** The parts of a bench report that the bound needs. */
+/** Parses the parts of a bench report that the bound uses. */
 
-/** Something that happened on the day. */
+/** An event of a day, such as an outage. */
 export interface DayEvent {
   readonly kind: string;
   /** Seconds from the start of traffic. */
@@ -8,15 +8,15 @@
   readonly toS: number;
 }
 
-/** Requests handed in during one span of time. */
+/** Requests submitted during one span of time. */
 export interface DayWindow {
   readonly fromS: number;
   readonly lengthS: number;
-  /** Requests that could earn something. */
+  /** Number of requests that count for the score. */
   readonly owed: number;
 }
 
-/** One part of the mark of a day. */
+/** One part of the score of a day. */
 export interface DayPart {
   readonly name: string;
   readonly weight: number;
@@ -24,13 +24,13 @@
   readonly earned: number;
 }
 
-/** One price, as taken off the mark. */
+/** One deduction from the score. */
 export interface DayPrice {
   readonly name: string;
   readonly deducted: number;
 }
 
-/** A played day. */
+/** Results of a simulated day. */
 export interface DayReport {
   readonly worth: number;
   readonly parts: readonly DayPart[];
@@ -39,14 +39,14 @@
   readonly events: readonly DayEvent[];
 }
 
-/** A text that is no report of a day. */
+/** The text is not a valid report of a day. */
 export class MalformedReport extends Error {
   readonly _tag = "MalformedReport";
 
-  constructor(what: string) {
+  constructor(fault: string) {
     super(
-      `This is no report of a day: ${what}. ` +
-        "Give the file that --report of the bench has written.",
+      `This is not a valid report of a day: ${fault}. ` +
+        "Use the file written by --report of the bench.",
     );
   }
 }
@@ -70,7 +70,7 @@
   }[];
 }
 
-/** Reads the text of a report. */
+/** Parses a report; throws `MalformedReport`. */
 export function readReport(text: string): DayReport {
   const wire = parse(text);
   return {
@@ -102,11 +102,11 @@
     throw new MalformedReport(`it is not JSON (${String(err)})`);
   }
   const wire = value as Partial<WireReport> | null;
-  if (typeof wire?.G !== "number") throw new MalformedReport("it has no mark");
+  if (typeof wire?.G !== "number") throw new MalformedReport("it has no G");
   const lists = ["parts", "prices", "windows", "events"] as const;
   for (const name of lists) {
     if (!Array.isArray(wire[name])) {
-      throw new MalformedReport(`${name} is no list`);
+      throw new MalformedReport(`${name} is not a list`);
     }
   }
   return wire as WireReport;
--- a/tools/decisions/bin.ts
+++ b/tools/decisions/bin.ts
@@ -1,19 +1,22 @@
-/** `npm run decisions`. */
+/** Simulates loads and prints scores: `npm run decisions`. */
 import * as Clipanion from "clipanion";
 import process from "node:process";
 import * as decisions from "./mod.ts";
 
-/** Exit code for an argument that is not valid, as of `cairngate`. */
+/** Exit code for an invalid argument, as in `cairngate`. */
 const EXIT_BAD_INPUT = 2;
 
 class DecisionsCommand extends Clipanion.Command {
   static override paths = [Clipanion.Command.Default];
   static override usage = Clipanion.Command.Usage({
-    description: "Play loads against the planner and print what callers got",
-    examples: [["Two loads", "npm run decisions -- even small --seeds 6"]],
+    description: "Simulate loads against the planner and print scores",
+    examples: [[
+      "Simulate two loads",
+      "npm run decisions -- even small --seeds 6",
+    ]],
   });
   seeds = Clipanion.Option.String("--seeds", "4", {
-    description: "Seeds of each load, from 1 on",
+    description: "Number of seeds for each load, starting at 1",
   });
   names = Clipanion.Option.Rest();
 
@@ -26,7 +29,7 @@
     if (unknown !== undefined || !Number.isInteger(seeds) || seeds < 1) {
       const loadNames = [...decisions.LOADS.keys()].join(", ");
       this.context.stderr.write(
-        `Takes loads (${loadNames}) and --seeds of 1 and more.\n`,
+        `Expected names of loads (${loadNames}) and --seeds of at least 1.\n`,
       );
       return Promise.resolve(EXIT_BAD_INPUT);
     }
@@ -34,7 +37,7 @@
     return Promise.resolve(0);
   }
 
-  /** One line of JSON a play, for comparisons. */
+  /** Prints one line of JSON for each simulation. */
   #simulate(name: string, seeds: number): void {
     const load = decisions.LOADS.get(name);
     if (load === undefined) return;
--- a/tools/decisions/src/draw.ts
+++ b/tools/decisions/src/draw.ts
@@ -1,25 +1,25 @@
-/** Draws the workflows of a load. */
+/** Generates the random workflows of a load. */
 import * as Workflow from "@cairngate/workflow";
 import * as Float from "pure-rand/distribution/uniformFloat64";
 import * as Xoroshiro from "pure-rand/generator/xoroshiro128plus";
 import type * as loads from "./load.ts";
 
-/** A workflow that will be handed in. */
+/** A workflow and the time of its submission. */
 export interface Arrival {
   readonly atMs: number;
   readonly workflow: Workflow.Workflow;
   readonly queue: loads.QueueLoad;
-  /** True times of the tasks near their data, by key. */
+  /** Actual run times of the tasks near their data, by key. */
   readonly runMs: ReadonlyMap<string, number>;
-  /** Time by which the caller wants it, by its true times, in ms. */
+  /** Maximum time to completion that the caller accepts, by actual run times. */
   readonly objectiveMs: number;
-  /** What it is worth in time. */
+  /** Value if completed within the objective. */
   readonly worth: number;
   /** Core-seconds of all tasks; accelerators count as eight cores. */
   readonly work: number;
 }
 
-/** Numbers that repeat for a seed. */
+/** Random numbers that are reproducible from a seed. */
 export class SeededRandom {
   readonly #generator: ReturnType<typeof Xoroshiro.xoroshiro128plus>;
 
@@ -27,38 +27,38 @@
     this.#generator = Xoroshiro.xoroshiro128plus(seed);
   }
 
-  /** At least 0, below 1. */
+  /** Returns a number from 0 (inclusive) to 1 (exclusive). */
   next(): number {
     return Float.uniformFloat64(this.#generator);
   }
 
-  /** Time to the next of events that come at random, in ms. */
+  /** Returns the time between two events of a Poisson process, in ms. */
   sampleGapMs(perSecond: number): number {
     return -Math.log(1 - this.next()) / perSecond * 1000;
   }
 
-  /** About a mean, mostly within a share of it. */
+  /** Returns a value around a mean, mostly within the share `spread` of it. */
   sampleAround(mean: number, spread: number, max: number): number {
     const sum = this.next() + this.next() + this.next() - 1.5;
     return Math.min(max, Math.max(mean * 0.1, mean * (1 + spread * 2 * sum)));
   }
 
-  /** Many small ones and few large ones. */
+  /** Returns a rounded exponential value from 1 to `max`. */
   sampleWidth(mean: number, max: number): number {
     const drawn = Math.ceil(-Math.log(1 - this.next()) * mean);
     return Math.min(max, Math.max(1, drawn));
   }
 
-  /** One of some things. */
+  /** Returns one element with equal probability. */
   choose<T>(from: readonly T[]): T {
     return from[Math.floor(this.next() * from.length)];
   }
 }
 
-/** Weight of an accelerator in core-seconds, as the users count it. */
+/** Weight of an accelerator in cores, as counted by the users. */
 export const ACCELERATOR_WEIGHT = 8;
 
-/** All workflows that come within a time. */
+/** Generates all workflows submitted within a time. */
 export function drawArrivals(
   load: loads.Load,
   seed: number,
@@ -73,7 +73,7 @@
     ) * (1 + (load.wave?.swing ?? 0));
     let atMs = draws.sampleGapMs(queue.perSecond * peak);
     while (atMs < lengthMs) {
-      // Thinned from the highest rate, so that a burst changes no other draw.
+      // Thinned from the highest rate, so that bursts don't change other random values.
       const isKept = draws.next() < rateAt(load, queue, atMs) / peak;
       if (isKept) drawn.push(drawArrival({ load, queue, draws, atMs }));
       atMs += draws.sampleGapMs(queue.perSecond * peak);
@@ -101,7 +101,7 @@
     .reduce((rate, { factor }) => rate * factor, waveFactor);
 }
 
-/** The share that each team has of all guarantees and of all work. */
+/** Returns the share of each team in all guarantees and in all work. */
 export function teamShares(load: loads.Load): readonly number[] {
   const skew = load.teamSkew ?? 0;
   const weights = Array.from(
@@ -114,7 +114,7 @@
 
 function drawTeam(load: loads.Load, draws: SeededRandom): string {
   const drawn = draws.next();
-  // A few teams are large.
+  // Squaring gives a few teams most of the work.
   if (load.teamSkew === undefined) {
     return teamName(Math.floor(load.teams * drawn ** 2));
   }
@@ -127,7 +127,7 @@
   return teamName(load.teams - 1);
 }
 
-/** Name of a load's team. */
+/** Returns the name of the i-th team. */
 export function teamName(i: number): string {
   return `team-${i}`;
 }
@@ -210,7 +210,7 @@
   return tail.factor;
 }
 
-/** Callers ask for one rack only where an empty one would do. */
+/** Whether an empty rack fits the step; callers request one rack only then. */
 function fitsOneRack(
   load: loads.Load,
   queue: loads.QueueLoad,
@@ -224,7 +224,7 @@
   return step.count <= tasksPerEndpoint * load.rackSize;
 }
 
-/** Larger workflows are worth more, up to four times the usual one. */
+/** Scales the worth by the work, to at most four times the queue's worth. */
 function scaleWorth(arrivals: readonly Arrival[]): Arrival[] {
   const means = new Map<string, number>();
   for (const { queue } of arrivals) {
--- a/tools/decisions/src/load.ts
+++ b/tools/decisions/src/load.ts
@@ -1,44 +1,44 @@
-/** Loads: what the fleet has and what callers ask for, as an operator's sheet says. */
+/** Loads: the resources of a fleet and the work that callers submit. */
 import type * as Scheduler from "@cairngate/workflow-scheduler";
 
-/** A queue and the work that comes in through it. */
+/** A queue and the work submitted to it. */
 export interface QueueLoad {
   readonly queue: string;
   readonly priority: number;
   readonly attempts: number;
   readonly stretch: number;
   readonly latencyMs: number;
-  /** Workflows a second on an even day. */
+  /** Workflows per second without bursts. */
   readonly perSecond: number;
-  /** Tasks of a step. */
+  /** Number of tasks in a step. */
   readonly width: { readonly mean: number; readonly max: number };
   readonly cpuMillis: number;
   readonly memoryMb: number;
-  /** Accelerators of a task; each is as likely as the others. */
+  /** Possible numbers of accelerators of a task, each equally likely. */
   readonly accelerators: readonly number[];
   readonly runMs: {
     readonly mean: number;
     readonly spread: number;
     readonly max: number;
   };
-  /** How far estimates are off, as a share of the time. */
+  /** Maximum error of estimates, as a share of the run time. */
   readonly estimateError: number;
-  /** A share of the tasks takes so many times as long as the others. */
+  /** Stragglers: the share of tasks that take `factor` times as long as the others. */
   readonly tail?: { readonly share: number; readonly factor: number };
   readonly gangShare: number;
-  /** Share of the gangs that want one rack. */
+  /** Share of the gangs that request a single rack. */
   readonly oneRackShare: number;
   readonly checkpointShare: number;
-  /** Share of the steps whose data lies in one rack. */
+  /** Share of the steps whose data is in one rack. */
   readonly localDataShare: number;
-  /** What a workflow of mean size is worth in time, and late. */
+  /** Value of a workflow of mean size that completes in time, and late. */
   readonly worth: number;
   readonly lateWorth: number;
 }
 
-/** A burst: one queue, or all, comes so many times as often for a while. */
+/** A span in which one queue or all queues get `factor` times as many workflows. */
 export interface Burst {
-  /** Null: all queues. */
+  /** Null for all queues. */
   readonly queue: string | null;
   readonly fromMs: number;
   readonly untilMs: number;
@@ -55,29 +55,29 @@
   readonly accelerators: number;
   readonly teams: number;
   /**
-   * How uneven teams are: the n-th has paid for, and hands in, n^-skew times what the
-   * first one does. Left out: equal guarantees, and a few teams that hand in more.
+   * Exponent of the teams' sizes: guarantee and work of the n-th team are n^-skew times
+   * those of the first. Default: equal guarantees, and most work from a few teams.
    */
   readonly teamSkew?: number;
-  /** Share of all accelerators that teams have paid for. */
+  /** Share of all accelerators that are guaranteed to teams. */
   readonly guaranteedShare: number;
-  /** Speeds of endpoints; each is as likely as the others. Left out: all alike. */
+  /** Speeds of endpoints, in equal proportions. Default: all have speed 1. */
   readonly speeds?: readonly number[];
-  /** Traffic swings by this share about its mean. Left out: it is even. */
+  /** Sine wave of the traffic; `swing` is a share of the mean. Default: none. */
   readonly wave?: { readonly swing: number; readonly periodMs: number };
-  /** Time that a stop takes, in ms. */
+  /** Duration of a stop, in ms. */
   readonly stopMs: number;
-  /** Work since the last checkpoint that a stop loses at most, in ms. */
+  /** Maximum work since the last checkpoint that a stop loses, in ms. */
   readonly checkpointMs: number;
   readonly queues: readonly QueueLoad[];
   readonly bursts: readonly Burst[];
-  /** Kinds of hard load that the planner is told of; left out: none. */
+  /** Kinds of hard load passed to the planner. Default: none. */
   readonly hardLoad?: Scheduler.HardLoad;
 }
 
 const ACCELERATOR_COUNTS: readonly number[] = [1, 2, 4, 8, 8];
 
-/** Rebuilds of maps, diagnostics and batches, the users' three kinds of work. */
+/** Creates the users' three queues: map rebuilds, urgent diagnostics and batches. */
 function createQueues(options: {
   readonly cpuMillis: number;
   readonly rebuild: Partial<QueueLoad>;
@@ -152,14 +152,14 @@
   ];
 }
 
-/** A burst of everything, then one of batches: a heavy day in short. */
+/** Bursts of a heavy day: first of all queues, then of batches and of rebuilds. */
 const HEAVY_BURSTS: readonly Burst[] = [
   { queue: null, fromMs: 6000, untilMs: 11_000, factor: 2 },
   { queue: "batch", fromMs: 16_000, untilMs: 20_000, factor: 2.6 },
   { queue: "rebuild", fromMs: 22_000, untilMs: 24_000, factor: 3 },
 ];
 
-/** Endpoints of 128 cores; one rebuild takes over half of an endpoint's memory. */
+/** Endpoints of 128 cores; one rebuild task uses over half of an endpoint's memory. */
 const WIDE_MEMORY: Load = {
   name: "wide-memory",
   endpoints: 245,
@@ -180,7 +180,7 @@
   bursts: HEAVY_BURSTS,
 };
 
-/** Endpoints of 32 cores, where accelerators alone are scarce. */
+/** Endpoints of 32 cores, where only accelerators are scarce. */
 const EVEN: Load = {
   ...WIDE_MEMORY,
   name: "even",
@@ -196,7 +196,7 @@
   }),
 };
 
-/** A small fleet of the same kind. */
+/** A small fleet of endpoints like those of `EVEN`. */
 const SMALL: Load = {
   ...EVEN,
   name: "small",
@@ -219,7 +219,7 @@
   }),
 };
 
-/** Uneven teams compete for endpoints whose memory runs out first. */
+/** Teams of uneven sizes compete for endpoints whose memory runs out first. */
 const COMPETING: Load = {
   ...WIDE_MEMORY,
   name: "competing",
@@ -253,7 +253,7 @@
 
 const LONG_TAIL = { share: 0.03, factor: 7 };
 
-/** Endpoints, work and demand are uneven, and racks are wide. */
+/** Uneven speeds, run times and traffic, on wide racks. */
 const UNEVEN: Load = {
   ...WIDE_MEMORY,
   name: "uneven",
--- a/tools/decisions/src/marks.ts
+++ b/tools/decisions/src/marks.ts
@@ -1,45 +1,48 @@
-/** What callers got of a play, in the users' own terms. */
-import type * as plays from "./play.ts";
+/** Scores a simulation by the users' rules. */
+import type * as simulation from "./play.ts";
 
-/** Shares of what was owed that was earned, and what was thrown away. */
+/** Shares of the possible worth that were earned, and costs. */
 export interface Scores {
   readonly all: number;
   readonly byQueue: Readonly<Record<string, number>>;
   readonly worstTeam: number;
   /** The largest tenth of each queue's workflows. */
   readonly large: number;
-  /** The two worst spans of two seconds. */
+  /** Mean of the two worst spans of two seconds. */
   readonly worstSpans: number;
-  /** Core-seconds thrown away for each unit of worth owed. */
+  /** Core-seconds of lost work per unit of possible worth. */
   readonly thrownAway: number;
   readonly stranded: number;
   readonly used: number;
-  /** Runs that were stopped for others, and those of them that had just begun. */
+  /** Runs preempted for other workflows, and those of them that had just begun. */
   readonly stops: number;
   readonly earlyStops: number;
-  /** Those whose claimant missed its objective all the same. */
+  /** Preemptions whose claimant missed its objective nevertheless. */
   readonly idleStops: number;
-  /** Most stops of one task. */
+  /** Maximum number of preemptions of one task. */
   readonly mostStops: number;
-  /** One figure: the parts by the users' usual weights, less what is thrown away. */
+  /** Total score: the parts with the users' weights, less the price of lost work. */
   readonly mark: number;
 }
 
-/** An end within this many times the objective is late, and still of use. */
+/** A workflow that ends within this multiple of its objective earns `lateWorth`. */
 const LATE_FACTOR = 3;
-/** A run that is stopped before this time from its start has just begun, in ms. */
+/** A run preempted within this time after its start counts as an early stop. */
 const EARLY_STOP_MS = 1000;
-/** Length of a span, in ms. */
+/** Length of a span of the day. */
 const SPAN_MS = 2000;
-/** Spans that count as the worst ones, by the users' rules. */
+/** Number of spans that count as the worst ones, by the users' rules. */
 const WORST_SPAN_COUNT = 2;
-/** The users' weights of the whole, the worst team, spans and queue. */
+/** The users' weights of the total and of the worst team, spans and queue. */
 const WEIGHTS = { all: 0.4, team: 0.2, spans: 0.15, queue: 0.1 };
-/** Price of a core-second for each unit of worth owed: 71,740 cost 0.055 of 1,250. */
+/**
+ * Deduction for each lost core-second per unit of possible worth: 71,740 core-seconds
+ * cost 0.055 at a worth of 1,250.
+ */
 const LOST_WORK_PRICE = 0.00095;
 
-/** Marks of a play. */
-export function scoreSimulation(result: plays.SimulationResult): Scores {
+/** Computes the scores of a simulation. */
+export function scoreSimulation(result: simulation.SimulationResult): Scores {
   const { outcomes } = result;
   const queues = group(outcomes, ({ arrival }) => arrival.queue.queue);
   const teams = group(outcomes, ({ arrival }) => arrival.workflow.spec.tenant);
@@ -80,7 +83,7 @@
 }
 
 function countStops(
-  { preemptions, outcomes }: plays.SimulationResult,
+  { preemptions, outcomes }: simulation.SimulationResult,
 ) {
   const inTime = new Set(
     outcomes
@@ -99,7 +102,7 @@
   };
 }
 
-function earnedShare(outcomes: readonly plays.WorkflowOutcome[]): number {
+function earnedShare(outcomes: readonly simulation.WorkflowOutcome[]): number {
   let owed = 0;
   let earned = 0;
   for (const { arrival, tookMs } of outcomes) {
--- a/tools/decisions/src/play.ts
+++ b/tools/decisions/src/play.ts
@@ -1,48 +1,48 @@
-/** Plays a load against the planner: no network, no store, a simulated time. */
+/** Simulates a load against the planner, without network, store or real time. */
 import * as Workflow from "@cairngate/workflow";
 import * as Scheduler from "@cairngate/workflow-scheduler";
 import * as draws from "./draw.ts";
 import type * as loads from "./load.ts";
 
-/** A workflow at the end of a play. */
+/** A workflow at the end of a simulation. */
 export interface WorkflowOutcome {
   readonly arrival: draws.Arrival;
-  /** Null: it had not ended when the play did. */
+  /** Null if it had not ended when the simulation did. */
   readonly tookMs: number | null;
 }
 
-/** What came of a play. */
+/** Results of a simulation. */
 export interface SimulationResult {
   readonly outcomes: readonly WorkflowOutcome[];
-  /** Core-seconds of work that was stopped and not saved. */
+  /** Core-seconds of work lost in stops, not saved by checkpoints. */
   readonly lostWork: number;
-  /** Accelerators that were free where nothing that waited fitted, mean share. */
+  /** Mean share of accelerators that were free while work waited that did not fit. */
   readonly strandedShare: number;
-  /** Accelerators in use, mean share. */
+  /** Mean share of accelerators in use. */
   readonly usedShare: number;
   readonly plans: number;
-  /** Stops for others, as far as they struck a run. */
+  /** Stops of runs for other workflows. */
   readonly preemptions: readonly Preemption[];
 }
 
-/** One stop of a run, and with it of its gang, for others. */
+/** The stop of a run, and so of its gang, for another workflow. */
 export interface Preemption {
   readonly task: Workflow.Task;
   readonly claimant: Workflow.Workflow;
   readonly ranMs: number;
 }
 
-/** Traffic of the users' days, in ms. */
+/** Duration of the traffic in the users' days. */
 const TRAFFIC_MS = 34_000;
-/** After the traffic the fleet goes on for this time, in ms. */
+/** Time after the traffic in which the remaining work can end. */
 const DRAIN_MS = 60_000;
-/** Plans are this far apart at least, in ms: a plan of a large fleet and its pause. */
+/** Interval of plans: the planning time of a large fleet and the pause after it. */
 const PLAN_INTERVAL_MS = 20;
-/** From a plan to the start on the endpoint: a record and an order, in ms. */
+/** Delay from a plan to the start on the endpoint: one store write and one order. */
 const START_DELAY_MS = 12;
-/** A run tells its pace after this time, in ms. */
+/** Time after which a run's progress allows its end to be predicted. */
 const MIN_PACE_RUN_MS = 600;
-/** How much slower work runs away from its rack. */
+/** Factor by which work is slower away from its rack. */
 const REMOTE_PENALTY = 3;
 
 interface Run {
@@ -51,9 +51,9 @@
   readonly arrival: draws.Arrival;
   readonly endsAtMs: number;
   readonly beganAtMs: number;
-  /** Share that was done when it began. */
+  /** Share of the work that was done before this run. */
   readonly doneBefore: number;
-  /** Speed of its endpoint, or of the slowest that its gang runs on. */
+  /** Speed of its endpoint, or of the slowest endpoint of its gang. */
   readonly speed: number;
   readonly isRemote: boolean;
   isStopped: boolean;
@@ -66,7 +66,7 @@
   readonly tasks: Set<Workflow.Task>;
 }
 
-/** Plays one seed of a load. */
+/** Simulates a load with one seed. */
 export function simulate(load: loads.Load, seed: number): SimulationResult {
   return new Simulation(load, seed).run();
 }
@@ -80,7 +80,7 @@
   readonly #active = new Map<Workflow.Workflow, draws.Arrival>();
   readonly #runs = new Set<Run>();
   readonly #runByTask = new Map<Workflow.Task, Run>();
-  /** Share of a unit that its checkpoint saves, by its first task. */
+  /** Share of a unit's work saved by its checkpoint, by the unit's first task. */
   readonly #savedShares = new Map<Workflow.Task, number>();
   readonly #pendingStops: { run: Run; atMs: number }[] = [];
   readonly #outcomes: WorkflowOutcome[] = [];
@@ -101,7 +101,7 @@
     this.#endpoints = Array.from({ length: load.endpoints }, (_, i) => ({
       id: `endpoint-${i}`,
       rack: `rack-${Math.floor(i / load.rackSize)}`,
-      // Not in order, so that each rack has endpoints of all speeds.
+      // Interleaved, so that each rack has endpoints of all speeds.
       speed: speeds[(i * 7 + Math.floor(i / load.rackSize)) % speeds.length],
       tasks: new Set<Workflow.Task>(),
     }));
@@ -166,7 +166,7 @@
     this.#measureUse(plan);
   }
 
-  /** As the coordinator keeps them, but anew for each plan. */
+  /** Updates the teams' shares as the coordinator does, but for each plan. */
   #updateShares(states: readonly Scheduler.EndpointSnapshot[]): void {
     if (this.#load.hardLoad?.teamsCompete !== true) return;
     const usage = Scheduler.sharesHeld(states);
@@ -213,7 +213,7 @@
     const { step } = unit;
     const isRemote = (step.rack !== null && !isOnly(racks, step.rack)) ||
       (step.gang && step.sameRack && racks.size > 1);
-    // A gang comes on at the pace of its slowest member.
+    // A gang progresses at the pace of its slowest member.
     const longestMs = Math.max(
       ...unit.tasks.map(({ key }, i) =>
         (arrival.runMs.get(key) ?? 0) /
@@ -265,7 +265,7 @@
     }
   }
 
-  /** Work that is lost with a stopped run; a checkpoint saves the rest. */
+  /** Counts the work that a stop loses; a checkpoint saves the rest. */
   #recordLostWork(run: Run, atMs: number): void {
     const { step } = run.tasks[0];
     const ranMs = Math.max(0, atMs - run.beganAtMs);
@@ -289,7 +289,7 @@
     }
   }
 
-  /** Runs that began from a checkpoint or away from their data say little. */
+  /** Records a run time, except from a checkpoint or away from the data. */
   #recordRunTime(
     { tasks, speed, isRemote: isAway, doneBefore, beganAtMs, endsAtMs }: Run,
   ): void {
--- a/tools/decisions/src/play_test.ts
+++ b/tools/decisions/src/play_test.ts
@@ -1,4 +1,4 @@
-/** Plays of a load against the planner. */
+/** Simulations of a load against the planner. */
 import * as vitest from "vitest";
 import * as loads from "./load.ts";
 import * as scoring from "./marks.ts";
@@ -6,12 +6,12 @@
 
 function smallLoad(): loads.Load {
   const load = loads.LOADS.get("small");
-  if (load === undefined) throw new RangeError("no small load");
+  if (load === undefined) throw new RangeError("the load 'small' is missing");
   return load;
 }
 
-vitest.describe("a play", () => {
-  vitest.it("ends all work, and repeats for a seed", () => {
+vitest.describe("a simulation", () => {
+  vitest.it("ends all work and is reproducible from its seed", () => {
     const first = simulation.simulate(smallLoad(), 1);
     const second = simulation.simulate(smallLoad(), 1);
     vitest.expect(first.outcomes.every(({ tookMs }) => tookMs !== null))
@@ -21,8 +21,8 @@
     );
   });
 
-  vitest.it("earns at least what it did when the ways were compared", () => {
-    // Seeds 1 and 2: 0.90 on the mean; some room for other orders of equal units.
+  vitest.it("keeps its scores and loses little work", () => {
+    // The mean of seeds 1 and 2 is 0.90; the bound allows other orders of equal units.
     const all = [1, 2].map((seed) =>
       scoring.scoreSimulation(simulation.simulate(smallLoad(), seed))
     );
