--- a/packages/entry/src/admission.ts
+++ b/packages/entry/src/admission.ts
@@ -5,7 +5,7 @@
 import * as Effect from "effect/Effect";
 
 /** Share of the bound up to which callers of a tier are admitted. */
-const SHARES: Readonly<Record<Types.Tier, number>> = {
+const ADMITTED_SHARE: Readonly<Record<Types.Tier, number>> = {
   [Types.Tier.Urgent]: 1,
   [Types.Tier.Standard]: 0.8,
   [Types.Tier.Batch]: 0.6,
@@ -39,7 +39,7 @@
     work: Effect.Effect<A, E>,
   ): Effect.Effect<A, E | Errors.OverloadedError> {
     return Effect.suspend((): Effect.Effect<A, E | Errors.OverloadedError> => {
-      if (this.#waiting >= this.#limit * SHARES[tier]) {
+      if (this.#waiting >= this.#limit * ADMITTED_SHARE[tier]) {
         this.#metrics.count("cairngate_shed_total", { tier });
         return Effect.fail(
           new Errors.OverloadedError({
@@ -49,10 +49,10 @@
         );
       }
       this.#waiting++;
-      const leave = Effect.sync(() => {
+      const decrement = Effect.sync(() => {
         this.#waiting--;
       });
-      return Effect.ensuring(work, leave);
+      return Effect.ensuring(work, decrement);
     });
   }
 }
--- a/packages/entry/src/dispatch.ts
+++ b/packages/entry/src/dispatch.ts
@@ -2,15 +2,15 @@
 import type * as Ports from "@cairngate/ports";
 import * as Types from "@cairngate/types";
 
-const HOLD_MS = 5000;
+const HOLD_TIMEOUT_MS = 5000;
 const LEASE_MS = 600_000;
 
 /** How one dispatch ended. */
 export type Dispatch =
   | { readonly kind: "answered"; readonly result: unknown }
   /** Proved not to have run. */
-  | { readonly kind: "not-started"; readonly why: string }
-  | { readonly kind: "uncertain"; readonly why: string };
+  | { readonly kind: "not-started"; readonly reason: string }
+  | { readonly kind: "uncertain"; readonly reason: string };
 
 /** The part of a job that the owner needs; the input stays here. */
 export function toShape(job: Types.Job): Types.JobShape {
@@ -21,11 +21,11 @@
 
 /** The order for a granted job; it carries the request that waits. */
 export function makeOrder(
-  flight: { readonly job: Types.Job; readonly request: string },
+  pending: { readonly job: Types.Job; readonly request: string },
   grant: Types.Grant,
   box: string,
 ): Types.HoldOrder {
-  const { job, request } = flight;
+  const { job, request } = pending;
   return {
     jobId: job.id,
     attempt: grant.attempt,
@@ -40,7 +40,7 @@
     repeatable: job.repeatable,
     checkpointMs: job.checkpointMs,
     progress: 0,
-    holdMs: HOLD_MS,
+    holdMs: HOLD_TIMEOUT_MS,
     leaseMs: LEASE_MS,
     caller: { box, request },
     spec: toShape(job),
@@ -48,16 +48,16 @@
 }
 
 /** What a failure of a worker proves. */
-export function readFailure(err: Ports.WorkerError): Dispatch {
+export function classifyFailure(err: Ports.WorkerError): Dispatch {
   if (err._tag === "WorkerRefusedError") {
-    return { kind: "not-started", why: err.message };
+    return { kind: "not-started", reason: err.message };
   }
-  if (err.neverSent) return { kind: "not-started", why: err.message };
-  return { kind: "uncertain", why: err.message };
+  if (err.neverSent) return { kind: "not-started", reason: err.message };
+  return { kind: "uncertain", reason: err.message };
 }
 
 /** Whether an answer is to this very request. */
-export function isOwnAnswer(
+export function isAnswerToOrder(
   order: Types.HoldOrder,
   answer: Types.TaskAnswer,
 ): boolean {
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -25,7 +25,7 @@
   };
 
 const DEFAULT_WAIT_S = 30;
-const LONGEST_WAIT_S = 300;
+const MAX_WAIT_S = 300;
 
 /** Submits, looks up and cancels jobs. */
 export class Entry {
@@ -68,7 +68,7 @@
 
   /** A job's record, waiting for its end if asked. */
   status(jobId: string, waitSeconds: number | null) {
-    const waitMs = boundWait(waitSeconds ?? 0) * 1000;
+    const waitMs = clampWait(waitSeconds ?? 0) * 1000;
     const lookUp = this.#stored.status(jobId, waitMs);
     if (waitMs === 0) return lookUp;
     return this.#admission.admit(Types.Tier.Standard, lookUp);
@@ -118,11 +118,11 @@
 }
 
 function shortWaitMs(job: Types.Job, waitSeconds: number | null): number {
-  const wanted = boundWait(waitSeconds ?? DEFAULT_WAIT_S) * 1000;
-  if (job.deadlineAtMs === null) return wanted;
-  return Math.min(wanted, job.deadlineAtMs - job.submittedAtMs);
+  const requestedMs = clampWait(waitSeconds ?? DEFAULT_WAIT_S) * 1000;
+  if (job.deadlineAtMs === null) return requestedMs;
+  return Math.min(requestedMs, job.deadlineAtMs - job.submittedAtMs);
 }
 
-function boundWait(seconds: number): number {
-  return Math.max(0, Math.min(seconds, LONGEST_WAIT_S));
+function clampWait(seconds: number): number {
+  return Math.max(0, Math.min(seconds, MAX_WAIT_S));
 }
--- a/packages/entry/src/intents.ts
+++ b/packages/entry/src/intents.ts
@@ -27,13 +27,13 @@
   | { readonly kind: "other" };
 
 /** An intent row with its revision. */
-export interface KnownIntent {
+export interface StoredIntent {
   readonly row: IntentRow;
   readonly revision: number;
 }
 
-const POLL_MS = 200;
-const SAVE_TRIES = 2;
+const POLL_INTERVAL_MS = 200;
+const MAX_SAVE_TRIES = 2;
 
 /** Reads and writes intents. */
 export class Intents {
@@ -46,11 +46,11 @@
   /** Claims a job for this box and attempt, or tells who has claimed it. */
   claim(
     job: Types.Job,
-    own: { attempt: string; worker: string; revision: number },
+    claimant: { attempt: string; worker: string; revision: number },
   ): Effect.Effect<IntentClaim, Errors.StoreUnavailableError> {
     return Effect.gen({ self: this }, function* () {
       const key = TableClient.Keys.intentKey(job.cell, job.id);
-      const { attempt, worker } = own;
+      const { attempt, worker } = claimant;
       const value: IntentRow = {
         box: this.#ports.box,
         attempt,
@@ -60,7 +60,7 @@
         outcome: null,
       };
       const written = yield* Effect.result(this.#ports.writer.write({
-        conditions: [{ key, revision: own.revision }],
+        conditions: [{ key, revision: claimant.revision }],
         writes: [{ key, value }],
       }));
       if (written._tag === "Success") {
@@ -76,7 +76,7 @@
   /** The intent of a job; null where there is none. */
   read(
     job: Types.Job,
-  ): Effect.Effect<KnownIntent | null, Errors.StoreUnavailableError> {
+  ): Effect.Effect<StoredIntent | null, Errors.StoreUnavailableError> {
     const key = TableClient.Keys.intentKey(job.cell, job.id);
     return Effect.map(this.#ports.store.read([key]), ([found]) => {
       if (found === undefined) return null;
@@ -90,7 +90,7 @@
    */
   saveOutcome(
     job: Types.Job,
-    own: {
+    claimant: {
       attempt: string;
       worker: string;
       revision: number;
@@ -99,13 +99,13 @@
   ): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       const key = TableClient.Keys.intentKey(job.cell, job.id);
-      const { revision, ...rest } = own;
+      const { revision, ...rest } = claimant;
       const { box, clock } = this.#ports;
       const atMs = clock.wallMs();
       const value: IntentRow = { box, atMs, digest: job.digest, ...rest };
       const conditions = [{ key, revision }];
       const write = { conditions, writes: [{ key, value }] };
-      for (let i = 0; i < SAVE_TRIES; i++) {
+      for (let i = 0; i < MAX_SAVE_TRIES; i++) {
         const saved = yield* Effect.result(this.#ports.writer.write(write));
         if (saved._tag === "Success") return;
         if (saved.failure._tag === "ConditionFailedError") return;
@@ -123,12 +123,12 @@
       const { clock } = this.#ports;
       while (clock.monotonicMs() < untilMs) {
         const row = yield* Effect.result(this.read(job));
-        const known = row._tag === "Success" ? row.success : null;
-        if (known !== null && known.row.digest !== job.digest) return null;
-        if (known !== null && known.row.outcome !== null) {
-          return known.row.outcome;
+        const intent = row._tag === "Success" ? row.success : null;
+        if (intent !== null && intent.row.digest !== job.digest) return null;
+        if (intent !== null && intent.row.outcome !== null) {
+          return intent.row.outcome;
         }
-        yield* clock.sleep(POLL_MS);
+        yield* clock.sleep(POLL_INTERVAL_MS);
       }
       return null;
     });
--- a/packages/entry/src/parse_submission.ts
+++ b/packages/entry/src/parse_submission.ts
@@ -57,13 +57,13 @@
     const body = yield* decodeBody(req.body);
     yield* checkKey(req.idempotencyKey);
     const team = context.cfg.teams.find((t) => t.name === body.team);
-    if (team === undefined) return yield* bad("team", "a configured team");
+    if (team === undefined) return yield* reject("team", "a configured team");
     const service = context.cfg.services.find((s) => s.name === body.service);
     if (service === undefined) {
-      return yield* bad("service", "a configured service");
+      return yield* reject("service", "a configured service");
     }
     const job = buildJob(req, { body, team, service, context });
-    yield* checkShape(job, team);
+    yield* checkSize(job, team);
     return job;
   });
 }
@@ -96,7 +96,7 @@
   key: string | null,
 ): Effect.Effect<void, Errors.BadRequestError> {
   if (key === null || KEY_PATTERN.test(key)) return Effect.void;
-  return bad("Idempotency-Key", "1 to 128 visible ASCII characters");
+  return reject("Idempotency-Key", "1 to 128 visible ASCII characters");
 }
 
 function buildJob(
@@ -136,24 +136,27 @@
   };
 }
 
-function checkShape(
+function checkSize(
   job: Types.Job,
   team: Types.TeamSpec,
 ): Effect.Effect<void, Errors.BadRequestError> {
   const size = job.accelerators * job.gang;
-  const inWorker = job.adjacency === Types.Adjacency.Worker;
-  if (inWorker && size > MAX_ACCELERATORS) {
-    return bad("gang", `at most ${MAX_ACCELERATORS} accelerators in a worker`);
+  const isInWorker = job.adjacency === Types.Adjacency.Worker;
+  if (isInWorker && size > MAX_ACCELERATORS) {
+    return reject(
+      "gang",
+      `at most ${MAX_ACCELERATORS} accelerators in a worker`,
+    );
   }
-  const inRack = job.adjacency === Types.Adjacency.Rack;
-  if (inRack && size > MAX_ACCELERATORS * MAX_ACCELERATORS) {
-    return bad("gang", "at most 64 accelerators in a rack");
+  const isInRack = job.adjacency === Types.Adjacency.Rack;
+  if (isInRack && size > MAX_ACCELERATORS * MAX_ACCELERATORS) {
+    return reject("gang", "at most 64 accelerators in a rack");
   }
   if (job.kind === Types.ServiceKind.Short && job.gang > 1) {
-    return bad("gang", "1 for a short service");
+    return reject("gang", "1 for a short service");
   }
   if (size > team.quota) {
-    return bad("gang", `at most the team's quota of ${team.quota}`);
+    return reject("gang", `at most the team's quota of ${team.quota}`);
   }
   return Effect.void;
 }
@@ -174,8 +177,8 @@
 }
 
 /** A job never has a higher tier than its team has paid for. */
-function lowerTier(wanted: Types.Tier, paid: Types.Tier): Types.Tier {
-  const rank = Math.max(Types.rankTier(wanted), Types.rankTier(paid));
+function lowerTier(requested: Types.Tier, allowed: Types.Tier): Types.Tier {
+  const rank = Math.max(Types.rankTier(requested), Types.rankTier(allowed));
   return Types.TIER_ORDER[rank];
 }
 
@@ -183,7 +186,7 @@
   return seconds === null ? null : seconds * 1000;
 }
 
-function bad(
+function reject(
   field: string,
   expected: string,
 ): Effect.Effect<never, Errors.BadRequestError> {
--- a/packages/entry/src/retry_budget.ts
+++ b/packages/entry/src/retry_budget.ts
@@ -1,23 +1,26 @@
 /** Keeps retries to a share of the first tries, for each team. */
 
 const RETRIES_PER_TRY = 0.2;
-const MOST_SAVED = 20;
+const MAX_SAVED_RETRIES = 20;
 
 /** A budget of retries for each team. */
 export class RetryBudget {
-  readonly #saved = new Map<string, number>();
+  readonly #retriesByTeam = new Map<string, number>();
 
   /** A first try earns a part of a retry. */
-  noteTry(team: string): void {
-    const saved = this.#saved.get(team) ?? MOST_SAVED;
-    this.#saved.set(team, Math.min(MOST_SAVED, saved + RETRIES_PER_TRY));
+  recordFirstTry(team: string): void {
+    const saved = this.#retriesByTeam.get(team) ?? MAX_SAVED_RETRIES;
+    this.#retriesByTeam.set(
+      team,
+      Math.min(MAX_SAVED_RETRIES, saved + RETRIES_PER_TRY),
+    );
   }
 
   /** Takes a retry; false where the budget is used up. */
   take(team: string): boolean {
-    const saved = this.#saved.get(team) ?? MOST_SAVED;
+    const saved = this.#retriesByTeam.get(team) ?? MAX_SAVED_RETRIES;
     if (saved < 1) return false;
-    this.#saved.set(team, saved - 1);
+    this.#retriesByTeam.set(team, saved - 1);
     return true;
   }
 }
--- a/packages/entry/src/stored_jobs.ts
+++ b/packages/entry/src/stored_jobs.ts
@@ -6,9 +6,9 @@
 import * as parsing from "./parse_submission.ts";
 import type * as ports from "./ports.ts";
 
-const ASK_MS = 2000;
-const CANCEL_MS = 8000;
-const POLL_MS = 500;
+const OWNER_TIMEOUT_MS = 2000;
+const CANCEL_TIMEOUT_MS = 8000;
+const POLL_INTERVAL_MS = 500;
 
 /** Takes stored jobs and reads them back. */
 export class StoredJobs {
@@ -36,7 +36,7 @@
         }
         return (yield* this.#readRow(job.id, job.cell)) ?? record;
       }
-      yield* Effect.forkDetach(this.#tellOwner(job.cell));
+      yield* Effect.forkDetach(this.#notifyOwner(job.cell));
       return record;
     });
   }
@@ -59,11 +59,11 @@
         if (record === null) {
           return yield* new Errors.UnknownJobError({ jobId });
         }
-        const isOver = clock.monotonicMs() >= untilMs;
-        if (isOver || Types.isFinalState(record.state)) {
+        const isTimedOut = clock.monotonicMs() >= untilMs;
+        if (isTimedOut || Types.isFinalState(record.state)) {
           return yield* this.#withResult(record);
         }
-        yield* clock.sleep(POLL_MS);
+        yield* clock.sleep(POLL_INTERVAL_MS);
       }
     });
   }
@@ -79,7 +79,7 @@
       const record = yield* this.#ports.owners.ask<Types.JobRecord | null>(
         cell,
         req,
-        CANCEL_MS,
+        CANCEL_TIMEOUT_MS,
       );
       if (record === null) return yield* new Errors.UnknownJobError({ jobId });
       return record;
@@ -94,12 +94,12 @@
   ): Effect.Effect<Types.JobRecord | null, Errors.StoreUnavailableError> {
     const kind = Types.PeerKind.JobStatus as const;
     const req = { kind, cell, jobId, waitMs };
-    const asked = this.#ports.owners.ask<Types.JobRecord | null>(
+    const reply = this.#ports.owners.ask<Types.JobRecord | null>(
       cell,
       req,
-      waitMs + ASK_MS,
+      waitMs + OWNER_TIMEOUT_MS,
     );
-    return Effect.catch(asked, () => this.#readRow(jobId, cell));
+    return Effect.catch(reply, () => this.#readRow(jobId, cell));
   }
 
   #readRow(
@@ -133,10 +133,14 @@
   }
 
   /** A hint only: the owner finds the row by itself within seconds. */
-  #tellOwner(cell: string): Effect.Effect<void> {
+  #notifyOwner(cell: string): Effect.Effect<void> {
     const kind = Types.PeerKind.Enqueue as const;
-    const tell = this.#ports.owners.ask(cell, { kind, cell }, ASK_MS);
-    return Effect.ignore(tell);
+    const notification = this.#ports.owners.ask(
+      cell,
+      { kind, cell },
+      OWNER_TIMEOUT_MS,
+    );
+    return Effect.ignore(notification);
   }
 }
 
