--- a/packages/entry/src/admission.ts
+++ b/packages/entry/src/admission.ts
@@ -1,23 +1,27 @@
-/** Bounds on waiting callers; the lowest tier is turned away first. */
+/** Limits the callers that wait on a box; lower tiers are rejected first. */
 import * as Errors from "@cairngate/errors";
 import type * as Metrics from "@cairngate/metrics";
 import * as Types from "@cairngate/types";
 import * as Effect from "effect/Effect";
 
-/** Share of the bound up to which callers of a tier are admitted. */
+/**
+ * Share of the limit up to which callers of a tier are admitted. The rest is kept
+ * for higher tiers.
+ */
 const ADMITTED_SHARE: Readonly<Record<Types.Tier, number>> = {
   [Types.Tier.Urgent]: 1,
   [Types.Tier.Standard]: 0.8,
   [Types.Tier.Batch]: 0.6,
 };
 
+/** When a rejected caller may try again, in seconds. */
 const RETRY_AFTER_S: Readonly<Record<Types.Tier, number>> = {
   [Types.Tier.Urgent]: 1,
   [Types.Tier.Standard]: 2,
   [Types.Tier.Batch]: 5,
 };
 
-/** Counts the callers that wait on this box. */
+/** Counts the callers that wait on this box and rejects those above the limit. */
 export class Admission {
   readonly #limit: number;
   readonly #metrics: Metrics.Metrics;
@@ -28,12 +32,15 @@
     this.#metrics = metrics;
   }
 
-  /** Callers that wait now. */
+  /** Number of callers that currently wait. */
   get waiting(): number {
     return this.#waiting;
   }
 
-  /** Runs work while its caller counts as waiting, or turns it away. */
+  /**
+   * Runs `work` and counts its caller as waiting until it ends. Fails with
+   * OverloadedError, without running it, when the tier's share of the limit is used.
+   */
   admit<A, E>(
     tier: Types.Tier,
     work: Effect.Effect<A, E>,
--- a/packages/entry/src/dispatch.ts
+++ b/packages/entry/src/dispatch.ts
@@ -1,25 +1,26 @@
-/** The order that carries a short job to its worker, and its answer. */
+/** Builds the order that sends a short job to its worker and reads the answer. */
 import type * as Ports from "@cairngate/ports";
 import * as Types from "@cairngate/types";
 
 const HOLD_TIMEOUT_MS = 5000;
 const LEASE_MS = 600_000;
 
-/** How one dispatch ended. */
+/** Result of sending a short job to a worker. */
 export type Dispatch =
   | { readonly kind: "answered"; readonly result: unknown }
-  /** Proved not to have run. */
+  /** The job is proven not to have run. */
   | { readonly kind: "not-started"; readonly reason: string }
+  /** The job may or may not have run. */
   | { readonly kind: "uncertain"; readonly reason: string };
 
-/** The part of a job that the owner needs; the input stays here. */
+/** Returns the part of a job that the cell's owner needs, without the input. */
 export function toShape(job: Types.Job): Types.JobShape {
   const { kind: _, cell: __, work: ___, input: ____, ...rest } = job;
   const { idempotencyKey: _____, digest: ______, ...shape } = rest;
   return shape;
 }
 
-/** The order for a granted job; it carries the request that waits. */
+/** Builds the order for a granted job, with the waiting request's id. */
 export function makeOrder(
   pending: { readonly job: Types.Job; readonly request: string },
   grant: Types.Grant,
@@ -47,7 +48,7 @@
   };
 }
 
-/** What a failure of a worker proves. */
+/** Classifies a failed call: a refused or unsent order proves that nothing ran. */
 export function classifyFailure(err: Ports.WorkerError): Dispatch {
   if (err._tag === "WorkerRefusedError") {
     return { kind: "not-started", reason: err.message };
@@ -56,7 +57,7 @@
   return { kind: "uncertain", reason: err.message };
 }
 
-/** Whether an answer is to this very request. */
+/** Whether an answer belongs to this order: same job, attempt, request and box. */
 export function isAnswerToOrder(
   order: Types.HoldOrder,
   answer: Types.TaskAnswer,
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -1,4 +1,4 @@
-/** A box's side towards callers. */
+/** Entry point for the jobs of a box's callers. */
 import * as Errors from "@cairngate/errors";
 import * as Types from "@cairngate/types";
 import * as Effect from "effect/Effect";
@@ -8,7 +8,7 @@
 import * as shortJobs from "./short_jobs.ts";
 import * as storedJobs from "./stored_jobs.ts";
 
-/** Kinds of replies to a submission. */
+/** Kind of a reply to a submission. */
 export enum SubmissionKind {
   /** The job has ended. */
   Ended = "ended",
@@ -27,7 +27,7 @@
 const DEFAULT_WAIT_S = 30;
 const MAX_WAIT_S = 300;
 
-/** Submits, looks up and cancels jobs. */
+/** Submits jobs, reads their status and cancels them. */
 export class Entry {
   readonly #ports: ports.EntryPorts;
   readonly #admission: admissions.Admission;
@@ -42,12 +42,12 @@
     this.#stored = new storedJobs.StoredJobs(entryPorts);
   }
 
-  /** Callers that wait on this box now. */
+  /** Number of callers that currently wait on this box. */
   get waitingCallers(): number {
     return this.#admission.waiting;
   }
 
-  /** Takes a job; a short one is answered, a long one is stored. */
+  /** Runs a short job and returns its outcome, or stores a long one. */
   submit(req: parsing.SubmitRequest) {
     return Effect.gen({ self: this }, function* () {
       const cfg = this.#ports.config();
@@ -66,7 +66,7 @@
     });
   }
 
-  /** A job's record, waiting for its end if asked. */
+  /** Returns a job's record, after waiting up to `waitSeconds` for its end. */
   status(jobId: string, waitSeconds: number | null) {
     const waitMs = clampWait(waitSeconds ?? 0) * 1000;
     const lookUp = this.#stored.status(jobId, waitMs);
@@ -110,7 +110,7 @@
       const waited = yield* Effect.result(
         this.status(record.job.id, waitSeconds),
       );
-      // The job is stored: whatever became of the wait, it is accepted.
+      // The job is stored, so a failed wait doesn't change that it is accepted.
       if (waited._tag === "Failure") return { kind, record };
       return { kind, record: waited.success };
     });
--- a/packages/entry/src/intents.ts
+++ b/packages/entry/src/intents.ts
@@ -1,6 +1,6 @@
 /**
- * Durable intents of unrepeatable short jobs. The row exists before the
- * dispatch, under the job's id, so that no other box dispatches the same job.
+ * Durable intents of unrepeatable short jobs. The row is written under the job's
+ * id before the dispatch, so that no other box dispatches the same job.
  */
 import * as Errors from "@cairngate/errors";
 import * as TableClient from "@cairngate/table-client";
@@ -8,20 +8,20 @@
 import * as Effect from "effect/Effect";
 import type * as ports from "./ports.ts";
 
-/** Value of an intent row. */
+/** Stored value of an intent row. */
 export interface IntentRow {
   readonly box: string;
   readonly attempt: string;
   readonly worker: string;
-  /** Hash of the request that the key stands for. */
+  /** Hash of the request that the idempotency key was first used for. */
   readonly digest: string;
-  /** When the row was written; old rows are removed. */
+  /** Wall-clock time of the write; rows are removed by age. */
   readonly atMs: number;
   /** Null until the outcome is known. */
   readonly outcome: Types.Outcome | null;
 }
 
-/** How the claim of an intent ended. */
+/** Result of a claim: made by this box, or held by another claim. */
 export type IntentClaim =
   | { readonly kind: "own"; readonly revision: number }
   | { readonly kind: "other" };
@@ -35,7 +35,7 @@
 const POLL_INTERVAL_MS = 200;
 const MAX_SAVE_TRIES = 2;
 
-/** Reads and writes intents. */
+/** Reads and writes intents in the store. */
 export class Intents {
   readonly #ports: ports.EntryPorts;
 
@@ -43,7 +43,10 @@
     this.#ports = entryPorts;
   }
 
-  /** Claims a job for this box and attempt, or tells who has claimed it. */
+  /**
+   * Claims a job for this box and attempt. Returns "other" when the row's revision
+   * is not the expected one, because another claim was written first.
+   */
   claim(
     job: Types.Job,
     claimant: { attempt: string; worker: string; revision: number },
@@ -73,7 +76,7 @@
     });
   }
 
-  /** The intent of a job; null where there is none. */
+  /** Reads the intent of a job; null if there is none. */
   read(
     job: Types.Job,
   ): Effect.Effect<StoredIntent | null, Errors.StoreUnavailableError> {
@@ -85,8 +88,8 @@
   }
 
   /**
-   * Records the outcome of a claim. Nothing is written where another box has
-   * claimed the job since; given up with a log line after some tries.
+   * Records the outcome of a claim. Writes nothing if another box has claimed the
+   * job since. Logs a warning when the store fails MAX_SAVE_TRIES times.
    */
   saveOutcome(
     job: Types.Job,
@@ -114,7 +117,10 @@
     });
   }
 
-  /** Waits for the outcome that another box records; null if none in time. */
+  /**
+   * Waits for the outcome that another box records. Returns null on timeout, or if
+   * the key was used for another request.
+   */
   awaitOutcome(
     job: Types.Job,
     untilMs: number,
--- a/packages/entry/src/outcomes.ts
+++ b/packages/entry/src/outcomes.ts
@@ -1,7 +1,7 @@
-/** The three outcomes a caller can be told. */
+/** Constructors of the three outcomes that a caller can receive. */
 import * as Types from "@cairngate/types";
 
-/** The complete answer. */
+/** The job ran and returned a complete result. */
 export function done(
   jobId: string,
   attempt: string,
@@ -12,7 +12,7 @@
   return { kind, jobId, attempt, result, reason, retryAfterSeconds: null };
 }
 
-/** The job did not run, and will not. */
+/** The job did not run and will not run. */
 export function notRun(
   jobId: string,
   reason: string,
@@ -23,7 +23,7 @@
   return { kind, jobId, attempt, result: null, reason, retryAfterSeconds };
 }
 
-/** Whether the job ran is not known. */
+/** The job may or may not have run. */
 export function unknown(
   jobId: string,
   attempt: string | null,
--- a/packages/entry/src/parse_submission.ts
+++ b/packages/entry/src/parse_submission.ts
@@ -1,4 +1,4 @@
-/** Turns a caller's request into a job. */
+/** Validates a caller's request and turns it into a job. */
 import * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
 import * as Types from "@cairngate/types";
@@ -7,11 +7,11 @@
 import * as SchemaIssue from "effect/SchemaIssue";
 import * as crypto from "node:crypto";
 
-/** A caller's request, as HTTP delivers it. */
+/** A caller's request as received over HTTP. */
 export interface SubmitRequest {
   readonly body: unknown;
   readonly idempotencyKey: string | null;
-  /** Seconds the caller waits for the answer; null where it did not say. */
+  /** Seconds that the caller waits for the answer; null if unspecified. */
   readonly waitSeconds: number | null;
 }
 
@@ -41,14 +41,14 @@
 
 type Body = typeof BodySchema.Type;
 
-/** What a job is made from. */
+/** Configuration, clock and random source that a job is built with. */
 export interface ParseContext {
   readonly cfg: Types.DeploymentConfig;
   readonly clock: Ports.Clock;
   readonly random: Ports.RandomSource;
 }
 
-/** Checks a request against the configuration and makes the job. */
+/** Validates a request against the configuration and builds the job. */
 export function parseSubmission(
   req: SubmitRequest,
   context: ParseContext,
@@ -68,7 +68,7 @@
   });
 }
 
-/** The cell of a job, read from its id. */
+/** Returns the cell of a job from its id, which has the form `<cell>.<hash>`. */
 export function cellOfJobId(
   jobId: string,
 ): Effect.Effect<string, Errors.UnknownJobError> {
@@ -161,7 +161,7 @@
   return Effect.void;
 }
 
-/** A key names the same job at every box. */
+/** Derives the id from team and key, so that a key names one job on every box. */
 function makeJobId(
   team: Types.TeamSpec,
   key: string | null,
@@ -176,7 +176,7 @@
   return digest.slice(0, HASH_LENGTH);
 }
 
-/** A job never has a higher tier than its team has paid for. */
+/** Returns the lower of two tiers: a job never exceeds the tier of its team. */
 function lowerTier(requested: Types.Tier, allowed: Types.Tier): Types.Tier {
   const rank = Math.max(Types.rankTier(requested), Types.rankTier(allowed));
   return Types.TIER_ORDER[rank];
--- a/packages/entry/src/ports.ts
+++ b/packages/entry/src/ports.ts
@@ -1,4 +1,4 @@
-/** What the entry needs from its box. */
+/** Dependencies of the entry that its box provides. */
 import type * as Config from "@cairngate/config";
 import type * as Errors from "@cairngate/errors";
 import type * as Logger from "@cairngate/logger";
@@ -8,13 +8,13 @@
 import type * as Types from "@cairngate/types";
 import type * as Effect from "effect/Effect";
 
-/** Why the owner of a cell did not answer. */
+/** Reasons why a request to the owner of a cell fails. */
 export type AskError =
   | Errors.NotOwnerError
   | Errors.NotReadyError
   | Errors.PeerUnreachableError;
 
-/** Asks the owner of a cell, wherever it is. */
+/** Sends requests to the box that owns a cell, this one or another. */
 export abstract class OwnerDirectory {
   /** Sends a request to the owner and waits for its reply. */
   abstract ask<A>(
@@ -22,11 +22,11 @@
     req: Types.PeerRequest,
     timeoutMs: number,
   ): Effect.Effect<A, AskError>;
-  /** Whether a worker is known to be leaving. */
+  /** Whether a worker is announced to be leaving. */
   abstract isWorkerLeaving(worker: string): boolean;
 }
 
-/** Ports of the entry. */
+/** Services, settings and limits that the entry uses. */
 export interface EntryPorts {
   readonly box: string;
   readonly clock: Ports.Clock;
--- a/packages/entry/src/retry_budget.ts
+++ b/packages/entry/src/retry_budget.ts
@@ -1,13 +1,13 @@
-/** Keeps retries to a share of the first tries, for each team. */
+/** Limits the retries of each team to a share of its first tries. */
 
 const RETRIES_PER_TRY = 0.2;
 const MAX_SAVED_RETRIES = 20;
 
-/** A budget of retries for each team. */
+/** Retry budget of each team; it starts full. */
 export class RetryBudget {
   readonly #retriesByTeam = new Map<string, number>();
 
-  /** A first try earns a part of a retry. */
+  /** Adds the share of a retry that a first try earns. */
   recordFirstTry(team: string): void {
     const saved = this.#retriesByTeam.get(team) ?? MAX_SAVED_RETRIES;
     this.#retriesByTeam.set(
@@ -16,7 +16,7 @@
     );
   }
 
-  /** Takes a retry; false where the budget is used up. */
+  /** Takes one retry from the team's budget; returns false if it is used up. */
   take(team: string): boolean {
     const saved = this.#retriesByTeam.get(team) ?? MAX_SAVED_RETRIES;
     if (saved < 1) return false;
--- a/packages/entry/src/short_jobs.ts
+++ b/packages/entry/src/short_jobs.ts
@@ -1,6 +1,7 @@
 /**
- * Runs a short job while its caller waits: asks the owner for a place, sends
- * the work to the worker itself, and takes only the answer to its own request.
+ * Runs a short job while its caller waits: requests a grant from the cell's owner,
+ * sends the work directly to the granted worker, and accepts only the answer to
+ * its own request.
  */
 import * as Types from "@cairngate/types";
 import * as Effect from "effect/Effect";
@@ -13,18 +14,18 @@
 const OWNER_RETRY_DELAY_MS = 60;
 const OWNER_REPLY_MARGIN_MS = 500;
 const RELEASE_TIMEOUT_MS = 6000;
-/** Time a dispatched job has beyond its deadline to deliver its answer. */
+/** Time after its deadline in which a dispatched job may still answer. */
 const ANSWER_MARGIN_MS = 200;
 const RETRY_AFTER_S = 2;
 
-/** One short job on its way. */
+/** A short job whose caller waits. */
 interface PendingJob {
   readonly job: Types.Job;
   readonly request: string;
   readonly untilMs: number;
-  /** Revision of the intent row; 0 where there is none. */
+  /** Revision of the intent row; 0 if there is none. */
   intentRevision: number;
-  /** Whether an attempt was sent of which nobody proved that it never ran. */
+  /** Whether an attempt was sent that is not proven not to have run. */
   mayHaveRun: boolean;
   /** The grant under which this box claimed the intent. */
   claim: Types.Grant | null;
@@ -41,7 +42,7 @@
     this.#intents = new intents.Intents(entryPorts);
   }
 
-  /** Runs a job; always ends with one of the three outcomes. */
+  /** Runs a job and returns one of the three outcomes; it never fails. */
   run(job: Types.Job, waitMs: number): Effect.Effect<Types.Outcome> {
     return Effect.gen({ self: this }, function* () {
       const { clock, random } = this.#ports;
@@ -68,7 +69,10 @@
     });
   }
 
-  /** The outcome of the same key through another box, if there is one. */
+  /**
+   * Returns the outcome of an earlier request with the same key, which may have
+   * been sent through another box. Null if this box may run the job.
+   */
   #findEarlierOutcome(
     pending: PendingJob,
   ): Effect.Effect<Types.Outcome | null> {
@@ -78,7 +82,7 @@
       const row = yield* Effect.result(this.#intents.read(job));
       if (row._tag === "Failure") {
         const reason = "the store cannot tell whether the job ran before";
-        // Nothing was sent by this box, but another one may have run it.
+        // This box has sent nothing, but another box may have run the job.
         return outcomes.unknown(job.id, null, reason);
       }
       if (row.success === null) return null;
@@ -88,7 +92,7 @@
         return outcomes.notRun(job.id, reason, null);
       }
       if (outcome?.kind === Types.OutcomeKind.NotRun) {
-        // It did not run, so this box may take the claim over.
+        // The job did not run, so this box may take over the claim.
         pending.intentRevision = row.success.revision;
         return null;
       }
@@ -96,6 +100,7 @@
     });
   }
 
+  /** Waits until the deadline for the outcome that the claim's holder records. */
   #awaitOther(pending: PendingJob): Effect.Effect<Types.Outcome> {
     const { job, untilMs } = pending;
     const reason = "the same key was sent through another box, " +
@@ -129,17 +134,15 @@
     });
   }
 
-  /** Asks owner after owner until one decides or the time is up. */
+  /** Requests a grant from the cell's owner, again after errors, until the deadline. */
   #requestGrant(pending: PendingJob): Effect.Effect<Types.Grant> {
     return Effect.gen({ self: this }, function* () {
       const { clock, random, owners, box } = this.#ports;
       const { job, request } = pending;
-      let reason = "no box owns the cell";
+      let why = "no box owns the cell";
       for (;;) {
         const waitMs = Math.floor(pending.untilMs - clock.monotonicMs());
-        if (waitMs <= 0) {
-          return Types.createRefusal(job.id, reason, RETRY_AFTER_S);
-        }
+        if (waitMs <= 0) return Types.createRefusal(job.id, why, RETRY_AFTER_S);
         const shape = dispatches.toShape(job);
         const kind = Types.PeerKind.Place as const;
         const { cell } = job;
@@ -148,13 +151,13 @@
           owners.ask<Types.Grant>(cell, req, waitMs + OWNER_REPLY_MARGIN_MS),
         );
         if (reply._tag === "Success") return reply.success;
-        reason = reply.failure.message;
+        why = reply.failure.message;
         yield* clock.sleep(random.jitter(OWNER_RETRY_DELAY_MS));
       }
     });
   }
 
-  /** Null where the dispatch may go on. */
+  /** Claims the intent of an unrepeatable job. Null if the job may be dispatched. */
   #claimIntent(
     pending: PendingJob,
     grant: Types.Grant,
@@ -208,7 +211,7 @@
     });
   }
 
-  /** Only the answer to this very request counts. */
+  /** Accepts only a finished answer to this order. */
   #checkAnswer(
     order: Types.HoldOrder,
     answer: Types.TaskAnswer,
@@ -226,7 +229,7 @@
     return { kind: "uncertain", reason: "the worker stopped the task" };
   }
 
-  /** Tells the owner, and decides whether to try again (null). */
+  /** Reports the dispatch to the owner. Null if the job is to be tried again. */
   #conclude(
     pending: PendingJob,
     grant: Types.Grant,
@@ -274,8 +277,9 @@
   }
 
   /**
-   * Leaves word that a keyed job did not run, before the caller is told: a
-   * box that was paused with the same key finds it and does not dispatch.
+   * Records that a job with a key did not run, before the caller gets the answer.
+   * A box that was paused while it held the same key then fails to claim the intent
+   * and doesn't dispatch the job.
    */
   #recordNotRun(
     pending: PendingJob,
@@ -289,7 +293,7 @@
     return this.#intents.saveOutcome(job, row);
   }
 
-  /** Only unrepeatable jobs keep their outcome; the caller does not wait. */
+  /** Saves the outcome of an unrepeatable job in the background. */
   #saveOutcome(
     pending: PendingJob,
     grant: Types.Grant,
@@ -314,6 +318,7 @@
     return Effect.asVoid(Effect.forkDetach(release));
   }
 
+  /** Reports the end of an attempt to the owner. Null if the owner doesn't answer. */
   #release(
     pending: PendingJob,
     grant: Types.Grant,
--- a/packages/entry/src/stored_jobs.ts
+++ b/packages/entry/src/stored_jobs.ts
@@ -1,4 +1,4 @@
-/** Stored jobs: the row comes before the answer, so none is lost. */
+/** Stored jobs. The row is written before the answer, so no accepted job is lost. */
 import * as Errors from "@cairngate/errors";
 import * as TableClient from "@cairngate/table-client";
 import * as Types from "@cairngate/types";
@@ -10,7 +10,7 @@
 const CANCEL_TIMEOUT_MS = 8000;
 const POLL_INTERVAL_MS = 500;
 
-/** Takes stored jobs and reads them back. */
+/** Stores jobs, reads their records and cancels them. */
 export class StoredJobs {
   readonly #ports: ports.EntryPorts;
 
@@ -18,7 +18,7 @@
     this.#ports = entryPorts;
   }
 
-  /** Stores a job; the same key again returns the job that exists. */
+  /** Stores a job. A key that was used before returns the existing job. */
   accept(
     job: Types.Job,
   ): Effect.Effect<Types.JobRecord, Errors.StoreUnavailableError> {
@@ -41,7 +41,7 @@
     });
   }
 
-  /** The record of a job, waiting for its end if asked. */
+  /** Returns the record of a job, after waiting up to `waitMs` for its end. */
   status(
     jobId: string,
     waitMs: number,
@@ -68,7 +68,7 @@
     });
   }
 
-  /** Cancels a job. */
+  /** Cancels a job through the owner of its cell and returns its record. */
   cancel(
     jobId: string,
   ): Effect.Effect<Types.JobRecord, Errors.UnknownJobError | ports.AskError> {
@@ -86,7 +86,7 @@
     });
   }
 
-  /** The owner knows best; without it, the row tells. */
+  /** Asks the owner, whose record is the latest, and falls back to the stored row. */
   #lookUp(
     jobId: string,
     cell: string,
@@ -132,7 +132,7 @@
     );
   }
 
-  /** A hint only: the owner finds the row by itself within seconds. */
+  /** Speeds up the queueing; without it the owner finds the row within seconds. */
   #notifyOwner(cell: string): Effect.Effect<void> {
     const kind = Types.PeerKind.Enqueue as const;
     const notification = this.#ports.owners.ask(
