--- a/packages/adapters/src/http_platform.ts
+++ b/packages/adapters/src/http_platform.ts
@@ -15,7 +15,7 @@
 const STATUS_CONFLICT = 409;
 const STATUS_UNAVAILABLE = 503;
 /** Connections of a box to each platform service. */
-const CONNECTIONS = 4;
+const CONNECTIONS_PER_SERVICE = 4;
 
 /** Adapter of the table service's port. */
 export class HttpTable extends Ports.TableService {
@@ -120,9 +120,9 @@
     this.#platform = new PlatformCaller(address, listener);
   }
 
-  override workers(knownTag: string | null) {
+  override workers(lastTag: string | null) {
     const headers: Record<string, string> = {};
-    if (knownTag !== null) headers["if-none-match"] = `"${knownTag}"`;
+    if (lastTag !== null) headers["if-none-match"] = `"${lastTag}"`;
     const call = this.#platform.call({
       method: "GET",
       path: "/v1/live",
@@ -143,16 +143,16 @@
   constructor(address: string, listener: HttpJson.TrafficListener | null) {
     this.#address = address;
     this.#caller = new HttpJson.HttpCaller({
-      connections: CONNECTIONS,
+      connections: CONNECTIONS_PER_SERVICE,
       onTraffic: listener,
     });
   }
 
   call(
-    what: HttpJson.HttpCall,
+    req: HttpJson.HttpCall,
   ): Effect.Effect<HttpJson.HttpReply, Ports.StoreError> {
-    const operation = `${what.method} ${what.path}`;
-    return Effect.matchEffect(this.#caller.call(this.#address, what), {
+    const operation = `${req.method} ${req.path}`;
+    return Effect.matchEffect(this.#caller.call(this.#address, req), {
       onFailure: (err) =>
         Effect.fail<Ports.StoreError>(
           err.neverSent
@@ -160,7 +160,7 @@
             : new Errors.AnswerLostError({ operation }),
         ),
       onSuccess: (reply) =>
-        mayHaveNoBody(what, reply) || isComposite(reply.body)
+        mayHaveNoBody(req, reply) || isObjectOrArray(reply.body)
           ? checkStatus(operation, reply)
           : Effect.fail(new Errors.AnswerLostError({ operation })),
     });
@@ -176,7 +176,7 @@
 }
 
 /** An object or a list. */
-function isComposite(body: unknown): boolean {
+function isObjectOrArray(body: unknown): boolean {
   return typeof body === "object" && body !== null;
 }
 
@@ -184,13 +184,13 @@
   operation: string,
   reply: HttpJson.HttpReply,
 ): Effect.Effect<HttpJson.HttpReply, Ports.StoreError> {
-  const known = [
+  const handledStatuses = [
     STATUS_OK,
     STATUS_NOT_MODIFIED,
     STATUS_CONFLICT,
     STATUS_NOT_FOUND,
   ];
-  if (known.includes(reply.status)) return Effect.succeed(reply);
+  if (handledStatuses.includes(reply.status)) return Effect.succeed(reply);
   if (reply.status === STATUS_UNAVAILABLE) {
     const cause = "outage";
     return Effect.fail(new Errors.StoreUnavailableError({ operation, cause }));
--- a/packages/adapters/src/http_workers.ts
+++ b/packages/adapters/src/http_workers.ts
@@ -10,14 +10,14 @@
 
 const STATUS_REFUSED = 409;
 const STATUS_OK = 200;
-const REASONS: ReadonlySet<string> = new Set(
+const REFUSAL_REASONS: ReadonlySet<string> = new Set(
   Object.values(Errors.RefusalReason),
 );
 /** Connections of a box to a worker that carry orders and reports. */
 const CONTROL_CONNECTIONS = 2;
 
 /** An order on its way. */
-interface Order {
+interface WorkerRequest {
   readonly path: string;
   readonly body: unknown;
   /** The answer tells something: one without an object is none. */
@@ -27,7 +27,7 @@
 /** Adapter of the workers' port. */
 export class HttpWorkers extends Ports.Workers {
   readonly #runs: HttpJson.HttpCaller;
-  readonly #orders: HttpJson.HttpCaller;
+  readonly #control: HttpJson.HttpCaller;
 
   /** @param connections most connections of this box to one worker */
   constructor(
@@ -35,10 +35,13 @@
     listener: HttpJson.TrafficListener | null = null,
   ) {
     super();
-    const forRuns = Math.max(1, connections - CONTROL_CONNECTIONS);
+    const runConnections = Math.max(1, connections - CONTROL_CONNECTIONS);
     const onTraffic = listener;
-    this.#runs = new HttpJson.HttpCaller({ connections: forRuns, onTraffic });
-    this.#orders = new HttpJson.HttpCaller({
+    this.#runs = new HttpJson.HttpCaller({
+      connections: runConnections,
+      onTraffic,
+    });
+    this.#control = new HttpJson.HttpCaller({
       connections: CONTROL_CONNECTIONS,
       onTraffic,
     });
@@ -47,19 +50,19 @@
   /** Closes all connections. */
   close(): void {
     this.#runs.close();
-    this.#orders.close();
+    this.#control.close();
   }
 
   override seal(endpoint: string, fence: Types.Fence) {
-    return this.#ask<Types.Inventory>(endpoint, "seal", fence);
+    return this.#request<Types.Inventory>(endpoint, "seal", fence);
   }
 
   override hold(endpoint: string, order: Types.HoldOrder) {
-    return this.#tell(endpoint, "hold", order);
+    return this.#send(endpoint, "hold", order);
   }
 
   override start(endpoint: string, order: Types.TaskOrder) {
-    return this.#tell(endpoint, "start", order);
+    return this.#send(endpoint, "start", order);
   }
 
   override run(endpoint: string, order: Types.HoldOrder) {
@@ -71,37 +74,37 @@
   }
 
   override stop(endpoint: string, order: Types.StopOrder) {
-    return this.#ask<Types.StopReply>(endpoint, "stop", order);
+    return this.#request<Types.StopReply>(endpoint, "stop", order);
   }
 
   override report(endpoint: string, request: Types.ReportRequest) {
-    return this.#ask<Types.WorkerReport>(endpoint, "report", request);
+    return this.#request<Types.WorkerReport>(endpoint, "report", request);
   }
 
-  #ask<A>(
+  #request<A>(
     endpoint: string,
     name: string,
     body: unknown,
   ): Effect.Effect<A, Ports.WorkerError> {
-    const what = { path: `/v1/${name}`, body, isAsking: true };
-    return this.#call<A>(this.#orders, endpoint, what);
+    const req = { path: `/v1/${name}`, body, isAsking: true };
+    return this.#call<A>(this.#control, endpoint, req);
   }
 
-  #tell(
+  #send(
     endpoint: string,
     name: string,
     body: unknown,
   ): Effect.Effect<void, Ports.WorkerError> {
-    const what = { path: `/v1/${name}`, body, isAsking: false };
-    return this.#call<void>(this.#orders, endpoint, what);
+    const req = { path: `/v1/${name}`, body, isAsking: false };
+    return this.#call<void>(this.#control, endpoint, req);
   }
 
   #call<A>(
     caller: HttpJson.HttpCaller,
     endpoint: string,
-    what: Order,
+    req: WorkerRequest,
   ): Effect.Effect<A, Ports.WorkerError> {
-    const { path, body } = what;
+    const { path, body } = req;
     const call = caller.call(endpoint, { method: "POST", path, body });
     return Effect.matchEffect(call, {
       onFailure: (err) =>
@@ -112,24 +115,24 @@
             neverSent: err.neverSent,
           }),
         ),
-      onSuccess: (reply) => readReply<A>(endpoint, what, reply),
+      onSuccess: (reply) => readReply<A>(endpoint, req, reply),
     });
   }
 }
 
 function readReply<A>(
   endpoint: string,
-  what: Order,
+  req: WorkerRequest,
   { status, body }: HttpJson.HttpReply,
 ): Effect.Effect<A, Ports.WorkerError> {
   if (status === STATUS_OK) {
-    return what.isAsking && !HttpJson.isObject(body)
-      ? lose(endpoint, "status 200 without an object")
+    return req.isAsking && !HttpJson.isObject(body)
+      ? failAsLost(endpoint, "status 200 without an object")
       : Effect.succeed(body as A);
   }
   return status === STATUS_REFUSED
     ? readRefusal(endpoint, body)
-    : lose(endpoint, `status ${status}`);
+    : failAsLost(endpoint, `status ${status}`);
 }
 
 /** Without a known reason it proves nothing: the task may be there already. */
@@ -137,18 +140,18 @@
   endpoint: string,
   body: unknown,
 ): Effect.Effect<never, Ports.WorkerError> {
-  const told = (HttpJson.isObject(body) ? body : {}) as {
+  const refusal = (HttpJson.isObject(body) ? body : {}) as {
     worker?: string;
     reason?: Errors.RefusalReason;
     epoch?: number;
   };
-  const { worker = endpoint, reason, epoch = 0 } = told;
-  return reason !== undefined && REASONS.has(reason)
+  const { worker = endpoint, reason, epoch = 0 } = refusal;
+  return reason !== undefined && REFUSAL_REASONS.has(reason)
     ? Effect.fail(new Errors.WorkerRefusedError({ worker, reason, epoch }))
-    : lose(endpoint, "status 409 without a known reason");
+    : failAsLost(endpoint, "status 409 without a known reason");
 }
 
-function lose(
+function failAsLost(
   worker: string,
   cause: string,
 ): Effect.Effect<never, Errors.WorkerLostError> {
