--- a/packages/stand-in-server/src/platform_routes.ts
+++ b/packages/stand-in-server/src/platform_routes.ts
@@ -10,7 +10,7 @@
 import type * as http from "node:http";
 
 /** What the routes serve. */
-export interface PlatformParts {
+export interface PlatformServices {
   readonly table: StandIns.MemoryTable;
   readonly objects: StandIns.MemoryObjectStore;
   readonly live: StandIns.MemoryLiveList;
@@ -19,16 +19,18 @@
   readonly ledger: StandIns.RunLedger;
 }
 
-const BODY_LIMIT_BYTES = 16_000_000;
+const MAX_BODY_BYTES = 16_000_000;
 const OBJECTS_PATH = "/v1/objects/";
 
 type Reply = Effect.Effect<unknown, { readonly _tag: string }>;
 
 /** Handles all routes of the platform. */
-export function createHandler(parts: PlatformParts): http.RequestListener {
+export function createHandler(
+  services: PlatformServices,
+): http.RequestListener {
   return (req, res) => {
-    const handled = HttpJson.readJsonBody(req, BODY_LIMIT_BYTES).pipe(
-      Effect.flatMap((body) => route(parts, req, body)),
+    const handled = HttpJson.readJsonBody(req, MAX_BODY_BYTES).pipe(
+      Effect.flatMap((body) => route(services, req, body)),
       Effect.match({
         onSuccess: (body) => HttpJson.sendJson(res, 200, { body }),
         onFailure: (err) => sendFailure(res, err),
@@ -39,59 +41,62 @@
 }
 
 function route(
-  parts: PlatformParts,
+  services: PlatformServices,
   req: http.IncomingMessage,
   body: unknown,
 ): Reply {
   const path = req.url ?? "";
-  if (path.startsWith(OBJECTS_PATH)) return routeObject(parts, req, body);
-  if (path.startsWith("/control/")) return routeControl(parts, path, body);
+  if (path.startsWith(OBJECTS_PATH)) return routeObject(services, req, body);
+  if (path.startsWith("/control/")) return routeControl(services, path, body);
   switch (path) {
     case "/v1/table/read":
-      return parts.table.read((body as { keys: string[] }).keys);
+      return services.table.read((body as { keys: string[] }).keys);
     case "/v1/table/scan": {
       const scan = body as { prefix: string; afterRevision: number };
-      return parts.table.scan(scan.prefix, scan.afterRevision);
+      return services.table.scan(scan.prefix, scan.afterRevision);
     }
     case "/v1/table/transact":
       return Effect.map(
-        parts.table.transact(body as Ports.Transaction),
+        services.table.transact(body as Ports.Transaction),
         (revision) => ({ revision }),
       );
     case "/v1/live":
-      return readLive(parts, req);
+      return readLive(services, req);
     case "/ledger":
-      return Effect.succeed(parts.ledger.entries);
+      return Effect.succeed(services.ledger.entries);
     case "/counts":
-      return Effect.succeed(parts.table.counts);
+      return Effect.succeed(services.table.counts);
     default:
       return Effect.fail({ _tag: "NoSuchRoute" });
   }
 }
 
 /** A list that did not change is answered with 304 and no body. */
-function readLive(parts: PlatformParts, req: http.IncomingMessage): Reply {
+function readLive(
+  services: PlatformServices,
+  req: http.IncomingMessage,
+): Reply {
   const tag = req.headers["if-none-match"]?.replaceAll('"', "") ?? null;
   return Effect.flatMap(
-    parts.live.workers(tag),
-    (found): Reply =>
-      found === null
+    services.live.workers(tag),
+    (snapshot): Reply =>
+      snapshot === null
         ? Effect.fail({ _tag: "NotModified" })
-        : Effect.succeed(found),
+        : Effect.succeed(snapshot),
   );
 }
 
 function routeObject(
-  parts: PlatformParts,
+  services: PlatformServices,
   req: http.IncomingMessage,
   body: unknown,
 ): Reply {
   const key = decodeURIComponent((req.url ?? "").slice(OBJECTS_PATH.length));
   if (req.method === "PUT") {
-    return parts.objects.put(key, (body as { value: unknown }).value);
+    return services.objects.put(key, (body as { value: unknown }).value);
   }
   return Effect.flatMap(
-    parts.objects.get(key),
+    services.objects.get(key),
     (value) =>
       value === undefined
         ? Effect.fail({ _tag: "NoSuchObject" })
@@ -100,30 +105,30 @@
 }
 
 function routeControl(
-  parts: PlatformParts,
+  services: PlatformServices,
   path: string,
   body: unknown,
 ): Reply {
   return Effect.sync(() => {
     if (path === "/control/faults") {
-      parts.faults.set(body as Partial<StandIns.StoreFaults>);
+      services.faults.set(body as Partial<StandIns.StoreFaults>);
     }
-    const named = body as LeavingBody;
-    const worker = parts.workers.get(named.worker ?? "");
+    const request = body as WorkerControl;
+    const worker = services.workers.get(request.worker ?? "");
     if (path === "/control/restart") worker?.restart();
-    if (path === "/control/leaving") setLeaving(parts, named);
+    if (path === "/control/leaving") setLeaving(services, request);
     return {};
   });
 }
 
 /** The worker itself may be kept unaware, so that only the list tells. */
-function setLeaving(parts: PlatformParts, body: LeavingBody): void {
+function setLeaving(services: PlatformServices, body: WorkerControl): void {
   const { worker = "", leaving = false, listOnly = false } = body;
-  parts.live.mark(worker, leaving);
-  if (!listOnly) parts.workers.get(worker)?.setLeaving(leaving);
+  services.live.mark(worker, leaving);
+  if (!listOnly) services.workers.get(worker)?.setLeaving(leaving);
 }
 
-interface LeavingBody {
+interface WorkerControl {
   readonly worker?: string;
   readonly leaving?: boolean;
   readonly listOnly?: boolean;
--- a/packages/stand-in-server/src/worker_routes.ts
+++ b/packages/stand-in-server/src/worker_routes.ts
@@ -6,7 +6,7 @@
 import * as Effect from "effect/Effect";
 import type * as http from "node:http";
 
-const BODY_LIMIT_BYTES = 4_000_000;
+const MAX_BODY_BYTES = 4_000_000;
 const STATUS_OK = 200;
 const STATUS_BAD_REQUEST = 400;
 const STATUS_NOT_FOUND = 404;
@@ -19,8 +19,8 @@
   worker: StandIns.StandInWorker,
 ): http.RequestListener {
   return (req, res) => {
-    const handled = HttpJson.readJsonBody(req, BODY_LIMIT_BYTES).pipe(
-      Effect.flatMap((body) => carryOut(worker, req.url ?? "", body)),
+    const handled = HttpJson.readJsonBody(req, MAX_BODY_BYTES).pipe(
+      Effect.flatMap((body) => handleOrder(worker, req.url ?? "", body)),
       Effect.match({
         onSuccess: (body) => HttpJson.sendJson(res, STATUS_OK, { body }),
         onFailure: (err) => sendFailure(res, err),
@@ -30,13 +30,13 @@
   };
 }
 
-function carryOut(
+function handleOrder(
   worker: StandIns.StandInWorker,
   path: string,
   body: unknown,
 ): Effect.Effect<unknown, Errors.WorkerRefusedError | NoSuchRoute> {
-  const found = route(worker, path, body);
-  return found ?? Effect.fail(new NoSuchRoute());
+  const handled = route(worker, path, body);
+  return handled ?? Effect.fail(new NoSuchRoute());
 }
 
 class NoSuchRoute {
