--- a/packages/quickstart/src/run_quickstart.ts
+++ b/packages/quickstart/src/run_quickstart.ts
@@ -12,12 +12,12 @@
 import * as timers from "node:timers/promises";
 
 const EXAMPLE = "examples/polni_data/deployment.yaml";
-const SHORT_JOBS = 20;
+const SHORT_JOB_COUNT = 20;
 /** Jobs of 16 accelerators that take all 240 of the example. */
-const FILLING_JOBS = 15;
-const FILLING_TEAMS = ["coop_slovacko", "coop_vysocina", "coop_valassko"];
-const READY_TRIES = 200;
-const LOOK_MS = 50;
+const BATCH_JOB_COUNT = 15;
+const BATCH_TEAMS = ["coop_slovacko", "coop_vysocina", "coop_valassko"];
+const MAX_READY_POLLS = 200;
+const POLL_INTERVAL_MS = 50;
 
 const SETTINGS = `
 box: quickstart
@@ -39,7 +39,7 @@
 
 /** Talks to the one box of the quickstart. */
 class QuickstartClient {
-  readonly #caller = new HttpJson.HttpCaller({ connections: SHORT_JOBS });
+  readonly #caller = new HttpJson.HttpCaller({ connections: SHORT_JOB_COUNT });
   readonly #settings: Config.BoxSettings;
 
   constructor(settings: Config.BoxSettings) {
@@ -65,9 +65,9 @@
   }
 
   /** Asks the operators' address. */
-  async ask<A>(what: HttpJson.HttpCall): Promise<A> {
+  async callOperators<A>(req: HttpJson.HttpCall): Promise<A> {
     const reply = await Effect.runPromise(
-      this.#caller.call(this.#settings.operatorsAddress, what),
+      this.#caller.call(this.#settings.operatorsAddress, req),
     );
     return reply.body as A;
   }
@@ -75,13 +75,13 @@
   /** Explains a job. */
   explain(jobId: string): Promise<Types.Explanation> {
     const path = `/v1/jobs/${encodeURIComponent(jobId)}/explain`;
-    return this.ask<Types.Explanation>({ method: "GET", path });
+    return this.callOperators<Types.Explanation>({ method: "GET", path });
   }
 
   /** Waits until the cell has an owner with all workers sealed. */
   async awaitReady(): Promise<boolean> {
-    for (let i = 0; i < READY_TRIES; i++) {
-      const status = await this.ask<{ cells?: Types.CellStatus[] }>({
+    for (let i = 0; i < MAX_READY_POLLS; i++) {
+      const status = await this.callOperators<{ cells?: Types.CellStatus[] }>({
         method: "GET",
         path: "/v1/status",
       });
@@ -89,7 +89,7 @@
       if (cell !== undefined && cell.sealedWorkers === cell.workers) {
         return true;
       }
-      await timers.setTimeout(LOOK_MS);
+      await timers.setTimeout(POLL_INTERVAL_MS);
     }
     return false;
   }
@@ -117,22 +117,24 @@
   client: QuickstartClient,
   text: string,
 ): Promise<number> {
-  say(`1. Apply ${EXAMPLE}`);
+  show(`1. Apply ${EXAMPLE}`);
   const body = { text, basedOn: 0, applyId: "quickstart" };
-  await client.ask({ method: "POST", path: "/v1/config", body });
+  await client.callOperators({ method: "POST", path: "/v1/config", body });
   if (!await client.awaitReady()) {
-    say("   The cell found no owner in time.");
+    show("   The cell found no owner in time.");
     return 1;
   }
-  const answered = await runShortJobs(client);
+  const areAnswered = await runShortJobs(client);
   await fillWithBatchWork(client);
   const isPlaced = await claimGuarantee(client);
-  return answered && isPlaced ? 0 : 1;
+  return areAnswered && isPlaced ? 0 : 1;
 }
 
 async function runShortJobs(client: QuickstartClient): Promise<boolean> {
-  say(`2. ${SHORT_JOBS} fault scans, each answered while its driver waits`);
-  const jobs = Array.from({ length: SHORT_JOBS }, (_, i) =>
+  show(
+    `2. ${SHORT_JOB_COUNT} fault scans, each answered while its driver waits`,
+  );
+  const jobs = Array.from({ length: SHORT_JOB_COUNT }, (_, i) =>
     client.submit({
       team: "coop_hana",
       service: "fault_scan",
@@ -142,16 +144,18 @@
       },
     }));
   const answers = await Promise.all(jobs);
-  const own = answers.filter((a, i) => a.result?.request === `scan-${i}`);
-  say(`   ${own.length} of ${SHORT_JOBS} answers belong to their request`);
-  return own.length === SHORT_JOBS;
+  const matching = answers.filter((a, i) => a.result?.request === `scan-${i}`);
+  show(
+    `   ${matching.length} of ${SHORT_JOB_COUNT} answers belong to their request`,
+  );
+  return matching.length === SHORT_JOB_COUNT;
 }
 
 /** Long batch work takes all the capacity that nobody has claimed. */
 async function fillWithBatchWork(client: QuickstartClient): Promise<void> {
-  say("3. Batch work of three teams fills the racks");
-  for (let i = 0; i < FILLING_JOBS; i++) {
-    const team = FILLING_TEAMS[i % FILLING_TEAMS.length];
+  show("3. Batch work of three teams fills the racks");
+  for (let i = 0; i < BATCH_JOB_COUNT; i++) {
+    const team = BATCH_TEAMS[i % BATCH_TEAMS.length];
     await client.submit({
       team,
       service: "soil_compaction",
@@ -159,18 +163,18 @@
     });
   }
   await timers.setTimeout(500);
-  const status = await client.ask<{ cells: Types.CellStatus[] }>({
+  const status = await client.callOperators<{ cells: Types.CellStatus[] }>({
     method: "GET",
     path: "/v1/status",
   });
   for (const rack of status.cells[0].racks) {
-    say(`   ${rack.name}  ${rack.workers.join(" ")}`);
+    show(`   ${rack.name}  ${rack.workers.join(" ")}`);
   }
-  say("   (. free, g guaranteed, o opportunistic)");
+  show("   (. free, g guaranteed, o opportunistic)");
 }
 
 async function claimGuarantee(client: QuickstartClient): Promise<boolean> {
-  say("4. coop_hana claims its guaranteed block with a gang of 16");
+  show("4. coop_hana claims its guaranteed block with a gang of 16");
   const gang = await client.submit({
     team: "coop_hana",
     service: "yield_map",
@@ -180,17 +184,19 @@
   });
   await timers.setTimeout(700);
   const found = await client.explain(gang.jobId);
-  say(`   gang ${gang.jobId}: ${found.state} on ${found.workers.join(", ")}`);
-  for (const { kind, detail } of found.history) say(`     ${kind}: ${detail}`);
-  await showVictim(client, gang.jobId);
+  show(`   gang ${gang.jobId}: ${found.state} on ${found.workers.join(", ")}`);
+  for (const { kind, detail } of found.history) show(`     ${kind}: ${detail}`);
+  await showYieldedJob(client, gang.jobId);
   return found.entitlement !== null;
 }
 
-async function showVictim(
+async function showYieldedJob(
   client: QuickstartClient,
   claimant: string,
 ): Promise<void> {
-  const dump = await client.ask<{ cells: { jobs: { id: string }[] }[] }>({
+  const dump = await client.callOperators<
+    { cells: { jobs: { id: string }[] }[] }
+  >({
     method: "GET",
     path: "/debug/dump",
   });
@@ -200,12 +206,12 @@
       r.detail.includes(claimant)
     );
     if (yielded === undefined) continue;
-    say(`   job ${id} of ${found.team} yielded; it is ${found.state}:`);
-    for (const reason of found.waitsFor) say(`     waits: ${reason.detail}`);
+    show(`   job ${id} of ${found.team} yielded; it is ${found.state}:`);
+    for (const reason of found.waitsFor) show(`     waits: ${reason.detail}`);
     return;
   }
 }
 
-function say(line: string): void {
+function show(line: string): void {
   process.stdout.write(`${line}\n`);
 }
