--- a/packages/local-cluster/src/cluster_client.ts
+++ b/packages/local-cluster/src/cluster_client.ts
@@ -25,15 +25,15 @@
   }
 
   /** Calls; a lost answer is a reply with status 0. */
-  async call(address: string, what: HttpJson.HttpCall): Promise<JobReply> {
-    const called = await Effect.runPromise(
-      Effect.result(this.#caller.call(address, what)),
+  async call(address: string, req: HttpJson.HttpCall): Promise<JobReply> {
+    const result = await Effect.runPromise(
+      Effect.result(this.#caller.call(address, req)),
     );
-    if (called._tag === "Failure") {
-      const { neverSent } = called.failure;
+    if (result._tag === "Failure") {
+      const { neverSent } = result.failure;
       return { status: 0, body: {}, neverSent };
     }
-    const { status, body } = called.success;
+    const { status, body } = result.success;
     const isObject = typeof body === "object" && body !== null;
     const fields = isObject ? body as Record<string, unknown> : { text: body };
     return { status, body: fields, neverSent: false };
--- a/packages/local-cluster/src/local_cluster.ts
+++ b/packages/local-cluster/src/local_cluster.ts
@@ -25,9 +25,9 @@
 }
 
 const PORTS_PER_BOX = 10;
-const READY_MS = 20_000;
-const LOOK_MS = 50;
-const STOP_MS = 15_000;
+const READY_TIMEOUT_MS = 20_000;
+const POLL_INTERVAL_MS = 50;
+const STOP_TIMEOUT_MS = 15_000;
 
 /** Processes on loopback, each known by its own id. */
 export class LocalCluster {
@@ -68,11 +68,11 @@
     await fs.writeFile(file, this.options.text);
     const args = ["--deployment", file, "--platform", this.platform];
     this.#standIns = this.#spawn("stand-in-server", args, "stand-ins");
-    await this.#until(() => this.#answers(this.platform, "/counts"));
+    await this.#waitUntil(() => this.#isServing(this.platform, "/counts"));
     for (let box = 1; box <= this.options.boxes; box++) {
       await this.startBox(box);
     }
-    await this.#until(() => this.#answers(this.operators(1), "/healthz"));
+    await this.#waitUntil(() => this.#isServing(this.operators(1), "/healthz"));
     await this.apply(1, this.options.text, 0);
     await this.awaitReady();
   }
@@ -111,8 +111,8 @@
     const ended = new Promise<number | null>((resolve) => {
       child.once("exit", (code) => resolve(code));
     });
-    const late = timers.setTimeout(STOP_MS, null, { ref: false });
-    return await Promise.race([ended, late]);
+    const timeout = timers.setTimeout(STOP_TIMEOUT_MS, null, { ref: false });
+    return await Promise.race([ended, timeout]);
   }
 
   /** Process id of a box. */
@@ -128,16 +128,18 @@
       cell: string;
       owner: string;
     }[];
-    const found = cells.find((c) => c.cell === cell);
-    return Number(found?.owner.replace("box_", "") ?? 0);
+    const owned = cells.find((c) => c.cell === cell);
+    return Number(owned?.owner.replace("box_", "") ?? 0);
   }
 
   /** Waits until every box is ready and every cell has sealed its workers. */
   async awaitReady(): Promise<void> {
     for (const box of this.running()) {
-      await this.#until(() => this.#answers(this.operators(box), "/readyz"));
+      await this.#waitUntil(() =>
+        this.#isServing(this.operators(box), "/readyz")
+      );
     }
-    await this.#until(() => this.#isSealed());
+    await this.#waitUntil(() => this.#areWorkersSealed());
   }
 
   /** Ends all processes that this cluster started. */
@@ -148,7 +150,7 @@
     await fs.rm(this.#folder, { recursive: true, force: true });
   }
 
-  async #isSealed(): Promise<boolean> {
+  async #areWorkersSealed(): Promise<boolean> {
     const [box] = this.running();
     const reply = await this.client.get(this.operators(box), "/v1/status");
     const cells = (reply.body["cells"] ?? []) as {
@@ -159,15 +161,15 @@
       cells.every((cell) => cell.sealedWorkers === cell.workers);
   }
 
-  async #answers(address: string, route: string): Promise<boolean> {
+  async #isServing(address: string, route: string): Promise<boolean> {
     return (await this.client.get(address, route)).status === 200;
   }
 
-  async #until(holds: () => Promise<boolean>): Promise<void> {
-    const endMs = Date.now() + READY_MS;
-    while (Date.now() < endMs) {
-      if (await holds()) return;
-      await timers.setTimeout(LOOK_MS);
+  async #waitUntil(condition: () => Promise<boolean>): Promise<void> {
+    const deadlineMs = Date.now() + READY_TIMEOUT_MS;
+    while (Date.now() < deadlineMs) {
+      if (await condition()) return;
+      await timers.setTimeout(POLL_INTERVAL_MS);
     }
     throw new ClusterNotReadyError(this.options.deployment);
   }
--- a/packages/local-cluster/src/make_deployment.ts
+++ b/packages/local-cluster/src/make_deployment.ts
@@ -39,8 +39,8 @@
     dataCentre: `dc_${rack % 3}`,
     workers: Array.from(
       { length: Math.min(8, shape.workers - rack * WORKERS_PER_RACK) },
-      (_, place) => {
-        const index = rack * WORKERS_PER_RACK + place;
+      (_, position) => {
+        const index = rack * WORKERS_PER_RACK + position;
         return {
           name: `worker_${index}`,
           endpoint: `127.0.0.1:${shape.firstWorkerPort + index}`,
