--- a/packages/entry/src/parse_submission.ts
+++ b/packages/entry/src/parse_submission.ts
@@ -176,7 +176,7 @@
   return digest.slice(0, HASH_LENGTH);
 }
 
-/** Returns the lower of two tiers: a job never exceeds the tier of its team. */
+/** Returns the lower of two tiers: a job never exceeds what its team has paid for. */
 function lowerTier(requested: Types.Tier, allowed: Types.Tier): Types.Tier {
   const rank = Math.max(Types.rankTier(requested), Types.rankTier(allowed));
   return Types.TIER_ORDER[rank];
