--- a/packages/adapters/mod.ts
+++ b/packages/adapters/mod.ts
@@ -1,4 +1,4 @@
-/** Adapters: system clock, random numbers, platform and workers over HTTP. */
+/** Adapters of the ports: system clock, random source, platform and workers over HTTP. */
 export {
   HttpLiveList,
   HttpObjectStore,
--- a/packages/adapters/src/http_platform.ts
+++ b/packages/adapters/src/http_platform.ts
@@ -1,8 +1,8 @@
 /**
- * The platform's services over HTTP: `POST /v1/table/read`, `/scan` and
- * `/transact`, `PUT` and `GET /v1/objects/<key>`, `GET /v1/live` with `If-None-Match`. Answers:
- * 200 with the reply; 409 with `key`, `expected`, `actual` for a condition
- * that failed; 503 for a call that was not carried out.
+ * Clients of the platform's services over HTTP: `POST /v1/table/read`, `/scan` and
+ * `/transact`, `PUT` and `GET /v1/objects/<key>`, and `GET /v1/live` with
+ * `If-None-Match`. Answers: 200 with the reply; 409 with `key`, `expected` and
+ * `actual` for a failed condition; 503 for a call that was not carried out.
  */
 import * as Errors from "@cairngate/errors";
 import * as HttpJson from "@cairngate/http-json";
@@ -14,10 +14,10 @@
 const STATUS_NOT_FOUND = 404;
 const STATUS_CONFLICT = 409;
 const STATUS_UNAVAILABLE = 503;
-/** Connections of a box to each platform service. */
+/** Maximum number of connections from a box to each platform service. */
 const CONNECTIONS_PER_SERVICE = 4;
 
-/** Adapter of the table service's port. */
+/** Table service over HTTP. */
 export class HttpTable extends Ports.TableService {
   readonly #platform: PlatformCaller;
 
@@ -72,7 +72,7 @@
   }
 }
 
-/** Adapter of the object store's port. */
+/** Object store over HTTP. */
 export class HttpObjectStore extends Ports.ObjectStore {
   readonly #platform: PlatformCaller;
 
@@ -108,7 +108,7 @@
   }
 }
 
-/** Adapter of the live list's port. */
+/** List of live workers over HTTP. */
 export class HttpLiveList extends Ports.LiveList {
   readonly #platform: PlatformCaller;
 
@@ -135,7 +135,10 @@
   }
 }
 
-/** Calls one platform; tells an outage from a lost answer. */
+/**
+ * Calls one platform service. Fails with StoreUnavailableError if the call was not
+ * carried out, and with AnswerLostError if it may have been.
+ */
 class PlatformCaller {
   readonly #caller: HttpJson.HttpCaller;
   readonly #address: string;
@@ -167,6 +170,7 @@
   }
 }
 
+/** Whether an answer may lack a body: only 200 and 409 need one, but not for PUT. */
 function mayHaveNoBody(
   { method }: HttpJson.HttpCall,
   { status }: HttpJson.HttpReply,
@@ -175,7 +179,6 @@
     (status !== STATUS_OK && status !== STATUS_CONFLICT);
 }
 
-/** An object or a list. */
 function isObjectOrArray(body: unknown): boolean {
   return typeof body === "object" && body !== null;
 }
--- a/packages/adapters/src/http_workers.ts
+++ b/packages/adapters/src/http_workers.ts
@@ -1,6 +1,6 @@
 /**
- * Workers over HTTP. Each order is `POST /v1/<order>` with a JSON body.
- * Answers: 200 with the reply; 409 with `reason` and `epoch` for a refusal.
+ * Client of the workers over HTTP. Each order is `POST /v1/<order>` with a JSON
+ * body. Answers: 200 with the reply; 409 with `reason` and `epoch` for a refusal.
  */
 import * as Errors from "@cairngate/errors";
 import * as HttpJson from "@cairngate/http-json";
@@ -13,23 +13,26 @@
 const REFUSAL_REASONS: ReadonlySet<string> = new Set(
   Object.values(Errors.RefusalReason),
 );
-/** Connections of a box to a worker that carry orders and reports. */
+/**
+ * Connections from a box to a worker that are reserved for orders and reports, so
+ * that they don't queue behind runs.
+ */
 const CONTROL_CONNECTIONS = 2;
 
-/** An order on its way. */
+/** An HTTP request that carries an order. */
 interface WorkerRequest {
   readonly path: string;
   readonly body: unknown;
-  /** The answer tells something: one without an object is none. */
+  /** Whether a reply is expected; 200 without an object then counts as lost. */
   readonly isAsking: boolean;
 }
 
-/** Adapter of the workers' port. */
+/** Sends orders to workers over HTTP. */
 export class HttpWorkers extends Ports.Workers {
   readonly #runs: HttpJson.HttpCaller;
   readonly #control: HttpJson.HttpCaller;
 
-  /** @param connections most connections of this box to one worker */
+  /** @param connections maximum number of connections from this box to one worker */
   constructor(
     connections: number,
     listener: HttpJson.TrafficListener | null = null,
@@ -135,7 +138,10 @@
     : failAsLost(endpoint, `status ${status}`);
 }
 
-/** Without a known reason it proves nothing: the task may be there already. */
+/**
+ * Reads the body of a refusal. A 409 without a known reason counts as a lost answer:
+ * it doesn't prove that the worker has not accepted the task.
+ */
 function readRefusal(
   endpoint: string,
   body: unknown,
--- a/packages/adapters/src/odd_bodies_test.ts
+++ b/packages/adapters/src/odd_bodies_test.ts
@@ -1,4 +1,7 @@
-/** Answers of workers and platform with a missing or odd body. */
+/**
+ * Guards against answers whose body is missing or malformed: they must count as
+ * lost, not as a refusal or a success.
+ */
 import * as HttpJson from "@cairngate/http-json";
 import * as Effect from "effect/Effect";
 import * as http from "node:http";
@@ -7,7 +10,7 @@
 import * as platforms from "./http_platform.ts";
 import * as workers from "./http_workers.ts";
 
-/** Status and text of the next answers. */
+/** Status and body text of the server's next answers. */
 let answer: { status: number; text: string };
 let address = "";
 const server = http.createServer((req, res) => {
@@ -30,7 +33,7 @@
   server.closeAllConnections();
 });
 
-/** The tag of a failure; "none" where it is taken for a success. */
+/** Returns the tag of a failure, or "none" for a success. */
 async function failureOf<A, E extends { readonly _tag: string }>(
   effect: Effect.Effect<A, E>,
 ): Promise<string> {
@@ -42,13 +45,16 @@
   const seal = () => client.seal(address, { cell: "c-1", epoch: 2 });
 
   for (const text of ["", "null", "{}", '{"reason":"else"}']) {
-    vitest.it(`is no sure refusal with the body '${text}'`, async () => {
-      answer = { status: 409, text };
-      vitest.expect(await failureOf(seal())).toBe("WorkerLostError");
-    });
+    vitest.it(
+      `counts as lost with status 409 and the body '${text}'`,
+      async () => {
+        answer = { status: 409, text };
+        vitest.expect(await failureOf(seal())).toBe("WorkerLostError");
+      },
+    );
   }
 
-  vitest.it("is a refusal with a reason", async () => {
+  vitest.it("is a refusal with status 409 and a known reason", async () => {
     answer = { status: 409, text: '{"reason":"stale-epoch","epoch":4}' };
     const refused = await Effect.runPromise(Effect.flip(seal()));
     vitest.expect(refused).toMatchObject({
@@ -60,10 +66,13 @@
   });
 
   for (const text of ["", "null", "[]"]) {
-    vitest.it(`tells nothing by 200 and '${text}'`, async () => {
-      answer = { status: 200, text };
-      vitest.expect(await failureOf(seal())).toBe("WorkerLostError");
-    });
+    vitest.it(
+      `counts as lost with status 200 and the body '${text}'`,
+      async () => {
+        answer = { status: 200, text };
+        vitest.expect(await failureOf(seal())).toBe("WorkerLostError");
+      },
+    );
   }
 });
 
@@ -73,11 +82,14 @@
 
   for (const status of [200, 409]) {
     for (const text of ["", "null"]) {
-      vitest.it(`is lost with ${status} and '${text}'`, async () => {
-        answer = { status, text };
-        vitest.expect(await failureOf(table().transact(tx)))
-          .toBe("AnswerLostError");
-      });
+      vitest.it(
+        `counts as lost with status ${status} and the body '${text}'`,
+        async () => {
+          answer = { status, text };
+          vitest.expect(await failureOf(table().transact(tx)))
+            .toBe("AnswerLostError");
+        },
+      );
     }
   }
 });
--- a/packages/adapters/src/system_clock.ts
+++ b/packages/adapters/src/system_clock.ts
@@ -1,9 +1,9 @@
-/** The machine's clocks. */
+/** Adapter of the clock port. */
 import * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
 import * as performance from "node:perf_hooks";
 
-/** Wall clock, monotonic clock and timers of the machine. */
+/** Wall clock, monotonic clock and timers of the operating system. */
 export class SystemClock extends Ports.Clock {
   override wallMs(): number {
     return Date.now();
--- a/packages/adapters/src/system_random.ts
+++ b/packages/adapters/src/system_random.ts
@@ -1,8 +1,8 @@
-/** Random numbers and identifiers of the machine. */
+/** Adapter of the random source port. */
 import * as Ports from "@cairngate/ports";
 import * as crypto from "node:crypto";
 
-/** Random source for daemons. */
+/** Unseeded random numbers and UUIDs, for production processes. */
 export class SystemRandom extends Ports.RandomSource {
   override next(): number {
     return Math.random();
