--- a/packages/stand-in-server/bin.ts
+++ b/packages/stand-in-server/bin.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `cairngate-stand-ins`: platform and workers of one operators' file. */
+/** `cairngate-stand-ins`: serves the platform and workers of one deployment file. */
 import * as Config from "@cairngate/config";
 import * as Clipanion from "clipanion";
 import * as Effect from "effect/Effect";
--- a/packages/stand-in-server/mod.ts
+++ b/packages/stand-in-server/mod.ts
@@ -1,2 +1,2 @@
-/** The stand-ins as a program: platform and workers over HTTP. */
+/** Serves the stand-in platform and stand-in workers over HTTP. */
 export { serveStandIns, type StandInServer } from "./src/serve_stand_ins.ts";
--- a/packages/stand-in-server/src/platform_routes.ts
+++ b/packages/stand-in-server/src/platform_routes.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's services over HTTP, and a control page for tests:
- * `POST /control/faults`, `/control/leaving`, `/control/restart`,
- * `GET /ledger`, `GET /counts`.
+ * HTTP routes of the stand-in platform's services, and control routes for tests:
+ * `POST /control/faults`, `/control/leaving` and `/control/restart`, `GET /ledger`
+ * (runs of all workers) and `GET /counts` (calls of the table).
  */
 import * as HttpJson from "@cairngate/http-json";
 import type * as Ports from "@cairngate/ports";
@@ -9,7 +9,7 @@
 import * as Effect from "effect/Effect";
 import type * as http from "node:http";
 
-/** What the routes serve. */
+/** Stand-in services and workers that the routes serve. */
 export interface PlatformServices {
   readonly table: StandIns.MemoryTable;
   readonly objects: StandIns.MemoryObjectStore;
@@ -24,7 +24,7 @@
 
 type Reply = Effect.Effect<unknown, { readonly _tag: string }>;
 
-/** Handles all routes of the platform. */
+/** Creates the request handler for all routes of the platform. */
 export function createHandler(
   services: PlatformServices,
 ): http.RequestListener {
@@ -71,7 +71,7 @@
   }
 }
 
-/** A list that did not change is answered with 304 and no body. */
+/** Reads the live list; a list with the tag of If-None-Match is answered with 304. */
 function readLive(
   services: PlatformServices,
   req: http.IncomingMessage,
@@ -121,7 +121,10 @@
   });
 }
 
-/** The worker itself may be kept unaware, so that only the list tells. */
+/**
+ * Marks a worker as leaving in the live list. With `listOnly` the worker itself goes
+ * on accepting orders, so that a test checks how boxes treat the list.
+ */
 function setLeaving(services: PlatformServices, body: WorkerControl): void {
   const { worker = "", leaving = false, listOnly = false } = body;
   services.live.mark(worker, leaving);
@@ -144,7 +147,7 @@
     case "StoreUnavailableError":
       return HttpJson.sendJson(res, 503, { body: err });
     case "AnswerLostError":
-      // The write has taken effect; its answer never arrives.
+      // The write has taken effect. Closing the connection loses its answer.
       res.destroy();
       return;
     case "NotModified":
--- a/packages/stand-in-server/src/serve_stand_ins.ts
+++ b/packages/stand-in-server/src/serve_stand_ins.ts
@@ -9,17 +9,17 @@
 import * as platformRoutes from "./platform_routes.ts";
 import * as workerRoutes from "./worker_routes.ts";
 
-/** Running stand-ins. */
+/** The running servers of a deployment's stand-ins. */
 export interface StandInServer {
   readonly workers: ReadonlyMap<string, StandIns.StandInWorker>;
   readonly ledger: StandIns.RunLedger;
-  /** Closes every address. */
+  /** Closes all servers and their connections. */
   close(): void;
 }
 
 const KEEP_ALIVE_MS = 120_000;
 
-/** Opens the stand-ins of a deployment. */
+/** Starts the stand-in platform and one stand-in for each worker of a deployment. */
 export function serveStandIns(
   cfg: Types.DeploymentConfig,
   platformAddress: string,
--- a/packages/stand-in-server/src/worker_routes.ts
+++ b/packages/stand-in-server/src/worker_routes.ts
@@ -1,4 +1,4 @@
-/** A stand-in worker's orders over HTTP. */
+/** HTTP routes of a stand-in worker. */
 import type * as Errors from "@cairngate/errors";
 import * as HttpJson from "@cairngate/http-json";
 import type * as StandIns from "@cairngate/stand-ins";
@@ -14,7 +14,7 @@
 
 type Reply = Effect.Effect<unknown, Errors.WorkerRefusedError>;
 
-/** Handles the orders of one worker. */
+/** Creates the request handler for the orders of one worker. */
 export function createHandler(
   worker: StandIns.StandInWorker,
 ): http.RequestListener {
