--- a/packages/quickstart/mod.ts
+++ b/packages/quickstart/mod.ts
@@ -1,2 +1,2 @@
-/** Runs the main job on embedded stand-ins and shows what was decided. */
+/** Runs example jobs on embedded stand-ins and prints the scheduler's decisions. */
 export { runQuickstart } from "./src/run_quickstart.ts";
--- a/packages/quickstart/src/run_quickstart.ts
+++ b/packages/quickstart/src/run_quickstart.ts
@@ -1,6 +1,7 @@
 /**
- * Starts one box on stand-ins, applies an example, submits short jobs, a gang
- * and a job that another yields to, and prints what was decided and why.
+ * Starts one box on stand-ins, applies an example deployment, submits short jobs,
+ * batch jobs and a gang that preempts one of them, and prints each decision with
+ * its reason.
  */
 import * as Config from "@cairngate/config";
 import * as Daemon from "@cairngate/daemon";
@@ -13,7 +14,7 @@
 
 const EXAMPLE = "examples/polni_data/deployment.yaml";
 const SHORT_JOB_COUNT = 20;
-/** Jobs of 16 accelerators that take all 240 of the example. */
+/** Jobs of 16 accelerators; together they use all 240 of the example. */
 const BATCH_JOB_COUNT = 15;
 const BATCH_TEAMS = ["coop_slovacko", "coop_vysocina", "coop_valassko"];
 const MAX_READY_POLLS = 200;
@@ -30,14 +31,14 @@
 logLevel: error
 `;
 
-/** A job as the callers' address answers it. */
+/** Fields of the callers' API answer to a job submission. */
 interface JobAnswer {
   readonly jobId: string;
   readonly outcome: string | null;
   readonly result: { readonly request?: string } | null;
 }
 
-/** Talks to the one box of the quickstart. */
+/** HTTP client of the quickstart's box. */
 class QuickstartClient {
   readonly #caller = new HttpJson.HttpCaller({ connections: SHORT_JOB_COUNT });
   readonly #settings: Config.BoxSettings;
@@ -51,7 +52,7 @@
     this.#caller.close();
   }
 
-  /** Submits a job; `waitSeconds` of 0 returns once it is accepted. */
+  /** Submits a job; with `waitSeconds` 0 it doesn't ask to wait for the end. */
   async submit(body: unknown, waitSeconds = 0): Promise<JobAnswer> {
     const reply = await Effect.runPromise(
       this.#caller.call(this.#settings.callersAddress, {
@@ -64,7 +65,7 @@
     return reply.body as JobAnswer;
   }
 
-  /** Asks the operators' address. */
+  /** Calls the operators' API. */
   async callOperators<A>(req: HttpJson.HttpCall): Promise<A> {
     const reply = await Effect.runPromise(
       this.#caller.call(this.#settings.operatorsAddress, req),
@@ -72,13 +73,13 @@
     return reply.body as A;
   }
 
-  /** Explains a job. */
+  /** Reads the explanation of a job's state and history. */
   explain(jobId: string): Promise<Types.Explanation> {
     const path = `/v1/jobs/${encodeURIComponent(jobId)}/explain`;
     return this.callOperators<Types.Explanation>({ method: "GET", path });
   }
 
-  /** Waits until the cell has an owner with all workers sealed. */
+  /** Waits until the cell's owner has fenced all workers; false on timeout. */
   async awaitReady(): Promise<boolean> {
     for (let i = 0; i < MAX_READY_POLLS; i++) {
       const status = await this.callOperators<{ cells?: Types.CellStatus[] }>({
@@ -95,7 +96,7 @@
   }
 }
 
-/** Runs the quickstart; returns the exit code. */
+/** Runs the quickstart and returns the process's exit code. */
 export async function runQuickstart(): Promise<number> {
   const text = await fs.readFile(EXAMPLE, "utf8");
   const settings = await Effect.runPromise(
@@ -121,7 +122,7 @@
   const body = { text, basedOn: 0, applyId: "quickstart" };
   await client.callOperators({ method: "POST", path: "/v1/config", body });
   if (!await client.awaitReady()) {
-    show("   The cell found no owner in time.");
+    show("   Timeout: no owner of the cell has fenced all its workers.");
     return 1;
   }
   const areAnswered = await runShortJobs(client);
@@ -151,7 +152,7 @@
   return matching.length === SHORT_JOB_COUNT;
 }
 
-/** Long batch work takes all the capacity that nobody has claimed. */
+/** Submits long batch jobs that use all the capacity that no team has claimed. */
 async function fillWithBatchWork(client: QuickstartClient): Promise<void> {
   show("3. Batch work of three teams fills the racks");
   for (let i = 0; i < BATCH_JOB_COUNT; i++) {
