--- a/packages/local-cluster/src/cluster_client.ts
+++ b/packages/local-cluster/src/cluster_client.ts
@@ -1,20 +1,20 @@
-/** Calls the boxes and the stand-ins of a local cluster. */
+/** HTTP client for the boxes and stand-ins of a local cluster. */
 import * as HttpJson from "@cairngate/http-json";
 import * as Effect from "effect/Effect";
 
-/** A reply to a caller; status 0 means that no answer came. */
+/** HTTP reply; status 0 means that no answer was received. */
 export interface JobReply {
   readonly status: number;
   readonly body: Readonly<Record<string, unknown>>;
-  /** True where no connection could be opened. */
+  /** True if the request was not sent, so that it can't have taken effect. */
   readonly neverSent: boolean;
 }
 
-/** Calls over kept connections. */
+/** Calls addresses over connections that are kept open. */
 export class ClusterClient {
   readonly #caller: HttpJson.HttpCaller;
 
-  /** @param connections most connections to one address */
+  /** @param connections maximum number of connections to one address */
   constructor(connections: number) {
     this.#caller = new HttpJson.HttpCaller({ connections });
   }
@@ -24,7 +24,7 @@
     this.#caller.close();
   }
 
-  /** Calls; a lost answer is a reply with status 0. */
+  /** Sends a request. Doesn't reject on a lost answer, but returns status 0. */
   async call(address: string, req: HttpJson.HttpCall): Promise<JobReply> {
     const result = await Effect.runPromise(
       Effect.result(this.#caller.call(address, req)),
@@ -39,12 +39,12 @@
     return { status, body: fields, neverSent: false };
   }
 
-  /** GET. */
+  /** Sends a GET request. */
   get(address: string, path: string): Promise<JobReply> {
     return this.call(address, { method: "GET", path });
   }
 
-  /** POST. */
+  /** Sends a POST request with a JSON body. */
   post(
     address: string,
     path: string,
--- a/packages/local-cluster/src/local_cluster.ts
+++ b/packages/local-cluster/src/local_cluster.ts
@@ -1,4 +1,4 @@
-/** Boxes and one stand-in process on loopback. */
+/** Starts, signals and stops the processes of a cluster on loopback. */
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs/promises";
 import * as os from "node:os";
@@ -9,18 +9,19 @@
 import * as Yaml from "yaml";
 import * as clients from "./cluster_client.ts";
 
-/** What to start. */
+/** Size, deployment and settings of a local cluster. */
 export interface ClusterOptions {
   readonly boxes: number;
-  /** Name and text of the operators' file. */
+  /** Name of the deployment. */
   readonly deployment: string;
+  /** Text of the deployment file. */
   readonly text: string;
   readonly cells: readonly string[];
-  /** First of the ports for the platform and the boxes. */
+  /** Port of the platform; the boxes use the ports after it, PORTS_PER_BOX each. */
   readonly firstPort: number;
-  /** Settings on top of the usual ones. */
+  /** Settings that are added to each box's, or override them. */
   readonly extraSettings?: Readonly<Record<string, unknown>>;
-  /** Where the processes' logs go; null for nowhere. */
+  /** Folder for the logs of the processes; null discards them. */
   readonly logFolder?: string | null;
 }
 
@@ -29,7 +30,10 @@
 const POLL_INTERVAL_MS = 50;
 const STOP_TIMEOUT_MS = 15_000;
 
-/** Processes on loopback, each known by its own id. */
+/**
+ * One process for each box and one for all stand-ins. Boxes are numbered from 1;
+ * only processes that this cluster started are signalled.
+ */
 export class LocalCluster {
   readonly options: ClusterOptions;
   readonly client = new clients.ClusterClient(64);
@@ -46,7 +50,7 @@
     return `127.0.0.1:${this.options.firstPort}`;
   }
 
-  /** Callers' address of a box; boxes count from 1. */
+  /** Callers' address of a box. */
   callers(box: number): string {
     return this.#address(box, 1);
   }
@@ -56,12 +60,15 @@
     return this.#address(box, 2);
   }
 
-  /** Numbers of the boxes whose process runs. */
+  /** Numbers of the boxes whose process is running. */
   running(): number[] {
     return [...this.#boxes.keys()];
   }
 
-  /** Starts everything and applies the operators' file. */
+  /**
+   * Starts the stand-ins and boxes, applies the deployment and waits until it is
+   * ready. Throws ClusterNotReadyError on timeout.
+   */
   async start(): Promise<void> {
     this.#folder = await fs.mkdtemp(path.join(os.tmpdir(), "cairngate-"));
     const file = path.join(this.#folder, "deployment.yaml");
@@ -77,7 +84,7 @@
     await this.awaitReady();
   }
 
-  /** Applies a file through a box. */
+  /** Applies a deployment file through a box. */
   apply(
     box: number,
     text: string,
@@ -104,7 +111,10 @@
     this.#boxes.get(box)?.kill(signal);
   }
 
-  /** Waits until the process of a box has ended; its exit code. */
+  /**
+   * Waits for the end of a box's process and returns its exit code. Null on timeout,
+   * after a signal, or if the process doesn't run.
+   */
   async awaitExit(box: number): Promise<number | null> {
     const child = this.#boxes.get(box);
     if (child === undefined) return null;
@@ -120,7 +130,7 @@
     return this.#boxes.get(box)?.pid;
   }
 
-  /** Number of the box that owns a cell; 0 where none answers. */
+  /** Returns the number of the box that owns a cell; 0 if there is none. */
   async owner(cell: string): Promise<number> {
     const [box] = this.running();
     const reply = await this.client.get(this.operators(box), "/v1/status");
@@ -132,7 +142,7 @@
     return Number(owned?.owner.replace("box_", "") ?? 0);
   }
 
-  /** Waits until every box is ready and every cell has sealed its workers. */
+  /** Waits until every box is ready and every cell's owner has fenced its workers. */
   async awaitReady(): Promise<void> {
     for (const box of this.running()) {
       await this.#waitUntil(() =>
@@ -142,7 +152,7 @@
     await this.#waitUntil(() => this.#areWorkersSealed());
   }
 
-  /** Ends all processes that this cluster started. */
+  /** Kills all processes that this cluster started and deletes its folder. */
   async stop(): Promise<void> {
     for (const child of this.#boxes.values()) child.kill("SIGKILL");
     this.#standIns?.kill("SIGKILL");
@@ -218,7 +228,7 @@
   }
 }
 
-/** The processes did not become ready in time. */
+/** Thrown when the processes are not ready after READY_TIMEOUT_MS. */
 export class ClusterNotReadyError extends Error {
   readonly _tag = "ClusterNotReadyError";
   constructor(deployment: string) {
--- a/packages/local-cluster/src/make_deployment.ts
+++ b/packages/local-cluster/src/make_deployment.ts
@@ -1,20 +1,20 @@
-/** Operators' files of any size for drills and measurements. */
+/** Generates deployment files of any size for drills and measurements. */
 import * as Yaml from "yaml";
 
-/** Size of a deployment. */
+/** Name, size and ports of a generated deployment. */
 export interface DeploymentShape {
   readonly name: string;
   readonly workers: number;
   readonly teams: number;
   readonly cells: number;
-  /** Address of worker i is 127.0.0.1 with this port plus i. */
+  /** Port of worker 0; worker i listens on 127.0.0.1 at this port plus i. */
   readonly firstWorkerPort: number;
 }
 
 const WORKERS_PER_RACK = 8;
 const ACCELERATORS = 8;
 
-/** Text of an operators' file with racks of 8, teams and four services. */
+/** Returns the text of a deployment file with racks of 8 workers and four services. */
 export function makeDeployment(shape: DeploymentShape): string {
   const racks = makeRacks(shape);
   const cells = Array.from({ length: shape.cells }, (_, i) => ({
--- a/packages/local-cluster/src/read_metrics.ts
+++ b/packages/local-cluster/src/read_metrics.ts
@@ -1,6 +1,6 @@
-/** Reads Prometheus text back, summed over labels. */
+/** Parser of the Prometheus text format. */
 
-/** Values by name; quantile lines are left out. */
+/** Returns values by metric name, summed over labels; quantile lines are skipped. */
 export function readMetrics(text: string): Map<string, number> {
   const values = new Map<string, number>();
   for (const line of text.split("\n")) {
