--- a/packages/measure/bin.ts
+++ b/packages/measure/bin.ts
@@ -5,9 +5,9 @@
 import * as measuring from "./src/run_measurements.ts";
 
 /** Endpoints: a small site, the largest site so far, and two sizes to come. */
-const PLAN_SIZES: readonly number[] = [33, 380, 1000, 2900];
+const FLEET_SIZES: readonly number[] = [33, 380, 1000, 2900];
 /** Waiting tasks: a busy minute, and what is to be carried at full size. */
-const BATCH_SIZES: readonly number[] = [500, 5000, 20_000];
+const WAITING_TASK_COUNTS: readonly number[] = [500, 5000, 20_000];
 
 class MeasureCommand extends Clipanion.Command {
   static override paths = [Clipanion.Command.Default];
@@ -49,9 +49,9 @@
   }
 
   #measurePlans(): number {
-    for (const workers of PLAN_SIZES) {
+    for (const workers of FLEET_SIZES) {
       this.#printPlan("full fleet", plans.measurePlans(workers));
-      for (const waiting of BATCH_SIZES) {
+      for (const waiting of WAITING_TASK_COUNTS) {
         const times = plans.measureBatchPlans(workers, waiting);
         this.#printPlan("batches, half free", times);
       }
--- a/packages/measure/src/fit_line.ts
+++ b/packages/measure/src/fit_line.ts
@@ -15,13 +15,13 @@
   const n = points.length;
   const meanX = points.reduce((sum, [x]) => sum + x, 0) / n;
   const meanY = points.reduce((sum, [, y]) => sum + y, 0) / n;
-  let over = 0;
-  let under = 0;
+  let numerator = 0;
+  let denominator = 0;
   for (const [x, y] of points) {
-    over += (x - meanX) * (y - meanY);
-    under += (x - meanX) ** 2;
+    numerator += (x - meanX) * (y - meanY);
+    denominator += (x - meanX) ** 2;
   }
-  const slope = under === 0 ? 0 : over / under;
+  const slope = denominator === 0 ? 0 : numerator / denominator;
   const intercept = meanY - slope * meanX;
   const largest = Math.max(...points.map(([, y]) => Math.abs(y)), 1e-9);
   const distances = points.map(([x, y]) => Math.abs(y - intercept - slope * x));
--- a/packages/measure/src/probe.ts
+++ b/packages/measure/src/probe.ts
@@ -35,10 +35,13 @@
   const after = await Promise.all(boxes.map((b) => readBox(cluster, b)));
   const seconds = (performance.now() - startMs) / 1000;
   await work;
-  const uses = boxes.map((_, i) => difference(before[i], after[i], seconds));
-  const own = uses[boxes.indexOf(owner)] ?? uses[0];
-  const others = uses.filter((use) => use !== own);
-  return { owner: own, other: meanUse(others.length > 0 ? others : [own]) };
+  const uses = boxes.map((_, i) => computeUse(before[i], after[i], seconds));
+  const ownerUse = uses[boxes.indexOf(owner)] ?? uses[0];
+  const others = uses.filter((use) => use !== ownerUse);
+  return {
+    owner: ownerUse,
+    other: meanUse(others.length > 0 ? others : [ownerUse]),
+  };
 }
 
 async function readBox(
@@ -49,7 +52,7 @@
   return LocalCluster.readMetrics(String(reply.body["text"]));
 }
 
-function difference(
+function computeUse(
   before: ReadonlyMap<string, number>,
   after: ReadonlyMap<string, number>,
   seconds: number,
--- a/packages/measure/src/run_measurements.ts
+++ b/packages/measure/src/run_measurements.ts
@@ -25,7 +25,7 @@
 }
 
 const FIRST_PORT = 9000;
-const WORKER_PORT = 9200;
+const FIRST_WORKER_PORT = 9200;
 const CELL = "cell_0";
 const PROBE_S = 6;
 const SETTLE_MS = 1500;
@@ -44,51 +44,51 @@
 
 /** Runs everything; `say` hears of each step. */
 export async function runMeasurements(
-  say: (line: string) => void,
+  log: (line: string) => void,
   only: string | null = null,
 ): Promise<MeasureReport> {
   const measurements: Measurement[] = [];
   const propagation: { boxes: number; maxMs: number }[] = [];
-  const note = (found: Measurement) => {
-    measurements.push(found);
-    say(`${found.name}: ${JSON.stringify(found.use)}`);
+  const record = (measurement: Measurement) => {
+    measurements.push(measurement);
+    log(`${measurement.name}: ${JSON.stringify(measurement.use)}`);
   };
-  const wants = (kind: string) => only === null || only === kind;
-  for (const workers of wants("workers") ? [30, 240, 960, 2896] : []) {
+  const isSelected = (kind: string) => only === null || only === kind;
+  for (const workers of isSelected("workers") ? [30, 240, 960, 2896] : []) {
     await withCluster({ workers, boxes: 3 }, async (cluster) => {
-      note(await measure(cluster, "workers", workers));
+      record(await measure(cluster, "workers", workers));
     });
   }
-  for (const reportWaitMs of wants("reports") ? [1000, 2000, 6000] : []) {
+  for (const reportWaitMs of isSelected("reports") ? [1000, 2000, 6000] : []) {
     const times = { reportWaitMs };
     await withCluster({ workers: 240, boxes: 3, times }, async (cluster) => {
       const rate = 240_000 / reportWaitMs;
-      note(await measure(cluster, "reportsPerSecond", rate));
+      record(await measure(cluster, "reportsPerSecond", rate));
     });
   }
-  for (const boxes of wants("boxes") ? [3, 6, 9] : []) {
+  for (const boxes of isSelected("boxes") ? [3, 6, 9] : []) {
     await withCluster({ workers: 30, boxes }, async (cluster) => {
-      note(await measure(cluster, "boxes", boxes));
+      record(await measure(cluster, "boxes", boxes));
       propagation.push({ boxes, maxMs: await measureApply(cluster) });
     });
   }
-  if (wants("tasks")) {
+  if (isSelected("tasks")) {
     await withCluster({ workers: 240, boxes: 3 }, async (cluster) => {
       for (const tasks of [0, 400, 1600]) {
         await startTasks(cluster, tasks);
-        note(await measure(cluster, "tasks", tasks));
+        record(await measure(cluster, "tasks", tasks));
       }
     });
   }
-  if (wants("rates")) {
+  if (isSelected("rates")) {
     await withCluster({ workers: 30, boxes: 3 }, async (cluster) => {
       for (const rate of [0, 20, 60]) {
         const during = () => sendShortJobs(cluster, rate);
-        note(await measure(cluster, "shortJobsPerSecond", rate, during));
+        record(await measure(cluster, "shortJobsPerSecond", rate, during));
       }
       for (const rate of [0, 5, 15]) {
         const during = () => sendLongJobs(cluster, rate);
-        note(await measure(cluster, "longJobsPerSecond", rate, during));
+        record(await measure(cluster, "longJobsPerSecond", rate, during));
       }
     });
   }
@@ -104,7 +104,7 @@
     workers: size.workers,
     teams: Math.min(40, Math.max(4, Math.floor(size.workers / 70))),
     cells: 1,
-    firstWorkerPort: WORKER_PORT,
+    firstWorkerPort: FIRST_WORKER_PORT,
   });
   const cluster = new LocalCluster.LocalCluster({
     boxes: size.boxes,
@@ -137,7 +137,7 @@
 /** Tasks that run on, one accelerator each. */
 async function startTasks(
   cluster: LocalCluster.LocalCluster,
-  wanted: number,
+  count: number,
 ): Promise<void> {
   const body = {
     team: "team_2",
@@ -146,7 +146,7 @@
   };
   let started = 0;
   const loop = async () => {
-    while (started < wanted) {
+    while (started < count) {
       started++;
       await cluster.client.post(cluster.callers(1), "/v1/jobs", body);
     }
@@ -209,14 +209,14 @@
     const startMs = performance.now();
     await cluster.apply(1, `${cluster.options.text}# ${version}\n`, version);
     for (const box of cluster.running()) {
-      await untilVersion(cluster, box, version + 1);
+      await awaitVersion(cluster, box, version + 1);
     }
     longest = Math.max(longest, performance.now() - startMs);
   }
   return longest;
 }
 
-async function untilVersion(
+async function awaitVersion(
   cluster: LocalCluster.LocalCluster,
   box: number,
   version: number,
@@ -234,10 +234,10 @@
   const slopes: Slope[] = [];
   const kinds = new Set(measurements.map((m) => m.name.split("=")[0]));
   for (const per of kinds) {
-    const own = measurements.filter((m) => m.name.startsWith(`${per}=`));
+    const matching = measurements.filter((m) => m.name.startsWith(`${per}=`));
     for (const role of ["owner", "other"] as const) {
       for (const field of FIELDS) {
-        const points = own.map((m) => [m.x, m.use[role][field]] as const);
+        const points = matching.map((m) => [m.x, m.use[role][field]] as const);
         slopes.push({ of: `${role}.${field}`, per, ...fits.fitLine(points) });
       }
     }
--- a/packages/measure/src/workflow_plans.ts
+++ b/packages/measure/src/workflow_plans.ts
@@ -13,9 +13,9 @@
 }
 
 const ACCELERATORS = 8;
-const RACK_SIZE = 8;
+const WORKERS_PER_RACK = 8;
 const RUNNING_PER_WORKER = 7;
-const WAITING_TASKS = 8;
+const TASKS_PER_WAITING_WORKFLOW = 8;
 const REPEATS = 15;
 const POLICY: Workflow.QueuePolicy = {
   queue: "maps",
@@ -29,21 +29,23 @@
 
 /** Measures plans over a fleet that is nearly full. */
 export function measurePlans(workers: number): PlanTimes {
-  const tasksOf: Workflow.Task[][] = [];
+  const tasksByWorker: Workflow.Task[][] = [];
   const workflows: Workflow.Workflow[] = [];
   for (let i = 0; i < workers; i++) {
     const workflow = buildWorkflow(`running-${i}`, RUNNING_PER_WORKER);
     for (const task of workflow.tasks) task.place(`worker-${i}`, 1, 0);
-    tasksOf.push([...workflow.tasks]);
+    tasksByWorker.push([...workflow.tasks]);
     workflows.push(workflow);
   }
   // Each asks for more than any worker has free, so each search is a whole one.
   const waiting = Math.ceil(workers / 10);
   for (let i = 0; i < waiting; i++) {
-    workflows.push(buildWorkflow(`waiting-${i}`, WAITING_TASKS, 2));
+    workflows.push(
+      buildWorkflow(`waiting-${i}`, TASKS_PER_WAITING_WORKFLOW, 2),
+    );
   }
   const input: Scheduler.PlanInput = {
-    endpoints: tasksOf.map(buildWorker),
+    endpoints: tasksByWorker.map(buildWorker),
     workflows,
     guarantees: new Map(),
     nowMs: 1000,
@@ -54,13 +56,13 @@
   return {
     workers,
     running: workers * RUNNING_PER_WORKER,
-    waiting: waiting * WAITING_TASKS,
+    waiting: waiting * TASKS_PER_WAITING_WORKFLOW,
     ...timePlans(input),
   };
 }
 
 /** Accelerators in use on each worker while batches wait. */
-const USED_BESIDE_BATCHES = 4;
+const USED_PER_WORKER = 4;
 /** Tasks of a batch, one accelerator each: about what the users' batches have. */
 const BATCH_TASKS = 40;
 
@@ -68,7 +70,7 @@
 export function measureBatchPlans(workers: number, waiting: number): PlanTimes {
   const running = Array.from(
     { length: workers },
-    (_, i) => buildWorkflow(`running-${i}`, USED_BESIDE_BATCHES),
+    (_, i) => buildWorkflow(`running-${i}`, USED_PER_WORKER),
   );
   running.forEach((workflow, i) => {
     for (const task of workflow.tasks) task.place(`worker-${i}`, 1, 0);
@@ -90,7 +92,7 @@
   };
   return {
     workers,
-    running: workers * USED_BESIDE_BATCHES,
+    running: workers * USED_PER_WORKER,
     waiting: batches.length * BATCH_TASKS,
     ...timePlans(input),
   };
@@ -162,7 +164,7 @@
   return {
     id: `worker-${index}`,
     service: POLICY.service,
-    rack: `rack-${Math.floor(index / RACK_SIZE)}`,
+    rack: `rack-${Math.floor(index / WORKERS_PER_RACK)}`,
     labels: new Set(["a"]),
     total: {
       cpuMillis: 64_000,
@@ -180,12 +182,12 @@
   id: string,
   count: number,
   accelerators = 1,
-  more: { policy?: Partial<Workflow.QueuePolicy>; gang?: boolean } = {},
+  options: { policy?: Partial<Workflow.QueuePolicy>; gang?: boolean } = {},
 ): Workflow.Workflow {
   return new Workflow.Workflow({
     id,
     tenant: "coop",
-    policy: { ...POLICY, ...more.policy },
+    policy: { ...POLICY, ...options.policy },
     payload: "",
     steps: [Workflow.createStep({
       count,
@@ -193,7 +195,7 @@
       memoryMb: 1000,
       accelerators,
       estimateMs: 1000,
-      gang: more.gang ?? false,
+      gang: options.gang ?? false,
     })],
     schedule: null,
     acceptedAtMs: 0,
