--- a/packages/drill/src/compare_direct.ts
+++ b/packages/drill/src/compare_direct.ts
@@ -3,7 +3,7 @@
 import * as Hdr from "@cairngate/metrics";
 
 /** One side of the comparison. */
-export interface Side {
+export interface CallStats {
   readonly perSecond: number;
   readonly p50Ms: number;
   readonly p99Ms: number;
@@ -15,13 +15,13 @@
   readonly ownAnswers: number;
   readonly doubled: number;
   readonly lost: number;
-  readonly through: Side;
-  readonly direct: Side;
+  readonly through: CallStats;
+  readonly direct: CallStats;
 }
 
 const WORKERS = 30;
 const FIRST_PORT = 8100;
-const WORKER_PORT = 8300;
+const FIRST_WORKER_PORT = 8300;
 const SERIES = "call_seconds";
 
 /** Runs the comparison; every answer is checked against its request. */
@@ -33,7 +33,7 @@
     workers: WORKERS,
     teams: 4,
     cells: 1,
-    firstWorkerPort: WORKER_PORT,
+    firstWorkerPort: FIRST_WORKER_PORT,
   });
   const cluster = new LocalCluster.LocalCluster({
     boxes: options.boxes,
@@ -44,7 +44,7 @@
   });
   try {
     await cluster.start();
-    let own = 0;
+    let matching = 0;
     let lost = 0;
     const through = await measure(options, async (i) => {
       const box = i % options.boxes + 1;
@@ -56,10 +56,10 @@
       );
       const result = reply.body["result"] as { request?: string } | null;
       if (reply.status !== 200) lost++;
-      else if (result?.request === `r${i}`) own++;
+      else if (result?.request === `r${i}`) matching++;
     });
     const direct = await measure(options, async (i) => {
-      const worker = `127.0.0.1:${WORKER_PORT + i % WORKERS}`;
+      const worker = `127.0.0.1:${FIRST_WORKER_PORT + i % WORKERS}`;
       await cluster.client.post(worker, "/v1/run", makeOrder(i));
     });
     const ledger = await readLedger(cluster);
@@ -67,7 +67,14 @@
     const jobs = new Set(starts.map((e) => e.jobId)).size;
     const doubled = starts.length - jobs;
     const { jobs: total } = options;
-    return { jobs: total, ownAnswers: own, doubled, lost, through, direct };
+    return {
+      jobs: total,
+      ownAnswers: matching,
+      doubled,
+      lost,
+      through,
+      direct,
+    };
   } finally {
     await cluster.stop();
   }
@@ -87,16 +94,16 @@
 async function measure(
   options: { jobs: number; callers: number },
   call: (i: number) => Promise<void>,
-): Promise<Side> {
+): Promise<CallStats> {
   const metrics = new Hdr.Metrics();
   const startMs = performance.now();
   let next = 0;
   const loop = async () => {
     while (next < options.jobs) {
       const i = next++;
-      const beganMs = performance.now();
+      const callStartMs = performance.now();
       await call(i);
-      metrics.observeMs(SERIES, performance.now() - beganMs);
+      metrics.observeMs(SERIES, performance.now() - callStartMs);
     }
   };
   await Promise.all(Array.from({ length: options.callers }, loop));
--- a/packages/drill/src/dice.ts
+++ b/packages/drill/src/dice.ts
@@ -5,7 +5,7 @@
 /** One of some things. */
 export function choose<T>(
   random: Rand.RandomGenerator,
-  from: readonly T[],
+  items: readonly T[],
 ): T {
-  return from[Uniform.uniformInt(random, 0, from.length - 1)];
+  return items[Uniform.uniformInt(random, 0, items.length - 1)];
 }
--- a/packages/drill/src/faults.ts
+++ b/packages/drill/src/faults.ts
@@ -16,7 +16,7 @@
   readonly names: string[];
   readonly owners: OwnerEvent[];
   /** Worker and time at which the list marked it as leaving. */
-  readonly leavings: { worker: string; atMs: number; untilMs: number }[];
+  readonly leavingPeriods: { worker: string; atMs: number; untilMs: number }[];
   applied: number;
   conflicts: number;
   /** For each apply and box, the time until the version was in force. */
@@ -26,19 +26,19 @@
 const CELL = "cell_0";
 const PAUSE_MS = 3500;
 const OUTAGE_MS = 4000;
-const LEAVE_MS = 6000;
+const LEAVING_MS = 6000;
 const SETTLE_MS = 2500;
 const RESTART_AFTER_MS = 1200;
-const LOST_ANSWERS = 0.3;
-const SLOW_MS = 120;
-const IN_FORCE_LIMIT_MS = 10_000;
+const LOST_ANSWER_SHARE = 0.3;
+const CALL_DELAY_MS = 120;
+const IN_FORCE_TIMEOUT_MS = 10_000;
 
 /** Carries out faults on a cluster under load. */
-export class Faults {
+export class FaultInjector {
   readonly log: FaultLog = {
     names: [],
     owners: [],
-    leavings: [],
+    leavingPeriods: [],
     applied: 1,
     conflicts: 0,
     inForceMs: [],
@@ -72,17 +72,17 @@
   }
 
   #shuffle(): Fault[] {
-    const left = this.#all();
+    const remaining = this.#createFaults();
     const order: Fault[] = [];
-    while (left.length > 0) {
-      const next = dice.choose(this.#random, left);
-      left.splice(left.indexOf(next), 1);
+    while (remaining.length > 0) {
+      const next = dice.choose(this.#random, remaining);
+      remaining.splice(remaining.indexOf(next), 1);
       order.push(next);
     }
     return order;
   }
 
-  #all(): Fault[] {
+  #createFaults(): Fault[] {
     return [
       { name: "kill-owner", run: () => this.#killOwner() },
       { name: "kill-other", run: () => this.#killOther() },
@@ -111,7 +111,7 @@
   }
 
   async #kill(box: number): Promise<void> {
-    this.#load.avoided.add(box);
+    this.#load.excluded.add(box);
     this.#cluster.signal(box, "SIGKILL");
     await this.#cluster.awaitExit(box);
     await timers.setTimeout(RESTART_AFTER_MS);
@@ -123,11 +123,11 @@
     const owner = await this.#cluster.owner(CELL);
     if (owner === 0) return;
     this.log.owners.push({ kind: "pause", atMs: Date.now() });
-    this.#load.avoided.add(owner);
+    this.#load.excluded.add(owner);
     this.#cluster.signal(owner, "SIGSTOP");
     await timers.setTimeout(PAUSE_MS);
     this.#cluster.signal(owner, "SIGCONT");
-    this.#load.avoided.delete(owner);
+    this.#load.excluded.delete(owner);
   }
 
   async #storeOutage(): Promise<void> {
@@ -146,7 +146,10 @@
   }
 
   async #loseAnswers(): Promise<void> {
-    await this.#setFaults({ loseAnswers: LOST_ANSWERS, delayMs: SLOW_MS });
+    await this.#setFaults({
+      loseAnswers: LOST_ANSWER_SHARE,
+      delayMs: CALL_DELAY_MS,
+    });
     await timers.setTimeout(OUTAGE_MS);
     await this.#setFaults({ loseAnswers: 0, delayMs: 0 });
   }
@@ -156,8 +159,8 @@
     const atMs = Date.now();
     const listOnly = true;
     await this.#control("leaving", { worker, leaving: true, listOnly });
-    await timers.setTimeout(LEAVE_MS);
-    this.log.leavings.push({ worker, atMs, untilMs: Date.now() });
+    await timers.setTimeout(LEAVING_MS);
+    this.log.leavingPeriods.push({ worker, atMs, untilMs: Date.now() });
     await this.#control("leaving", { worker, leaving: false, listOnly });
   }
 
@@ -197,7 +200,7 @@
     startMs: number,
   ): Promise<void> {
     const address = this.#cluster.operators(box);
-    while (Date.now() - startMs < IN_FORCE_LIMIT_MS) {
+    while (Date.now() - startMs < IN_FORCE_TIMEOUT_MS) {
       const reply = await this.#cluster.client.get(address, "/v1/config");
       if (Number(reply.body["version"] ?? 0) >= version) break;
       await timers.setTimeout(10);
@@ -213,7 +216,7 @@
       this.#cluster.signal(box, "SIGTERM");
       // The balancer looks at readiness and notices a moment later.
       await timers.setTimeout(300);
-      this.#load.avoided.add(box);
+      this.#load.excluded.add(box);
       await ended;
       await this.#cluster.startBox(box);
       await this.#awaitServing(box);
@@ -222,14 +225,14 @@
   }
 
   async #awaitServing(box: number): Promise<void> {
-    const endMs = Date.now() + 15_000;
-    while (Date.now() < endMs) {
+    const deadlineMs = Date.now() + 15_000;
+    while (Date.now() < deadlineMs) {
       const address = this.#cluster.operators(box);
       const reply = await this.#cluster.client.get(address, "/readyz");
       if (reply.status === 200) break;
       await timers.setTimeout(50);
     }
-    this.#load.avoided.delete(box);
+    this.#load.excluded.delete(box);
   }
 
   /** The worker that got work last: an idle one would prove nothing. */
@@ -244,9 +247,9 @@
     return this.#control("faults", faults);
   }
 
-  #control(what: string, body: unknown) {
+  #control(action: string, body: unknown) {
     const { platform, client } = this.#cluster;
-    return client.post(platform, `/control/${what}`, body);
+    return client.post(platform, `/control/${action}`, body);
   }
 }
 
--- a/packages/drill/src/load.ts
+++ b/packages/drill/src/load.ts
@@ -18,9 +18,9 @@
 
 const URGENT_CALLERS = 8;
 const SCAN_CALLERS = 3;
-const LONG_PAUSE_MS = 300;
+const LONG_JOB_PAUSE_MS = 300;
 const CALLER_PAUSE_MS = 20;
-const SCAN_TRIES = 4;
+const MAX_TRIES = 4;
 
 /** Keeps callers busy until told to stop. */
 export class Load {
@@ -37,10 +37,10 @@
   /** Boxes that are being stopped as planned; their requests must not be cut. */
   readonly stopping = new Set<number>();
   /** Boxes the balancer does not choose. */
-  readonly avoided = new Set<number>();
+  readonly excluded = new Set<number>();
   readonly #cluster: LocalCluster.LocalCluster;
   readonly #random: Rand.RandomGenerator;
-  #isOver = false;
+  #isStopped = false;
   #next = 0;
 
   constructor(
@@ -60,17 +60,17 @@
     for (let i = 0; i < SCAN_CALLERS; i++) {
       callers.push(this.#loop(() => this.#scan(), CALLER_PAUSE_MS));
     }
-    callers.push(this.#loop(() => this.#submitLong(), LONG_PAUSE_MS));
+    callers.push(this.#loop(() => this.#submitLong(), LONG_JOB_PAUSE_MS));
     await Promise.all(callers);
   }
 
   /** Lets every caller finish its request and stop. */
   stop(): void {
-    this.#isOver = true;
+    this.#isStopped = true;
   }
 
   async #loop(call: () => Promise<void>, pauseMs: number): Promise<void> {
-    while (!this.#isOver) {
+    while (!this.#isStopped) {
       await call();
       await timers.setTimeout(pauseMs);
     }
@@ -78,35 +78,39 @@
 
   async #diagnose(): Promise<void> {
     const request = `d${this.#next++}`;
-    const body = { team: this.#team(), service: "diagnose" };
+    const body = { team: this.#chooseTeam(), service: "diagnose" };
     const reply = await this.#send({ ...body, input: { request } }, {});
-    this.#note(reply, request);
+    this.#recordReply(reply, request);
   }
 
   /** A scan is sent again with its key until its outcome is known. */
   async #scan(): Promise<void> {
     const request = `s${this.#next++}`;
-    const body = { team: this.#team(), service: "scan", input: { request } };
-    for (let i = 0; i < SCAN_TRIES; i++) {
+    const body = {
+      team: this.#chooseTeam(),
+      service: "scan",
+      input: { request },
+    };
+    for (let i = 0; i < MAX_TRIES; i++) {
       const reply = await this.#send(body, { "idempotency-key": request });
-      this.#note(reply, request);
+      this.#recordReply(reply, request);
       if (reply !== null && reply.status !== 0) return;
     }
   }
 
   async #submitLong(): Promise<void> {
     const i = this.#next++;
-    const once = i % 4 === 0;
+    const isUnrepeatable = i % 4 === 0;
     const gang = dice.choose(this.#random, [1, 2, 4, 8]);
     const body = {
-      team: this.#team(),
-      service: once ? "once" : "rebuild",
+      team: this.#chooseTeam(),
+      service: isUnrepeatable ? "once" : "rebuild",
       gang,
       adjacency: "rack",
       input: { request: `l${i}`, runMs: 200 + i * 37 % 2000, grid: [1, 2] },
     };
     const key = { "idempotency-key": `l${i}` };
-    for (let tries = 0; tries < SCAN_TRIES; tries++) {
+    for (let tries = 0; tries < MAX_TRIES; tries++) {
       const reply = await this.#send(body, key);
       const jobId = reply?.body["jobId"];
       if (reply?.status === 202 || reply?.status === 200) {
@@ -121,7 +125,7 @@
     body: unknown,
     headers: Readonly<Record<string, string>>,
   ): Promise<LocalCluster.JobReply | null> {
-    const boxes = this.#cluster.running().filter((b) => !this.avoided.has(b));
+    const boxes = this.#cluster.running().filter((b) => !this.excluded.has(b));
     if (boxes.length === 0) return null;
     const box = dice.choose(this.#random, boxes);
     this.record.submitted++;
@@ -133,7 +137,7 @@
     return reply;
   }
 
-  #note(reply: LocalCluster.JobReply | null, request: string): void {
+  #recordReply(reply: LocalCluster.JobReply | null, request: string): void {
     if (reply === null || reply.status === 0) return;
     const outcome = reply.body["outcome"];
     if (reply.status === 200) {
@@ -148,7 +152,7 @@
     else this.record.refused++;
   }
 
-  #team(): string {
+  #chooseTeam(): string {
     return dice.choose(this.#random, ["team_0", "team_1"]);
   }
 }
--- a/packages/drill/src/run_drill.ts
+++ b/packages/drill/src/run_drill.ts
@@ -29,7 +29,7 @@
  * fault comes 3.7 s later at the earliest.
  */
 const GAP_WINDOW_MS = 3000;
-const HEAL_MS = 3000;
+const SETTLE_MS = 3000;
 
 /** Runs one drill and ends every process it started. */
 export async function runDrill(
@@ -40,14 +40,14 @@
   try {
     await cluster.start();
     const load = new loads.Load(cluster, random);
-    const fault = new faults.Faults({ cluster, load, random });
+    const injector = new faults.FaultInjector({ cluster, load, random });
     const watch = new watches.VersionWatch(cluster);
     const startMs = Date.now();
     const running = load.run();
     const watching = watch.run();
-    await timers.setTimeout(HEAL_MS);
-    await fault.run(startMs + options.minutes * 60_000);
-    await timers.setTimeout(HEAL_MS);
+    await timers.setTimeout(SETTLE_MS);
+    await injector.run(startMs + options.minutes * 60_000);
+    await timers.setTimeout(SETTLE_MS);
     load.stop();
     await running;
     watch.stop();
@@ -59,7 +59,7 @@
       options,
       seconds,
       load: load.record,
-      log: fault.log,
+      log: injector.log,
       longEnded,
       ledger,
       reversals: watch.reversals,
@@ -101,8 +101,8 @@
       headers: { prefer: `wait=${LONG_WAIT_S}` },
     });
     const state = String(reply.body["state"] ?? "lost");
-    const isOver = ["done", "unknown", "not-run"].includes(state);
-    const name = isOver ? state : `lost (${state})`;
+    const isEnded = ["done", "unknown", "not-run"].includes(state);
+    const name = isEnded ? state : `lost (${state})`;
     ended[name] = (ended[name] ?? 0) + 1;
   }));
   return ended;
@@ -182,12 +182,12 @@
 /** Longest time between starts, near some moments or anywhere (null). */
 function longestGap(
   starts: readonly number[],
-  near: readonly number[] | null,
+  eventTimes: readonly number[] | null,
 ): number {
   let longest = 0;
   for (let i = 1; i < starts.length; i++) {
-    const isNear = near === null ||
-      near.some((atMs) =>
+    const isNear = eventTimes === null ||
+      eventTimes.some((atMs) =>
         starts[i] >= atMs && starts[i - 1] <= atMs + GAP_WINDOW_MS
       );
     if (isNear) longest = Math.max(longest, starts[i] - starts[i - 1]);
@@ -199,9 +199,13 @@
   times: readonly number[],
 ): { p50Ms: number; p99Ms: number; maxMs: number } {
   const sorted = [...times].sort((a, b) => a - b);
-  const at = (share: number) =>
+  const percentile = (share: number) =>
     sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
-  return { p50Ms: at(0.5), p99Ms: at(0.99), maxMs: at(1) };
+  return {
+    p50Ms: percentile(0.5),
+    p99Ms: percentile(0.99),
+    maxMs: percentile(1),
+  };
 }
 
 /** Latest new work on a worker after it was marked as leaving. */
@@ -210,7 +214,7 @@
   log: faults.FaultLog,
 ): number {
   let latest = 0;
-  for (const { worker, atMs, untilMs } of log.leavings) {
+  for (const { worker, atMs, untilMs } of log.leavingPeriods) {
     for (const entry of ledger) {
       if (entry.event !== StandIns.LedgerEvent.Held) continue;
       if (entry.worker !== worker) continue;
--- a/packages/drill/src/version_watch.ts
+++ b/packages/drill/src/version_watch.ts
@@ -2,13 +2,13 @@
 import type * as LocalCluster from "@cairngate/local-cluster";
 import * as timers from "node:timers/promises";
 
-const LOOK_MS = 250;
+const POLL_INTERVAL_MS = 250;
 
 /** Reads the version in force on every box, again and again. */
 export class VersionWatch {
   readonly #cluster: LocalCluster.LocalCluster;
-  readonly #seen = new Map<number, number>();
-  #isOver = false;
+  readonly #versionByPid = new Map<number, number>();
+  #isStopped = false;
   reversals = 0;
 
   constructor(cluster: LocalCluster.LocalCluster) {
@@ -17,31 +17,31 @@
 
   /** Watches until it is stopped. */
   async run(): Promise<void> {
-    while (!this.#isOver) {
-      await Promise.all(this.#cluster.running().map((box) => this.#look(box)));
-      await timers.setTimeout(LOOK_MS);
+    while (!this.#isStopped) {
+      await Promise.all(this.#cluster.running().map((box) => this.#poll(box)));
+      await timers.setTimeout(POLL_INTERVAL_MS);
     }
   }
 
   /** Ends the watch. */
   stop(): void {
-    this.#isOver = true;
+    this.#isStopped = true;
   }
 
-  async #look(box: number): Promise<void> {
+  async #poll(box: number): Promise<void> {
     const pid = this.#cluster.pid(box);
     const address = this.#cluster.operators(box);
     const reply = await Promise.race([
       this.#cluster.client.get(address, "/v1/config"),
-      timers.setTimeout(LOOK_MS * 2, null, { ref: false }),
+      timers.setTimeout(POLL_INTERVAL_MS * 2, null, { ref: false }),
     ]);
     const version = Number(reply?.body["version"] ?? 0);
     // A restarted process serves nothing until it has a version again.
     if (version === 0 || pid === undefined || pid !== this.#cluster.pid(box)) {
       return;
     }
-    const before = this.#seen.get(pid) ?? 0;
-    if (version < before) this.reversals++;
-    this.#seen.set(pid, version);
+    const previous = this.#versionByPid.get(pid) ?? 0;
+    if (version < previous) this.reversals++;
+    this.#versionByPid.set(pid, version);
   }
 }
