--- a/packages/measure/bin.ts
+++ b/packages/measure/bin.ts
@@ -1,12 +1,12 @@
-/** `npm run measure`. */
+/** `npm run measure`: the command line of the measurements. */
 import * as Clipanion from "clipanion";
 import process from "node:process";
 import * as plans from "./src/workflow_plans.ts";
 import * as measuring from "./src/run_measurements.ts";
 
-/** Endpoints: a small site, the largest site so far, and two sizes to come. */
+/** Endpoints of a small site, of the largest site, and of two planned sizes. */
 const FLEET_SIZES: readonly number[] = [33, 380, 1000, 2900];
-/** Waiting tasks: a busy minute, and what is to be carried at full size. */
+/** Waiting tasks, from those of a busy minute to those of the full planned size. */
 const WAITING_TASK_COUNTS: readonly number[] = [500, 5000, 20_000];
 
 class MeasureCommand extends Clipanion.Command {
@@ -16,11 +16,11 @@
     examples: [["As JSON", "npm run measure -- --json"]],
   });
   only = Clipanion.Option.String("--only", {
-    description: "One of workers, reports, boxes, tasks, rates",
+    description: "Run one series: workers, reports, boxes, tasks, rates",
   });
   json = Clipanion.Option.Boolean("--json", false);
   plans = Clipanion.Option.Boolean("--plans", false, {
-    description: "Only the time of plans for workflows, by size",
+    description: "Only measure the planning time for workflows, by fleet size",
   });
 
   override async execute(): Promise<number> {
--- a/packages/measure/src/fit_line.ts
+++ b/packages/measure/src/fit_line.ts
@@ -1,6 +1,6 @@
-/** A straight line through points, by least squares. */
+/** Linear regression by least squares. */
 
-/** A fit: y = intercept + slope * x. */
+/** Fitted line: y = intercept + slope * x. */
 export interface LineFit {
   readonly slope: number;
   readonly intercept: number;
@@ -8,7 +8,7 @@
   readonly residual: number;
 }
 
-/** Fits a line to at least two points. */
+/** Fits a line to at least two points; the slope is 0 if all x are equal. */
 export function fitLine(
   points: readonly (readonly [number, number])[],
 ): LineFit {
--- a/packages/measure/src/probe.ts
+++ b/packages/measure/src/probe.ts
@@ -1,10 +1,10 @@
-/** Reads what each box used over a while. */
+/** Measures the resource use of each box over some seconds. */
 import * as LocalCluster from "@cairngate/local-cluster";
 import * as timers from "node:timers/promises";
 
-/** Use of one box, a second. */
+/** Resource use of one box. Bytes and counts are per second. */
 export interface BoxUse {
-  /** Share of a core, in percent. */
+  /** Percentage of one core. */
   readonly cpuPercent: number;
   readonly residentMb: number;
   readonly peerBytes: number;
@@ -15,13 +15,13 @@
   readonly workerReports: number;
 }
 
-/** Use of the cell's owner, and the mean of the other boxes. */
+/** Resource use of the cell's owner, and the mean of the other boxes. */
 export interface ClusterUse {
   readonly owner: BoxUse;
   readonly other: BoxUse;
 }
 
-/** Watches a cluster for some seconds while `during` runs. */
+/** Measures the boxes of a cluster for some seconds while `during` runs. */
 export async function probeCluster(
   cluster: LocalCluster.LocalCluster,
   options: { seconds: number; cell: string; during?: () => Promise<void> },
--- a/packages/measure/src/run_measurements.ts
+++ b/packages/measure/src/run_measurements.ts
@@ -1,23 +1,23 @@
-/** Starts clusters of several sizes and measures what each role uses. */
+/** Starts clusters of several sizes and measures the resource use of each role. */
 import * as LocalCluster from "@cairngate/local-cluster";
 import * as timers from "node:timers/promises";
 import * as fits from "./fit_line.ts";
 import * as probes from "./probe.ts";
 
-/** One cluster and what it used. */
+/** Resource use of a cluster at one value of the varied size or rate. */
 export interface Measurement {
   readonly name: string;
   readonly x: number;
   readonly use: probes.ClusterUse;
 }
 
-/** A fitted slope. */
+/** Fitted growth of one figure per unit of a size or rate. */
 export interface Slope extends fits.LineFit {
   readonly of: string;
   readonly per: string;
 }
 
-/** All measurements and slopes. */
+/** All measurements, slopes, and times until a configuration is in force. */
 export interface MeasureReport {
   readonly measurements: readonly Measurement[];
   readonly slopes: readonly Slope[];
@@ -29,7 +29,7 @@
 const CELL = "cell_0";
 const PROBE_S = 6;
 const SETTLE_MS = 1500;
-/** Settings of the target: idle workers report every 30 s. */
+/** Times of the target size, at which idle workers report every 30 s. */
 const TARGET_TIMES = { reportWaitMs: 30_000 };
 const FIELDS: readonly (keyof probes.BoxUse)[] = [
   "cpuPercent",
@@ -42,7 +42,7 @@
   "workerReports",
 ];
 
-/** Runs everything; `say` hears of each step. */
+/** Runs all series, or the one named `only`; `log` receives a line per measurement. */
 export async function runMeasurements(
   log: (line: string) => void,
   only: string | null = null,
@@ -134,7 +134,7 @@
   return { name: `${name}=${x}`, x, use };
 }
 
-/** Tasks that run on, one accelerator each. */
+/** Starts long-running tasks with one accelerator each. */
 async function startTasks(
   cluster: LocalCluster.LocalCluster,
   count: number,
@@ -200,7 +200,7 @@
   await Promise.all(sent);
 }
 
-/** Longest time until a version is in force on every box. */
+/** Returns the longest time until a version is in force on every box, in ms. */
 async function measureApply(
   cluster: LocalCluster.LocalCluster,
 ): Promise<number> {
@@ -229,7 +229,7 @@
   }
 }
 
-/** A line for each kind of size, role and field. */
+/** Fits a line for each varied size or rate, role and field. */
 function fitAll(measurements: readonly Measurement[]): Slope[] {
   const slopes: Slope[] = [];
   const kinds = new Set(measurements.map((m) => m.name.split("=")[0]));
--- a/packages/measure/src/workflow_plans.ts
+++ b/packages/measure/src/workflow_plans.ts
@@ -1,9 +1,9 @@
-/** Time that one plan for workflows takes, by the size of the fleet. */
+/** Measures the planning time for workflows by the size of the fleet. */
 import * as Workflow from "@cairngate/workflow";
 import * as Scheduler from "@cairngate/workflow-scheduler";
 import * as performance from "node:perf_hooks";
 
-/** Plans of one size. */
+/** Planning times at one fleet size; `running` and `waiting` count tasks. */
 export interface PlanTimes {
   readonly workers: number;
   readonly running: number;
@@ -27,7 +27,7 @@
   advice: null,
 };
 
-/** Measures plans over a fleet that is nearly full. */
+/** Measures planning over a nearly full fleet where no waiting task fits. */
 export function measurePlans(workers: number): PlanTimes {
   const tasksByWorker: Workflow.Task[][] = [];
   const workflows: Workflow.Workflow[] = [];
@@ -37,7 +37,7 @@
     tasksByWorker.push([...workflow.tasks]);
     workflows.push(workflow);
   }
-  // Each asks for more than any worker has free, so each search is a whole one.
+  // Each task needs more than any worker has free, so each search is exhaustive.
   const waiting = Math.ceil(workers / 10);
   for (let i = 0; i < waiting; i++) {
     workflows.push(
@@ -61,12 +61,12 @@
   };
 }
 
-/** Accelerators in use on each worker while batches wait. */
+/** Accelerators in use on each worker of the half-free fleet. */
 const USED_PER_WORKER = 4;
-/** Tasks of a batch, one accelerator each: about what the users' batches have. */
+/** Tasks per batch with one accelerator each; about the size of users' batches. */
 const BATCH_TASKS = 40;
 
-/** Measures plans for batches of single tasks on a fleet that is half free. */
+/** Measures planning for batches of independent tasks on a half-free fleet. */
 export function measureBatchPlans(workers: number, waiting: number): PlanTimes {
   const running = Array.from(
     { length: workers },
@@ -98,10 +98,10 @@
   };
 }
 
-/** Tasks of an urgent gang: the users' widest have 32. */
+/** Tasks of the urgent gang; the largest gangs of users have 32. */
 const GANG_TASKS = 32;
 
-/** Measures plans for urgent work on a fleet that is full of lesser work. */
+/** Measures planning for urgent work on a fleet that is full of lower-priority work. */
 export function measureEvictionPlans(
   workers: number,
   gang: boolean,
@@ -139,7 +139,7 @@
   };
 }
 
-/** Median and worst of some plans. */
+/** Returns the median and the longest time of REPEATS plans. */
 function timePlans(
   input: Scheduler.PlanInput,
 ): Pick<PlanTimes, "medianMs" | "worstMs"> {
--- a/packages/measure/src/workflow_plans_test.ts
+++ b/packages/measure/src/workflow_plans_test.ts
@@ -1,9 +1,9 @@
-/** The measurement of plans runs and counts what it says. */
+/** Checks that the planning measurements run and report the right task counts. */
 import * as vitest from "vitest";
 import * as plans from "./workflow_plans.ts";
 
 vitest.describe("measurePlans", () => {
-  vitest.it("measures a small fleet", () => {
+  vitest.it("measures a small, nearly full fleet", () => {
     const times = plans.measurePlans(20);
     vitest.expect(times.running).toBe(140);
     vitest.expect(times.waiting).toBe(16);
@@ -13,7 +13,7 @@
 });
 
 vitest.describe("measureBatchPlans", () => {
-  vitest.it("measures batches on a half free fleet", () => {
+  vitest.it("measures batches on a half-free fleet", () => {
     const times = plans.measureBatchPlans(10, 100);
     vitest.expect(times.running).toBe(40);
     vitest.expect(times.waiting).toBe(120);
