--- a/packages/drill/bin.ts
+++ b/packages/drill/bin.ts
@@ -1,4 +1,4 @@
-/** `npm run drill`. Exit code 1 where a forbidden count is not 0. */
+/** `npm run drill`. Exits with 1 if a count of a forbidden event is not 0. */
 import * as Clipanion from "clipanion";
 import process from "node:process";
 import * as comparison from "./src/compare_direct.ts";
@@ -8,16 +8,16 @@
 class DrillCommand extends Clipanion.Command {
   static override paths = [Clipanion.Command.Default];
   static override usage = Clipanion.Command.Usage({
-    description: "Run real processes under faults and count what must not be",
+    description: "Run real processes under faults and count forbidden events",
     examples: [["Two minutes", "npm run drill -- --seed 7 --minutes 2"]],
   });
   seed = Clipanion.Option.String("--seed", "1");
   seeds = Clipanion.Option.String("--seeds", "1", {
-    description: "How many seeds, one after another",
+    description: "Number of seeds to run, one after another",
   });
   boxes = Clipanion.Option.String("--boxes", "9");
   port = Clipanion.Option.String("--port", String(drill.DEFAULT_PORT), {
-    description: "First port; several drills need ranges 500 apart",
+    description: "First port; parallel drills need first ports 500 apart",
   });
   workers = Clipanion.Option.String("--workers", String(drill.DEFAULT_WORKERS));
   minutes = Clipanion.Option.String("--minutes", "1");
@@ -25,7 +25,7 @@
     description: "Folder for the logs of the processes",
   });
   compare = Clipanion.Option.Boolean("--compare", false, {
-    description: "Compare with direct calls to a worker instead",
+    description: "Compare with direct calls to workers instead",
   });
   json = Clipanion.Option.Boolean("--json", false);
 
--- a/packages/drill/src/compare_direct.ts
+++ b/packages/drill/src/compare_direct.ts
@@ -1,19 +1,22 @@
-/** Short jobs through 9 boxes, beside direct calls to a worker. */
+/** Compares short jobs through the boxes with direct calls to the workers. */
 import * as LocalCluster from "@cairngate/local-cluster";
 import * as Hdr from "@cairngate/metrics";
 
-/** One side of the comparison. */
+/** Throughput and latency of one series of calls. */
 export interface CallStats {
   readonly perSecond: number;
   readonly p50Ms: number;
   readonly p99Ms: number;
 }
 
-/** Outcome of the comparison. */
+/** Result of the comparison. */
 export interface Comparison {
   readonly jobs: number;
+  /** Answers that belong to their request. */
   readonly ownAnswers: number;
+  /** Starts beyond the first of a job. */
   readonly doubled: number;
+  /** Requests without an answer of status 200. */
   readonly lost: number;
   readonly through: CallStats;
   readonly direct: CallStats;
@@ -24,7 +27,7 @@
 const FIRST_WORKER_PORT = 8300;
 const SERIES = "call_seconds";
 
-/** Runs the comparison; every answer is checked against its request. */
+/** Runs the comparison and checks every answer of a box against its request. */
 export async function compareWithDirectCalls(
   options: { boxes: number; jobs: number; callers: number },
 ): Promise<Comparison> {
@@ -125,7 +128,7 @@
   return { team, service: "diagnose", input: makeInput(i) };
 }
 
-/** The same work as an order of a cell that nobody owns. */
+/** The same work as a direct order, in the name of a cell that has no owner. */
 function makeOrder(i: number) {
   return {
     jobId: `direct-${i}`,
--- a/packages/drill/src/dice.ts
+++ b/packages/drill/src/dice.ts
@@ -1,8 +1,8 @@
-/** Seeded choices. */
+/** Random choices from a seeded generator. */
 import type * as Rand from "pure-rand/types/RandomGenerator";
 import * as Uniform from "pure-rand/distribution/uniformInt";
 
-/** One of some things. */
+/** Returns one of the items; each is equally likely. */
 export function choose<T>(
   random: Rand.RandomGenerator,
   items: readonly T[],
--- a/packages/drill/src/drill_report.ts
+++ b/packages/drill/src/drill_report.ts
@@ -1,6 +1,6 @@
-/** What a drill counts. */
+/** Report of a drill. */
 
-/** Counts of one drill; those under `forbidden` must be 0. */
+/** Counts and times of one drill; the counts under `forbidden` must be 0. */
 export interface DrillReport {
   readonly seed: number;
   readonly seconds: number;
@@ -13,11 +13,11 @@
   readonly longAccepted: number;
   readonly longEnded: Readonly<Record<string, number>>;
   readonly forbidden: ForbiddenCounts;
-  /** Longest time without an urgent start around an owner's kill. */
+  /** Longest time between starts of single tasks around the kill of a cell's owner. */
   readonly urgentGapKillMs: number;
-  /** The same around an owner's pause. */
+  /** The same around the pause of a cell's owner. */
   readonly urgentGapPauseMs: number;
-  /** The same over the whole drill, outages included. */
+  /** The same over the whole drill, including outages. */
   readonly urgentGapAnyMs: number;
   readonly leavingLastNewWorkMs: number;
   readonly config: {
@@ -29,7 +29,7 @@
   };
 }
 
-/** What must never happen. */
+/** Counts of events that must never happen. */
 export interface ForbiddenCounts {
   readonly wrongAnswers: number;
   readonly doubledUnrepeatable: number;
--- a/packages/drill/src/faults.ts
+++ b/packages/drill/src/faults.ts
@@ -1,25 +1,25 @@
-/** The faults of a drill, one after another in seeded order. */
+/** Injects the faults of a drill, one after another in seeded order. */
 import type * as LocalCluster from "@cairngate/local-cluster";
 import type * as Rand from "pure-rand/types/RandomGenerator";
 import * as timers from "node:timers/promises";
 import * as dice from "./dice.ts";
 import type * as loads from "./load.ts";
 
-/** When something was done to an owner. */
+/** A kill or pause of the cell's owner. */
 export interface OwnerEvent {
   readonly kind: "kill" | "pause";
   readonly atMs: number;
 }
 
-/** What the faults did. */
+/** Injected faults and their effects. */
 export interface FaultLog {
   readonly names: string[];
   readonly owners: OwnerEvent[];
-  /** Worker and time at which the list marked it as leaving. */
+  /** Workers and the period in which the live list marked each as leaving. */
   readonly leavingPeriods: { worker: string; atMs: number; untilMs: number }[];
   applied: number;
   conflicts: number;
-  /** For each apply and box, the time until the version was in force. */
+  /** Time until a version was in force, for each configuration change and box. */
   readonly inForceMs: number[];
 }
 
@@ -33,7 +33,7 @@
 const CALL_DELAY_MS = 120;
 const IN_FORCE_TIMEOUT_MS = 10_000;
 
-/** Carries out faults on a cluster under load. */
+/** Injects faults into a cluster under load. */
 export class FaultInjector {
   readonly log: FaultLog = {
     names: [],
@@ -59,7 +59,7 @@
     this.#random = parts.random;
   }
 
-  /** One fault of each kind in seeded order, again until the time is over. */
+  /** Injects one fault of each kind in seeded order, repeatedly until `untilMs`. */
   async run(untilMs: number): Promise<void> {
     while (Date.now() < untilMs) {
       for (const fault of this.#shuffle()) {
@@ -193,7 +193,10 @@
     );
   }
 
-  /** Notes how long after the apply was sent a version was in force. */
+  /**
+   * Records the time from the start of an apply until its version is in force on a
+   * box. Stops waiting, and records the time, after IN_FORCE_TIMEOUT_MS.
+   */
   async #awaitVersion(
     box: number,
     version: number,
@@ -208,13 +211,13 @@
     this.log.inForceMs.push(Date.now() - startMs);
   }
 
-  /** Every box in turn is stopped as planned and started again. */
+  /** Shuts down and restarts every box in turn. */
   async #rollingStop(): Promise<void> {
     for (const box of [...this.#cluster.running()]) {
       this.#load.stopping.add(box);
       const ended = this.#cluster.awaitExit(box);
       this.#cluster.signal(box, "SIGTERM");
-      // The balancer looks at readiness and notices a moment later.
+      // A load balancer polls readiness, so it still sends requests for a moment.
       await timers.setTimeout(300);
       this.#load.excluded.add(box);
       await ended;
@@ -235,7 +238,7 @@
     this.#load.excluded.delete(box);
   }
 
-  /** The worker that got work last: an idle one would prove nothing. */
+  /** Returns the worker of the latest run; a fault on an idle one tests nothing. */
   async #chooseBusyWorker(): Promise<string> {
     const { platform, client } = this.#cluster;
     const reply = await client.get(platform, "/ledger");
--- a/packages/drill/src/load.ts
+++ b/packages/drill/src/load.ts
@@ -1,10 +1,10 @@
-/** Callers of a drill, and what they were told. */
+/** Generates the load of a drill and counts the answers. */
 import type * as LocalCluster from "@cairngate/local-cluster";
 import type * as Rand from "pure-rand/types/RandomGenerator";
 import * as timers from "node:timers/promises";
 import * as dice from "./dice.ts";
 
-/** Everything the callers saw. */
+/** Counts and job ids from the answers to all callers. */
 export interface LoadRecord {
   submitted: number;
   answered: number;
@@ -22,7 +22,7 @@
 const CALLER_PAUSE_MS = 20;
 const MAX_TRIES = 4;
 
-/** Keeps callers busy until told to stop. */
+/** Callers that send jobs one after another until `stop` is called. */
 export class Load {
   readonly record: LoadRecord = {
     submitted: 0,
@@ -34,9 +34,9 @@
     cutRequests: 0,
     longIds: [],
   };
-  /** Boxes that are being stopped as planned; their requests must not be cut. */
+  /** Boxes in a planned shutdown; they must finish the requests they accepted. */
   readonly stopping = new Set<number>();
-  /** Boxes the balancer does not choose. */
+  /** Boxes to which no requests are sent. */
   readonly excluded = new Set<number>();
   readonly #cluster: LocalCluster.LocalCluster;
   readonly #random: Rand.RandomGenerator;
@@ -51,7 +51,7 @@
     this.#random = random;
   }
 
-  /** Runs all callers; resolves when the last one has stopped. */
+  /** Runs all callers and resolves when the last one has stopped. */
   async run(): Promise<void> {
     const callers: Promise<void>[] = [];
     for (let i = 0; i < URGENT_CALLERS; i++) {
@@ -64,7 +64,7 @@
     await Promise.all(callers);
   }
 
-  /** Lets every caller finish its request and stop. */
+  /** Stops every caller after its current request. */
   stop(): void {
     this.#isStopped = true;
   }
@@ -83,7 +83,7 @@
     this.#recordReply(reply, request);
   }
 
-  /** A scan is sent again with its key until its outcome is known. */
+  /** Sends a scan, and again with the same key while no answer is received. */
   async #scan(): Promise<void> {
     const request = `s${this.#next++}`;
     const body = {
--- a/packages/drill/src/run_drill.ts
+++ b/packages/drill/src/run_drill.ts
@@ -1,4 +1,4 @@
-/** Runs a drill: load, faults, then the counts. */
+/** Runs a drill: starts the load, injects faults and counts the results. */
 import * as LocalCluster from "@cairngate/local-cluster";
 import * as StandIns from "@cairngate/stand-ins";
 import * as Xoroshiro from "pure-rand/generator/xoroshiro128plus";
@@ -8,7 +8,7 @@
 import * as loads from "./load.ts";
 import * as watches from "./version_watch.ts";
 
-/** Options of a drill. */
+/** Size, duration, seed and ports of a drill. */
 export interface DrillOptions {
   readonly seed: number;
   readonly boxes: number;
@@ -18,20 +18,20 @@
   readonly logFolder: string | null;
 }
 
-/** Workers of a drill where no number is given. */
+/** Default number of workers. */
 export const DEFAULT_WORKERS = 16;
-/** First port of a drill where none is given; up to 300 more are used. */
+/** Default first port; a drill uses up to 300 ports after it. */
 export const DEFAULT_PORT = 8500;
 const WORKER_PORT_OFFSET = 200;
 const LONG_WAIT_S = 30;
 /**
- * A gap belongs to a kill or pause if it begins this soon after it: the next
- * fault comes 3.7 s later at the earliest.
+ * A gap between starts counts for a kill or pause if it begins at most this long after
+ * it. The next fault follows after 3.7 s at the earliest.
  */
 const GAP_WINDOW_MS = 3000;
 const SETTLE_MS = 3000;
 
-/** Runs one drill and ends every process it started. */
+/** Runs one drill and stops every process that it started. */
 export async function runDrill(
   options: DrillOptions,
 ): Promise<reports.DrillReport> {
@@ -87,7 +87,7 @@
   });
 }
 
-/** How many long jobs ended in each state; "lost" for those that did not. */
+/** Counts long jobs by final state; jobs that did not end count as "lost (state)". */
 async function awaitLongJobs(
   cluster: LocalCluster.LocalCluster,
   ids: readonly string[],
@@ -179,7 +179,7 @@
   return log.owners.filter((e) => e.kind === kind).map((e) => e.atMs);
 }
 
-/** Longest time between starts, near some moments or anywhere (null). */
+/** Returns the longest time between starts around some events, or overall (null). */
 function longestGap(
   starts: readonly number[],
   eventTimes: readonly number[] | null,
@@ -208,7 +208,7 @@
   };
 }
 
-/** Latest new work on a worker after it was marked as leaving. */
+/** Returns how long after being marked as leaving a worker last got new work, in ms. */
 function lastNewWork(
   ledger: readonly StandIns.LedgerEntry[],
   log: faults.FaultLog,
--- a/packages/drill/src/version_watch.ts
+++ b/packages/drill/src/version_watch.ts
@@ -1,10 +1,10 @@
-/** Watches that no box goes back to an older configuration. */
+/** Detects boxes that go back to an older configuration. */
 import type * as LocalCluster from "@cairngate/local-cluster";
 import * as timers from "node:timers/promises";
 
 const POLL_INTERVAL_MS = 250;
 
-/** Reads the version in force on every box, again and again. */
+/** Polls the version in force on every box and counts decreases. */
 export class VersionWatch {
   readonly #cluster: LocalCluster.LocalCluster;
   readonly #versionByPid = new Map<number, number>();
@@ -15,7 +15,7 @@
     this.#cluster = cluster;
   }
 
-  /** Watches until it is stopped. */
+  /** Polls until `stop` is called. */
   async run(): Promise<void> {
     while (!this.#isStopped) {
       await Promise.all(this.#cluster.running().map((box) => this.#poll(box)));
@@ -23,7 +23,7 @@
     }
   }
 
-  /** Ends the watch. */
+  /** Stops the polling. */
   stop(): void {
     this.#isStopped = true;
   }
@@ -36,7 +36,7 @@
       timers.setTimeout(POLL_INTERVAL_MS * 2, null, { ref: false }),
     ]);
     const version = Number(reply?.body["version"] ?? 0);
-    // A restarted process serves nothing until it has a version again.
+    // A restarted process has no version at first, and its earlier one doesn't count.
     if (version === 0 || pid === undefined || pid !== this.#cluster.pid(box)) {
       return;
     }
