--- a/packages/bench/src/readings.ts
+++ b/packages/bench/src/readings.ts
@@ -45,15 +45,15 @@
 }
 
 /** Collects readings while a run goes on. */
-export class Readings {
+export class RunStatistics {
   readonly #space: Placement.BuddySpace;
   readonly #durations = new Map<string, number>();
   readonly #completions = new Map<string, number[]>();
-  readonly #alone = new Map<string, number>();
+  readonly #lowerBounds = new Map<string, number>();
   readonly #teams = new Map<string, number[]>();
   readonly #fragmentation = new Map<number, { sum: number; time: number }>();
   readonly #gangs = new Map<string, GangWait>();
-  readonly #plans = new Metrics.Metrics();
+  readonly #planTimes = new Metrics.Metrics();
   readonly #reclaims: number[] = [];
   readonly #capacity: number;
   #nowMs = 0;
@@ -81,28 +81,28 @@
 
   /** Time passes; the state of the racks has held until now. */
   advance(nowMs: number): void {
-    const passed = nowMs - this.#nowMs;
-    if (passed <= 0) return;
+    const elapsedMs = nowMs - this.#nowMs;
+    if (elapsedMs <= 0) return;
     const free = this.#space.freeTotal();
     if (this.#nowMs <= this.#lastArrivalMs) {
-      this.#busyMs += (this.#capacity - free) * passed;
-      this.#addFragmentation(passed);
+      this.#busyMs += (this.#capacity - free) * elapsedMs;
+      this.#addFragmentation(elapsedMs);
     }
     for (const gang of this.#gangs.values()) {
-      if (gang.size <= free) gang.waitedMs += passed;
+      if (gang.size <= free) gang.waitedMs += elapsedMs;
     }
     this.#nowMs = nowMs;
   }
 
   /** A job has arrived. */
-  arrive(shape: Types.JobShape): void {
+  recordArrival(shape: Types.JobShape): void {
     if (shape.gang === 1) return;
     const size = shape.gang * shape.accelerators;
     this.#gangs.set(shape.id, { size, waitedMs: 0 });
   }
 
   /** A job has started. */
-  start(
+  recordStart(
     shape: Types.JobShape,
     nowMs: number,
     claimedAtMs: number | null,
@@ -116,25 +116,28 @@
   }
 
   /** A job has ended. */
-  end(shape: Types.JobShape, nowMs: number): void {
+  recordEnd(shape: Types.JobShape, nowMs: number): void {
     const seconds = (nowMs - shape.submittedAtMs) / 1000;
-    const alone = this.#durations.get(shape.id)!;
-    add(this.#completions, shape.tier, seconds);
-    add(this.#completions, "all", seconds);
-    add(this.#teams, shape.team, seconds);
+    const lowerBound = this.#durations.get(shape.id)!;
+    append(this.#completions, shape.tier, seconds);
+    append(this.#completions, "all", seconds);
+    append(this.#teams, shape.team, seconds);
     for (const tier of [shape.tier, "all"]) {
-      this.#alone.set(tier, (this.#alone.get(tier) ?? 0) + alone);
+      this.#lowerBounds.set(
+        tier,
+        (this.#lowerBounds.get(tier) ?? 0) + lowerBound,
+      );
     }
     this.#ended++;
   }
 
   /** A job ended without running to its end. */
-  expire(_shape: Types.JobShape): void {
+  recordExpiry(_shape: Types.JobShape): void {
     this.#expired++;
   }
 
   /** A job was stopped for another. */
-  preempt(shape: Types.JobShape, nowMs: number): void {
+  recordPreemption(shape: Types.JobShape, nowMs: number): void {
     this.#preemptions++;
     if (shape.gang === 1) return;
     const size = shape.gang * shape.accelerators;
@@ -143,13 +146,13 @@
   }
 
   /** Work that has to be done again. */
-  lose(shape: Types.JobShape, ms: number): void {
+  recordLostWork(shape: Types.JobShape, ms: number): void {
     this.#lostMs += ms * shape.gang * shape.accelerators;
   }
 
   /** A round of decisions was made. */
-  planned(ms: number, decisions: number): void {
-    this.#plans.observeMs("plan", ms);
+  recordPlan(ms: number, decisions: number): void {
+    this.#planTimes.observeMs("plan", ms);
     this.#planMs += ms;
     this.#decisions += decisions;
   }
@@ -180,8 +183,8 @@
         Math.max(1, this.#lastArrivalMs),
       makespanH: this.#nowMs / 3_600_000,
       decisionsPerSecond: this.#decisions / (this.#planMs / 1000),
-      planP50Ms: this.#plans.quantileMs("plan", 50),
-      planP99Ms: this.#plans.quantileMs("plan", 99),
+      planP50Ms: this.#planTimes.quantileMs("plan", 50),
+      planP99Ms: this.#planTimes.quantileMs("plan", 99),
       heapPeakMb,
       ended: this.#ended,
       expired: this.#expired,
@@ -190,37 +193,37 @@
 
   #summarizeTier(tier: string, seconds: readonly number[]): TierSummary {
     const sorted = [...seconds].sort((a, b) => a - b);
-    const alone = this.#alone.get(tier)! / seconds.length;
+    const lowerBound = this.#lowerBounds.get(tier)! / seconds.length;
     return {
       jobs: seconds.length,
       mean: mean(seconds),
       p50: percentile(sorted, 0.5),
       p95: percentile(sorted, 0.95),
       p99: percentile(sorted, 0.99),
-      overLowerBound: mean(seconds) / alone,
+      overLowerBound: mean(seconds) / lowerBound,
     };
   }
 
-  #addFragmentation(passedMs: number): void {
+  #addFragmentation(elapsedMs: number): void {
     for (
       const { block, value } of Placement.computeFragmentation(this.#space)
     ) {
       if (value === null) continue;
-      const kept = this.#fragmentation.get(block) ?? { sum: 0, time: 0 };
-      kept.sum += value * passedMs;
-      kept.time += passedMs;
-      this.#fragmentation.set(block, kept);
+      const total = this.#fragmentation.get(block) ?? { sum: 0, time: 0 };
+      total.sum += value * elapsedMs;
+      total.time += elapsedMs;
+      this.#fragmentation.set(block, total);
     }
   }
 }
 
-function add(
-  into: Map<string, number[]>,
+function append(
+  lists: Map<string, number[]>,
   name: string,
   value: number,
 ): void {
-  const list = into.get(name);
-  if (list === undefined) into.set(name, [value]);
+  const list = lists.get(name);
+  if (list === undefined) lists.set(name, [value]);
   else list.push(value);
 }
 
--- a/packages/bench/src/render_report.ts
+++ b/packages/bench/src/render_report.ts
@@ -18,7 +18,7 @@
   for (const tier of ["all", "urgent", "standard", "batch"]) {
     for (const field of ["mean", "p50", "p95", "p99"] as const) {
       lines.push(
-        readingRow(
+        resultRow(
           `${tier} completion ${field} s`,
           results,
           (r) => r.completion[tier]?.[field],
@@ -26,7 +26,7 @@
       );
     }
     lines.push(
-      readingRow(
+      resultRow(
         `${tier} mean over lower bound`,
         results,
         (r) => r.completion[tier]?.overLowerBound,
@@ -35,15 +35,15 @@
   }
   for (const block of ["8", "16", "32", "64"]) {
     lines.push(
-      readingRow(
+      resultRow(
         `fragmentation, block ${block}`,
         results,
         (r) => r.fragmentation[block],
       ),
     );
   }
-  for (const [label, field] of PLAIN) {
-    lines.push(readingRow(label, results, (r) => r[field] as number));
+  for (const [label, field] of RESULT_ROWS) {
+    lines.push(resultRow(label, results, (r) => r[field] as number));
   }
   lines.push("default ÷ naive:");
   for (const [name, value] of Object.entries(report.ratios)) {
@@ -52,28 +52,29 @@
   return lines;
 }
 
-const PLAIN: readonly (readonly [string, keyof simulation.PolicyResult])[] = [
-  ["longest gang wait s", "gangWaitMaxS"],
-  ["preemptions", "preemptions"],
-  ["lost accelerator hours", "lostAcceleratorHours"],
-  ["reclaim p99 s", "reclaimP99S"],
-  ["reclaim max s", "reclaimMaxS"],
-  ["utilisation", "utilisation"],
-  ["makespan h", "makespanH"],
-  ["decisions a second", "decisionsPerSecond"],
-  ["plan p50 ms", "planP50Ms"],
-  ["plan p99 ms", "planP99Ms"],
-  ["peak heap MB", "heapPeakMb"],
-  ["jobs ended", "ended"],
-  ["jobs expired", "expired"],
-];
+const RESULT_ROWS:
+  readonly (readonly [string, keyof simulation.PolicyResult])[] = [
+    ["longest gang wait s", "gangWaitMaxS"],
+    ["preemptions", "preemptions"],
+    ["lost accelerator hours", "lostAcceleratorHours"],
+    ["reclaim p99 s", "reclaimP99S"],
+    ["reclaim max s", "reclaimMaxS"],
+    ["utilisation", "utilisation"],
+    ["makespan h", "makespanH"],
+    ["decisions a second", "decisionsPerSecond"],
+    ["plan p50 ms", "planP50Ms"],
+    ["plan p99 ms", "planP99Ms"],
+    ["peak heap MB", "heapPeakMb"],
+    ["jobs ended", "ended"],
+    ["jobs expired", "expired"],
+  ];
 
-function readingRow(
+function resultRow(
   label: string,
   results: readonly simulation.PolicyResult[],
-  read: (result: simulation.PolicyResult) => number | undefined,
+  select: (result: simulation.PolicyResult) => number | undefined,
 ): string {
-  return row(label, results.map((r) => format(read(r))));
+  return row(label, results.map((r) => format(select(r))));
 }
 
 function format(value: number | undefined): string {
--- a/packages/bench/src/run_bench.ts
+++ b/packages/bench/src/run_bench.ts
@@ -52,15 +52,15 @@
     ? traces.makeTrace(options.trace, options)
     : traceFiles.parseTrace(await fs.readFile(options.traceFile, "utf8"));
   const layout = await makeLayout(options, jobs);
-  const losses = options.trace === "rack-lost" ? makeLosses() : [];
+  const losses = options.trace === "rack-lost" ? makeRackLosses() : [];
   const run = (scheduler: Scheduler.SchedulerCore) =>
     simulation.simulate({ layout, scheduler, jobs, losses });
   const policies: Record<string, simulation.PolicyResult> = {
     naive: run(new Naive.NaiveScheduler(layout)),
   };
   for (const name of options.policies) {
-    const chosen = Scheduler.createPolicies(layout.weighting, name);
-    policies[name] = run(new Scheduler.Scheduler(layout, chosen));
+    const selected = Scheduler.createPolicies(layout.weighting, name);
+    policies[name] = run(new Scheduler.Scheduler(layout, selected));
   }
   const work = jobs.reduce(
     (sum, job) => sum + job.duration * job.gang * job.accelerators,
@@ -90,8 +90,10 @@
   const racks = makeRacks(options.workers);
   const cells = [{ name: "bench", racks: racks.map((rack) => rack.name) }];
   const isTarget = options.trace === "target" && options.traceFile === null;
-  const own = isTarget ? makeTargetTeams(options.workers) : cfg.teams;
-  const teams = withUnknownTeams(own, jobs, options.workers);
+  const configuredTeams = isTarget
+    ? makeTargetTeams(options.workers)
+    : cfg.teams;
+  const teams = addUnknownTeams(configuredTeams, jobs, options.workers);
   return Scheduler.createCellLayout({ ...cfg, racks, cells, teams }, "bench");
 }
 
@@ -126,15 +128,15 @@
 }
 
 /** Teams of a trace that the example does not have get no guarantee. */
-function withUnknownTeams(
+function addUnknownTeams(
   teams: readonly Types.TeamSpec[],
   jobs: readonly traces.TraceJob[],
   workers: number,
 ): Types.TeamSpec[] {
-  const known = new Map(teams.map((team) => [team.name, team]));
+  const teamsByName = new Map(teams.map((team) => [team.name, team]));
   for (const { team: name } of jobs) {
-    if (known.has(name)) continue;
-    known.set(name, {
+    if (teamsByName.has(name)) continue;
+    teamsByName.set(name, {
       name,
       tier: Types.Tier.Urgent,
       guarantee: [],
@@ -145,10 +147,14 @@
   }
   // The naive scheduler knows no quotas, so the comparison lifts them.
   const quota = workers * ACCELERATORS;
-  return [...known.values()].map((team) => ({ ...team, cell: "bench", quota }));
+  return [...teamsByName.values()].map((team) => ({
+    ...team,
+    cell: "bench",
+    quota,
+  }));
 }
 
-function makeLosses(): simulation.RackLoss[] {
+function makeRackLosses(): simulation.RackLoss[] {
   const hour = 3_600_000;
   return [
     { rack: 0, atMs: 6 * hour, untilMs: 8 * hour },
@@ -158,28 +164,28 @@
 
 function computeRatios(
   naive: simulation.PolicyResult,
-  chosen: simulation.PolicyResult | undefined,
+  policy: simulation.PolicyResult | undefined,
 ): Ratios {
-  if (chosen === undefined) {
-    const none = Number.NaN;
+  if (policy === undefined) {
+    const missing = Number.NaN;
     return {
-      completionMean: none,
-      completionP99Urgent: none,
-      fragmentation: none,
-      gangWaitMax: none,
-      worstTeam: none,
+      completionMean: missing,
+      completionP99Urgent: missing,
+      fragmentation: missing,
+      gangWaitMax: missing,
+      worstTeam: missing,
     };
   }
   const tierP99 = (r: simulation.PolicyResult) =>
     r.completion["urgent"]?.p99 ?? 0;
   const teamRatios = Object.entries(naive.teams)
-    .map(([team, seconds]) => (chosen.teams[team] ?? 0) / seconds);
+    .map(([team, seconds]) => (policy.teams[team] ?? 0) / seconds);
   return {
-    completionMean: chosen.completion["all"].mean /
+    completionMean: policy.completion["all"].mean /
       naive.completion["all"].mean,
-    completionP99Urgent: tierP99(chosen) / tierP99(naive),
-    fragmentation: meanOf(chosen.fragmentation) / meanOf(naive.fragmentation),
-    gangWaitMax: chosen.gangWaitMaxS / naive.gangWaitMaxS,
+    completionP99Urgent: tierP99(policy) / tierP99(naive),
+    fragmentation: meanOf(policy.fragmentation) / meanOf(naive.fragmentation),
+    gangWaitMax: policy.gangWaitMaxS / naive.gangWaitMaxS,
     worstTeam: Math.max(...teamRatios),
   };
 }
--- a/packages/bench/src/simulate.ts
+++ b/packages/bench/src/simulate.ts
@@ -9,7 +9,7 @@
 import type * as traces from "./traces.ts";
 
 /** Time to write a checkpoint and stop, in milliseconds. */
-const STOP_MS = 2000;
+const STOP_DURATION_MS = 2000;
 /** Rounds of decisions between two looks at the memory. */
 const ROUNDS_PER_SAMPLE = 500;
 /** Time to load a checkpoint, in milliseconds. */
@@ -40,7 +40,7 @@
   End,
   Stopped,
   RackLost,
-  RackBack,
+  RackReturned,
 }
 
 interface SimEvent {
@@ -72,7 +72,7 @@
   readonly #events = new TinyQueue<SimEvent>([], (a, b) => a.atMs - b.atMs);
   readonly #jobs = new Map<string, SimJob>();
   readonly #space: Placement.BuddySpace;
-  readonly #readings: readings.Readings;
+  readonly #statistics: readings.RunStatistics;
   #nowMs = 0;
   #peakMb = 0;
   #rounds = 0;
@@ -80,10 +80,12 @@
   constructor(options: SimulationOptions) {
     this.#options = options;
     this.#space = new Placement.BuddySpace(options.layout.racks.length);
-    this.#readings = new readings.Readings(this.#space, options.jobs);
+    this.#statistics = new readings.RunStatistics(this.#space, options.jobs);
     options.layout.workers.forEach((worker, index) => {
-      const own = worker === undefined ? 0 : (1 << worker.accelerators) - 1;
-      this.#space.setUsedMask(index, Placement.FULL_MASK & ~own);
+      const presentMask = worker === undefined
+        ? 0
+        : (1 << worker.accelerators) - 1;
+      this.#space.setUsedMask(index, Placement.FULL_MASK & ~presentMask);
       if (worker !== undefined) {
         options.scheduler.setWorkerAvailable(index, true);
       }
@@ -96,18 +98,18 @@
     for (;;) {
       const event = this.#events.pop();
       if (event === undefined) break;
-      this.#readings.advance(event.atMs);
+      this.#statistics.advance(event.atMs);
       this.#nowMs = event.atMs;
       this.#handle(event);
       // Events of the same moment are decided on together.
       if (this.#events.peek()?.atMs === event.atMs) continue;
       this.#plan();
     }
-    this.#noteMemory();
-    return this.#readings.summarize(this.#peakMb);
+    this.#sampleHeap();
+    return this.#statistics.summarize(this.#peakMb);
   }
 
-  #noteMemory(): void {
+  #sampleHeap(): void {
     const heapMb = process.memoryUsage().heapUsed / 1e6;
     this.#peakMb = Math.max(this.#peakMb, heapMb);
   }
@@ -130,7 +132,7 @@
   #addLoss(loss: RackLoss): void {
     const { rack } = loss;
     this.#push(EventKind.RackLost, loss.atMs, null, rack);
-    this.#push(EventKind.RackBack, loss.untilMs, null, rack);
+    this.#push(EventKind.RackReturned, loss.untilMs, null, rack);
   }
 
   #push(kind: EventKind, atMs: number, job: SimJob | null, rack = -1): void {
@@ -142,30 +144,33 @@
     if (job !== null && event.run !== job.run) return;
     switch (event.kind) {
       case EventKind.Arrive:
-        this.#readings.arrive(job!.shape);
+        this.#statistics.recordArrival(job!.shape);
         this.#options.scheduler.submit(job!.shape, { nowMs: this.#nowMs });
         return;
       case EventKind.End:
         return this.#end(job!);
       case EventKind.Stopped:
-        return this.#stopped(job!);
+        return this.#finishPreemption(job!);
       case EventKind.RackLost:
-        return this.#loseRack(event.rack);
-      case EventKind.RackBack:
+        return this.#handleRackLoss(event.rack);
+      case EventKind.RackReturned:
         return this.#setRack(event.rack, true);
     }
   }
 
   #plan(): void {
-    if (this.#rounds++ % ROUNDS_PER_SAMPLE === 0) this.#noteMemory();
+    if (this.#rounds++ % ROUNDS_PER_SAMPLE === 0) this.#sampleHeap();
     const startMs = perf.performance.now();
     const decisions = this.#options.scheduler.plan(this.#nowMs);
-    this.#readings.planned(perf.performance.now() - startMs, decisions.length);
-    for (const decision of decisions) this.#carryOut(decision);
+    this.#statistics.recordPlan(
+      perf.performance.now() - startMs,
+      decisions.length,
+    );
+    for (const decision of decisions) this.#apply(decision);
     this.#options.afterPlan?.(this.#nowMs);
   }
 
-  #carryOut(decision: Types.Decision): void {
+  #apply(decision: Types.Decision): void {
     const job = this.#jobs.get(decision.jobId)!;
     switch (decision.kind) {
       case Types.DecisionKind.Start:
@@ -174,10 +179,14 @@
         const claimant = this.#jobs.get(decision.claimant ?? "");
         if (claimant !== undefined) claimant.claimedAtMs ??= this.#nowMs;
         job.run++;
-        return this.#push(EventKind.Stopped, this.#nowMs + STOP_MS, job);
+        return this.#push(
+          EventKind.Stopped,
+          this.#nowMs + STOP_DURATION_MS,
+          job,
+        );
       }
       case Types.DecisionKind.Expire:
-        return this.#readings.expire(job.shape);
+        return this.#statistics.recordExpiry(job.shape);
     }
   }
 
@@ -186,23 +195,23 @@
     job.startedAtMs = this.#nowMs;
     job.run++;
     this.#occupy(slots, true);
-    this.#readings.start(job.shape, this.#nowMs, job.claimedAtMs);
+    this.#statistics.recordStart(job.shape, this.#nowMs, job.claimedAtMs);
     job.claimedAtMs = null;
-    const restore = job.progress > 0 ? RESTORE_MS : 0;
-    const left = job.durationMs * (1 - job.progress) + restore;
-    this.#push(EventKind.End, this.#nowMs + left, job);
+    const restoreMs = job.progress > 0 ? RESTORE_MS : 0;
+    const leftMs = job.durationMs * (1 - job.progress) + restoreMs;
+    this.#push(EventKind.End, this.#nowMs + leftMs, job);
   }
 
   #end(job: SimJob): void {
-    this.#vacate(job);
+    this.#release(job);
     this.#options.scheduler.finish(job.shape.id);
-    this.#readings.end(job.shape, this.#nowMs);
+    this.#statistics.recordEnd(job.shape, this.#nowMs);
   }
 
-  #stopped(job: SimJob): void {
-    this.#vacate(job);
+  #finishPreemption(job: SimJob): void {
+    this.#release(job);
     const progress = this.#saveProgress(job);
-    this.#readings.preempt(job.shape, this.#nowMs);
+    this.#statistics.recordPreemption(job.shape, this.#nowMs);
     const detail = "stopped for another job";
     const options = { nowMs: this.#nowMs, progress, detail };
     this.#options.scheduler.requeue(job.shape.id, options);
@@ -210,24 +219,24 @@
 
   /** Progress of the last whole checkpoint interval; the rest is lost. */
   #saveProgress(job: SimJob): number {
-    const ran = this.#nowMs - job.startedAtMs;
+    const ranMs = this.#nowMs - job.startedAtMs;
     const interval = job.shape.checkpointMs;
-    const saved = interval === null ? 0 : ran - ran % interval;
-    const before = job.progress;
-    job.progress = Math.min(0.999, before + saved / job.durationMs);
-    this.#readings.lose(job.shape, ran - saved);
+    const savedMs = interval === null ? 0 : ranMs - ranMs % interval;
+    const previous = job.progress;
+    job.progress = Math.min(0.999, previous + savedMs / job.durationMs);
+    this.#statistics.recordLostWork(job.shape, ranMs - savedMs);
     return job.progress;
   }
 
-  #loseRack(rack: number): void {
+  #handleRackLoss(rack: number): void {
     const first = rack * Placement.WORKERS_PER_RACK;
-    const lost = [...this.#jobs.values()].filter((job) =>
+    const affected = [...this.#jobs.values()].filter((job) =>
       job.slots.some((slot) => Math.floor(slot.worker / 8) === rack)
     );
     this.#setRack(rack, false);
-    for (const job of lost) {
+    for (const job of affected) {
       job.run++;
-      this.#vacate(job);
+      this.#release(job);
       const progress = this.#saveProgress(job);
       const detail = `rack ${first} was lost`;
       const options = { nowMs: this.#nowMs, progress, detail };
@@ -235,7 +244,7 @@
         this.#options.scheduler.requeue(job.shape.id, options);
       } else {
         this.#options.scheduler.finish(job.shape.id);
-        this.#readings.expire(job.shape);
+        this.#statistics.recordExpiry(job.shape);
       }
     }
   }
@@ -248,18 +257,18 @@
     }
   }
 
-  #vacate(job: SimJob): void {
+  #release(job: SimJob): void {
     this.#occupy(job.slots, false);
     job.slots = [];
   }
 
   /** Keeps a book of its own, and so notices two jobs on one accelerator. */
-  #occupy(slots: readonly Types.Slot[], taken: boolean): void {
+  #occupy(slots: readonly Types.Slot[], isUsed: boolean): void {
     for (const { worker, mask } of slots) {
       const used = this.#space.usedMask(worker);
-      const expected = taken ? 0 : mask;
+      const expected = isUsed ? 0 : mask;
       if ((used & mask) !== expected) throw new OverlapError(worker);
-      this.#space.setUsedMask(worker, taken ? used | mask : used & ~mask);
+      this.#space.setUsedMask(worker, isUsed ? used | mask : used & ~mask);
     }
   }
 }
--- a/packages/bench/src/trace_file.ts
+++ b/packages/bench/src/trace_file.ts
@@ -13,14 +13,14 @@
 
 const TIERS = ["urgent", "standard", "batch"];
 const BLOCKS = ["any", "worker", "rack"];
-const FAULT_LIMIT = 20;
+const MAX_FAULTS = 20;
 
 /** Parses a trace; throws `InvalidTraceError`. */
 export function parseTrace(text: string): traces.TraceJob[] {
   const jobs: traces.TraceJob[] = [];
   const faults: string[] = [];
   text.split("\n").forEach((line, i) => {
-    if (line.trim() === "" || faults.length >= FAULT_LIMIT) return;
+    if (line.trim() === "" || faults.length >= MAX_FAULTS) return;
     const value = parseLine(line);
     const fault = value === null ? "valid JSON" : findFault(value);
     if (fault === null) jobs.push(value as unknown as traces.TraceJob);
@@ -56,11 +56,11 @@
   if (typeof job["repeatable"] !== "boolean") {
     return "repeatable: true or false";
   }
-  return findMisfit(job as unknown as traces.TraceJob);
+  return findOversize(job as unknown as traces.TraceJob);
 }
 
 /** Shapes that no cell of 8 x 8 racks can hold. */
-function findMisfit(job: traces.TraceJob): string | null {
+function findOversize(job: traces.TraceJob): string | null {
   const { accelerators, gang, block } = job;
   if (accelerators > 8) {
     return "accelerators: at most 8 a member; use a gang for more";
@@ -74,8 +74,9 @@
   return null;
 }
 
-function isNumber(value: unknown, least: number): boolean {
-  return typeof value === "number" && Number.isFinite(value) && value >= least;
+function isNumber(value: unknown, minimum: number): boolean {
+  return typeof value === "number" && Number.isFinite(value) &&
+    value >= minimum;
 }
 
 function isCount(value: unknown): boolean {
--- a/packages/bench/src/traces.ts
+++ b/packages/bench/src/traces.ts
@@ -47,7 +47,7 @@
 }
 
 /** Draws random numbers for a trace. */
-class Draw {
+class TraceRandom {
   readonly #generator: ReturnType<typeof Xoroshiro.xoroshiro128plus>;
 
   constructor(seed: number) {
@@ -58,8 +58,8 @@
     return Float.uniformFloat64(this.#generator);
   }
 
-  choose<T>(from: readonly T[]): T {
-    return from[Math.floor(this.unit() * from.length)];
+  choose<T>(items: readonly T[]): T {
+    return items[Math.floor(this.unit() * items.length)];
   }
 
   exponential(mean: number): number {
@@ -80,28 +80,28 @@
   name: TraceName,
   options: TraceOptions,
 ): TraceJob[] {
-  const draw = new Draw(options.seed);
+  const random = new TraceRandom(options.seed);
   const jobs = name === "target"
-    ? makeTarget(draw, options)
-    : makeDay(name, draw, options);
-  const told = jobs.map((job) => changeEstimate(name, draw, job));
-  return told.sort((a, b) => a.at - b.at);
+    ? makeTarget(random, options)
+    : makeDay(name, random, options);
+  const estimated = jobs.map((job) => setEstimate(name, random, job));
+  return estimated.sort((a, b) => a.at - b.at);
 }
 
-function changeEstimate(
+function setEstimate(
   name: TraceName,
-  draw: Draw,
+  random: TraceRandom,
   job: TraceJob,
 ): TraceJob {
   if (name === "no-estimates") return { ...job, estimate: null };
   const spread = name === "estimates-off" ? 3 : 1.3;
-  const factor = spread ** (2 * draw.unit() - 1);
+  const factor = spread ** (2 * random.unit() - 1);
   return { ...job, estimate: job.duration * factor };
 }
 
 function makeDay(
   name: TraceName,
-  draw: Draw,
+  random: TraceRandom,
   options: TraceOptions,
 ): TraceJob[] {
   const isPolni = options.deployment === "polni_data";
@@ -110,46 +110,46 @@
     : ["gantry_west", "gantry_east", "gantry_south", "settlement_office"];
   const capacity = options.workers * ACCELERATORS;
   const jobs = [
-    ...makeShort(draw, { teams, perHour: isPolni ? 240 : 360, isPolni }),
-    ...makeLong(draw, { teams, capacity, isPolni }),
+    ...makeShort(random, { teams, perHour: isPolni ? 240 : 360, isPolni }),
+    ...makeLong(random, { teams, capacity, isPolni }),
   ];
-  if (name === "burst") jobs.push(...makeBurst(draw, teams));
-  if (name === "night" || !isPolni) jobs.push(...makeNight(draw, capacity));
+  if (name === "burst") jobs.push(...makeBurst(random, teams));
+  if (name === "night" || !isPolni) jobs.push(...makeNight(random, capacity));
   return jobs;
 }
 
 /** Short work follows the working day: twice the mean at noon. */
 function makeShort(
-  draw: Draw,
+  random: TraceRandom,
   options: { teams: string[]; perHour: number; isPolni: boolean },
 ): TraceJob[] {
   const jobs: TraceJob[] = [];
   const gapS = 3600 / (options.perHour * 2);
-  for (let at = 0; at < DAY_S; at += draw.exponential(gapS)) {
+  for (let at = 0; at < DAY_S; at += random.exponential(gapS)) {
     const load = 0.5 - 0.5 * Math.cos(2 * Math.PI * at / DAY_S);
-    if (draw.unit() > load) continue;
-    jobs.push(makeShortJob(draw, at, options));
+    if (random.unit() > load) continue;
+    jobs.push(makeShortJob(random, at, options));
   }
   return jobs;
 }
 
 function makeShortJob(
-  draw: Draw,
+  random: TraceRandom,
   at: number,
   options: { teams: string[]; isPolni: boolean },
 ): TraceJob {
-  const repeatable = draw.unit() < 0.5;
+  const repeatable = random.unit() < 0.5;
   const polniService = repeatable ? "fleet_diagnostics" : "fault_scan";
   const dalaService = repeatable ? "gantry_replay" : "plate_match";
   return {
     at,
-    team: draw.choose(options.teams.slice(0, 2)),
+    team: random.choose(options.teams.slice(0, 2)),
     service: options.isPolni ? polniService : dalaService,
     tier: "urgent",
     accelerators: 1,
     block: "any",
     gang: 1,
-    duration: draw.logNormal(6, 0.6),
+    duration: random.logNormal(6, 0.6),
     estimate: null,
     repeatable,
     checkpoint: null,
@@ -158,33 +158,37 @@
 
 /** Long work at nine tenths of the capacity over the day. */
 function makeLong(
-  draw: Draw,
+  random: TraceRandom,
   options: { teams: string[]; capacity: number; isPolni: boolean },
 ): TraceJob[] {
   const jobs: TraceJob[] = [];
-  let left = options.capacity * DAY_S * (options.isPolni ? 0.85 : 0.5);
-  while (left > 0) {
-    const job = makeLongJob(draw, draw.unit() * DAY_S, options.teams);
+  let remaining = options.capacity * DAY_S * (options.isPolni ? 0.85 : 0.5);
+  while (remaining > 0) {
+    const job = makeLongJob(random, random.unit() * DAY_S, options.teams);
     jobs.push(job);
-    left -= job.duration * job.gang * job.accelerators;
+    remaining -= job.duration * job.gang * job.accelerators;
   }
   return jobs;
 }
 
-function makeLongJob(draw: Draw, at: number, teams: string[]): TraceJob {
-  const size = draw.choose([1, 1, 1, 2, 2, 4, 8, 16, 16, 32, 64]);
-  const accelerators = Math.min(size, draw.choose([1, 2, 4, 8]));
+function makeLongJob(
+  random: TraceRandom,
+  at: number,
+  teams: string[],
+): TraceJob {
+  const size = random.choose([1, 1, 1, 2, 2, 4, 8, 16, 16, 32, 64]);
+  const accelerators = Math.min(size, random.choose([1, 2, 4, 8]));
   const gang = Math.max(1, Math.floor(size / accelerators));
   const isGang = gang > 1;
   return {
     at,
-    team: draw.choose(teams),
+    team: random.choose(teams),
     service: isGang ? "yield_map" : "soil_compaction",
-    tier: draw.unit() < 0.4 ? "standard" : "batch",
+    tier: random.unit() < 0.4 ? "standard" : "batch",
     accelerators,
     block: isGang ? "rack" : "any",
     gang,
-    duration: Math.min(6 * 3600, 60 + draw.logNormal(900, 1.2)),
+    duration: Math.min(6 * 3600, 60 + random.logNormal(900, 1.2)),
     estimate: null,
     repeatable: true,
     checkpoint: 300,
@@ -192,15 +196,15 @@
 }
 
 /** 600 small jobs within two minutes, four times, without warning. */
-function makeBurst(draw: Draw, teams: string[]): TraceJob[] {
+function makeBurst(random: TraceRandom, teams: string[]): TraceJob[] {
   const jobs: TraceJob[] = [];
   for (let burst = 0; burst < 4; burst++) {
-    const start = draw.unit() * DAY_S;
-    const team = draw.choose(teams);
+    const start = random.unit() * DAY_S;
+    const team = random.choose(teams);
     for (let i = 0; i < 600; i++) {
-      const at = start + draw.unit() * 120;
-      const job = makeLongJob(draw, at, [team]);
-      const duration = draw.logNormal(120, 0.8);
+      const at = start + random.unit() * 120;
+      const job = makeLongJob(random, at, [team]);
+      const duration = random.logNormal(120, 0.8);
       const shape = { accelerators: 1, gang: 1, block: "any" as const };
       jobs.push({ ...job, ...shape, tier: "standard", duration });
     }
@@ -209,19 +213,19 @@
 }
 
 /** Settlement between 0 and 4 o'clock: gangs of 32 and 64 accelerators. */
-function makeNight(draw: Draw, capacity: number): TraceJob[] {
+function makeNight(random: TraceRandom, capacity: number): TraceJob[] {
   const jobs: TraceJob[] = [];
   const gangs = Math.round(capacity / 20);
   for (let i = 0; i < gangs; i++) {
     jobs.push({
-      at: draw.unit() * 4 * 3600,
+      at: random.unit() * 4 * 3600,
       team: "settlement_office",
       service: "night_settlement",
       tier: "standard",
       accelerators: 8,
       block: "rack",
-      gang: draw.choose([4, 8, 8]),
-      duration: 600 + draw.logNormal(1200, 0.7),
+      gang: random.choose([4, 8, 8]),
+      duration: 600 + random.logNormal(1200, 0.7),
       estimate: null,
       repeatable: true,
       checkpoint: 300,
@@ -231,25 +235,25 @@
 }
 
 /** Letter 1: 40 teams, 9,000 jobs, about 20,000 tasks running at the peak. */
-function makeTarget(draw: Draw, options: TraceOptions): TraceJob[] {
+function makeTarget(random: TraceRandom, options: TraceOptions): TraceJob[] {
   const teams = Array.from({ length: 40 }, (_, i) => `team_${i}`);
   const jobs: TraceJob[] = [];
   // A wave of small tasks first, so that 20,000 tasks run at once.
   const tasks = Math.round(options.workers * 6.2);
   for (let i = 0; i < tasks; i++) {
-    jobs.push(makeTargetJob(draw, { at: i * 0.02, teams, size: 1 }));
+    jobs.push(makeTargetJob(random, { at: i * 0.02, teams, size: 1 }));
   }
   for (let i = 0; i < 9000; i++) {
-    const size = draw.choose([1, 1, 2, 4, 8, 16, 64]);
-    const at = 600 + draw.unit() * DAY_S;
-    jobs.push(makeTargetJob(draw, { at, teams, size }));
+    const size = random.choose([1, 1, 2, 4, 8, 16, 64]);
+    const at = 600 + random.unit() * DAY_S;
+    jobs.push(makeTargetJob(random, { at, teams, size }));
   }
-  jobs.push(...makeShort(draw, { teams, perHour: 120, isPolni: true }));
+  jobs.push(...makeShort(random, { teams, perHour: 120, isPolni: true }));
   return jobs;
 }
 
 function makeTargetJob(
-  draw: Draw,
+  random: TraceRandom,
   options: { at: number; teams: string[]; size: number },
 ): TraceJob {
   const { at, size } = options;
@@ -257,13 +261,13 @@
   const gang = Math.max(1, size / accelerators);
   return {
     at,
-    team: draw.choose(options.teams),
+    team: random.choose(options.teams),
     service: "long",
-    tier: draw.unit() < 0.4 ? "standard" : "batch",
+    tier: random.unit() < 0.4 ? "standard" : "batch",
     accelerators,
     block: gang > 1 ? "rack" : "any",
     gang,
-    duration: Math.min(12 * 3600, draw.logNormal(5400, 0.7)),
+    duration: Math.min(12 * 3600, random.logNormal(5400, 0.7)),
     estimate: null,
     repeatable: true,
     checkpoint: 600,
