--- a/packages/bench/bin.ts
+++ b/packages/bench/bin.ts
@@ -1,4 +1,4 @@
-/** `npm run bench`. */
+/** `npm run bench`: the command line of the scheduler comparison. */
 import * as Scheduler from "@cairngate/scheduler";
 import * as Clipanion from "clipanion";
 import process from "node:process";
@@ -59,7 +59,9 @@
     const isValid = DEPLOYMENTS.includes(this.deployment) &&
       Number.isInteger(workers) && workers > 0 && policies !== null;
     if (!isValid) {
-      this.context.stderr.write("An option is not valid; see --help.\n");
+      this.context.stderr.write(
+        "The value of --deployment, --policy or --workers is invalid; see --help.\n",
+      );
       return null;
     }
     return {
--- a/packages/bench/mod.ts
+++ b/packages/bench/mod.ts
@@ -1,4 +1,4 @@
-/** Feeds traces to the decision code on a virtual clock. */
+/** Simulates schedulers on traces of jobs, on a virtual clock. */
 export {
   type BenchOptions,
   type BenchReport,
--- a/packages/bench/src/bench_test.ts
+++ b/packages/bench/src/bench_test.ts
@@ -19,7 +19,7 @@
 };
 
 describe("the bench", () => {
-  test("gives the same figures for the same seed", async () => {
+  test("gives the same results for the same seed", async () => {
     const options = {
       deployment: "dala_toll",
       seed: 7,
@@ -41,14 +41,14 @@
 });
 
 describe("a trace file", () => {
-  test("is read line by line", () => {
+  test("is parsed line by line and sorted by time", () => {
     const jobs = traceFiles.parseTrace(
       `${JSON.stringify({ ...LINE, at: 5 })}\n\n${JSON.stringify(LINE)}\n`,
     );
     expect(jobs.map((job) => job.at)).toEqual([0, 5]);
   });
 
-  test("names every line that is wrong", () => {
+  test("reports every invalid line", () => {
     const text = [
       JSON.stringify({ ...LINE, tier: "high" }),
       JSON.stringify(LINE),
--- a/packages/bench/src/readings.ts
+++ b/packages/bench/src/readings.ts
@@ -1,28 +1,28 @@
-/** What the bench reads off a run; definitions in docs/MEASURES.md. */
+/** Statistics of a simulated run; docs/MEASURES.md defines them. */
 import * as Metrics from "@cairngate/metrics";
 import * as Placement from "@cairngate/placement";
 import type * as Types from "@cairngate/types";
 import type * as traces from "./traces.ts";
 
-/** Completion times of one tier in seconds. */
+/** Completion times of the jobs of one tier, in seconds. */
 export interface TierSummary {
   readonly jobs: number;
   readonly mean: number;
   readonly p50: number;
   readonly p95: number;
   readonly p99: number;
-  /** Mean ÷ mean of each job alone on an empty cell. */
+  /** Mean ÷ mean duration of the same jobs, each alone on an empty cell. */
   readonly overLowerBound: number;
 }
 
-/** Readings of one policy. */
+/** Results of one policy. */
 export interface Summary {
   readonly completion: Readonly<Record<string, TierSummary>>;
-  /** Time average by block size, where at least one block's worth is free. */
+  /** Time average by block size, while at least one block's worth is free. */
   readonly fragmentation: Readonly<Record<string, number>>;
-  /** Mean completion in seconds by team. */
+  /** Mean completion time in seconds by team. */
   readonly teams: Readonly<Record<string, number>>;
-  /** Longest wait of a gang that fitted in the sum of the free accelerators. */
+  /** Longest wait of a gang while enough accelerators were free in total. */
   readonly gangWaitMaxS: number;
   readonly preemptions: number;
   readonly lostAcceleratorHours: number;
@@ -33,7 +33,7 @@
   readonly decisionsPerSecond: number;
   readonly planP50Ms: number;
   readonly planP99Ms: number;
-  /** Largest heap seen. */
+  /** Largest sampled heap. */
   readonly heapPeakMb: number;
   readonly ended: number;
   readonly expired: number;
@@ -44,7 +44,7 @@
   waitedMs: number;
 }
 
-/** Collects readings while a run goes on. */
+/** Collects statistics during a simulated run. */
 export class RunStatistics {
   readonly #space: Placement.BuddySpace;
   readonly #durations = new Map<string, number>();
@@ -79,7 +79,7 @@
     });
   }
 
-  /** Time passes; the state of the racks has held until now. */
+  /** Advances the clock and adds up the state of the racks, unchanged until `nowMs`. */
   advance(nowMs: number): void {
     const elapsedMs = nowMs - this.#nowMs;
     if (elapsedMs <= 0) return;
@@ -94,14 +94,14 @@
     this.#nowMs = nowMs;
   }
 
-  /** A job has arrived. */
+  /** Starts the wait of a gang that arrives. */
   recordArrival(shape: Types.JobShape): void {
     if (shape.gang === 1) return;
     const size = shape.gang * shape.accelerators;
     this.#gangs.set(shape.id, { size, waitedMs: 0 });
   }
 
-  /** A job has started. */
+  /** Ends a gang's wait; a claim of guaranteed capacity is timed from `claimedAtMs`. */
   recordStart(
     shape: Types.JobShape,
     nowMs: number,
@@ -115,7 +115,7 @@
     if (claimedAtMs !== null) this.#reclaims.push(nowMs - claimedAtMs);
   }
 
-  /** A job has ended. */
+  /** Adds the completion time of a job. */
   recordEnd(shape: Types.JobShape, nowMs: number): void {
     const seconds = (nowMs - shape.submittedAtMs) / 1000;
     const lowerBound = this.#durations.get(shape.id)!;
@@ -131,12 +131,12 @@
     this.#ended++;
   }
 
-  /** A job ended without running to its end. */
+  /** Counts a job that ended without completing. */
   recordExpiry(_shape: Types.JobShape): void {
     this.#expired++;
   }
 
-  /** A job was stopped for another. */
+  /** Counts a job that was stopped for another; a gang starts to wait anew. */
   recordPreemption(shape: Types.JobShape, nowMs: number): void {
     this.#preemptions++;
     if (shape.gang === 1) return;
@@ -145,19 +145,19 @@
     this.#nowMs = Math.max(this.#nowMs, nowMs);
   }
 
-  /** Work that has to be done again. */
+  /** Adds the run time of a job that was not checkpointed and has to be repeated. */
   recordLostWork(shape: Types.JobShape, ms: number): void {
     this.#lostMs += ms * shape.gang * shape.accelerators;
   }
 
-  /** A round of decisions was made. */
+  /** Adds a planning round that took `ms` and made some decisions. */
   recordPlan(ms: number, decisions: number): void {
     this.#planTimes.observeMs("plan", ms);
     this.#planMs += ms;
     this.#decisions += decisions;
   }
 
-  /** All readings at the end. */
+  /** Returns all statistics at the end of the run. */
   summarize(heapPeakMb: number): Summary {
     const completion: Record<string, TierSummary> = {};
     for (const [tier, seconds] of this.#completions) {
--- a/packages/bench/src/render_report.ts
+++ b/packages/bench/src/render_report.ts
@@ -1,11 +1,11 @@
-/** The report as a table for people. */
+/** Renders the report as a plain-text table. */
 import type * as bench from "./run_bench.ts";
 import type * as simulation from "./simulate.ts";
 
 const NAME_WIDTH = 30;
 const COLUMN_WIDTH = 16;
 
-/** Lines of the report. */
+/** Returns the lines of the report, with a column for each policy. */
 export function renderReport(report: bench.BenchReport): string[] {
   const names = Object.keys(report.policies);
   const results = Object.values(report.policies);
--- a/packages/bench/src/run_bench.ts
+++ b/packages/bench/src/run_bench.ts
@@ -1,4 +1,4 @@
-/** Compares the naive scheduler with the policies, side by side. */
+/** Compares the naive scheduler with the policies on one trace. */
 import * as Config from "@cairngate/config";
 import * as Naive from "@cairngate/naive";
 import * as Scheduler from "@cairngate/scheduler";
@@ -9,37 +9,37 @@
 import * as traceFiles from "./trace_file.ts";
 import * as traces from "./traces.ts";
 
-/** What to compare. */
+/** Trace, deployment and policies to compare. */
 export interface BenchOptions {
   readonly deployment: "polni_data" | "dala_toll";
   readonly seed: number;
   readonly trace: traces.TraceName;
-  /** A file of JSON lines instead of a generated trace. */
+  /** Path of a trace in JSON lines that replaces the generated one; null for none. */
   readonly traceFile: string | null;
   readonly policies: readonly Scheduler.PolicyName[];
   readonly workers: number;
 }
 
-/** Readings by policy, and the default ÷ naive. */
+/** Results by policy, and ratios of the default policy to the naive scheduler. */
 export interface BenchReport {
   readonly deployment: string;
   readonly trace: string;
   readonly seed: number;
   readonly workers: number;
   readonly jobs: number;
-  /** Hours: total work ÷ capacity. */
+  /** Total work ÷ capacity, in hours. */
   readonly workOverCapacityH: number;
   readonly policies: Readonly<Record<string, simulation.PolicyResult>>;
   readonly ratios: Ratios;
 }
 
-/** Default ÷ naive. */
+/** Results of the default policy ÷ those of the naive scheduler; NaN without it. */
 export interface Ratios {
   readonly completionMean: number;
   readonly completionP99Urgent: number;
   readonly fragmentation: number;
   readonly gangWaitMax: number;
-  /** The team that fares worst, by mean completion. */
+  /** Largest ratio of any team's mean completion time. */
   readonly worstTeam: number;
 }
 
@@ -79,7 +79,7 @@
   };
 }
 
-/** The example's teams on as many racks as wanted. */
+/** Builds one cell with the example's teams and the requested number of workers. */
 async function makeLayout(
   options: BenchOptions,
   jobs: readonly traces.TraceJob[],
@@ -127,7 +127,7 @@
   }));
 }
 
-/** Teams of a trace that the example does not have get no guarantee. */
+/** Adds the teams that only the trace has, without a guarantee. */
 function addUnknownTeams(
   teams: readonly Types.TeamSpec[],
   jobs: readonly traces.TraceJob[],
@@ -145,7 +145,7 @@
       waitingLimit: 100_000,
     });
   }
-  // The naive scheduler knows no quotas, so the comparison lifts them.
+  // The naive scheduler has no quotas, so the comparison raises them to the capacity.
   const quota = workers * ACCELERATORS;
   return [...teamsByName.values()].map((team) => ({
     ...team,
--- a/packages/bench/src/simulate.ts
+++ b/packages/bench/src/simulate.ts
@@ -1,4 +1,4 @@
-/** Runs one scheduler over a trace on a virtual clock. */
+/** Simulates one scheduler on a trace, on a virtual clock. */
 import * as Placement from "@cairngate/placement";
 import * as Scheduler from "@cairngate/scheduler";
 import * as Types from "@cairngate/types";
@@ -10,29 +10,29 @@
 
 /** Time to write a checkpoint and stop, in milliseconds. */
 const STOP_DURATION_MS = 2000;
-/** Rounds of decisions between two looks at the memory. */
+/** Planning rounds between two samples of the heap size. */
 const ROUNDS_PER_SAMPLE = 500;
 /** Time to load a checkpoint, in milliseconds. */
 const RESTORE_MS = 10_000;
 
-/** A rack that is lost for a while. */
+/** A period in which all workers of a rack are unavailable. */
 export interface RackLoss {
   readonly rack: number;
   readonly atMs: number;
   readonly untilMs: number;
 }
 
-/** What to run. */
+/** Scheduler, cell, trace and rack losses of a simulation. */
 export interface SimulationOptions {
   readonly layout: Scheduler.CellLayout;
   readonly scheduler: Scheduler.SchedulerCore;
   readonly jobs: readonly traces.TraceJob[];
   readonly losses: readonly RackLoss[];
-  /** Called after every round of decisions; for tests. */
+  /** Called after every planning round; for tests. */
   readonly afterPlan?: (nowMs: number) => void;
 }
 
-/** Result of one scheduler on one trace. */
+/** Statistics of one scheduler on one trace. */
 export type PolicyResult = readings.Summary;
 
 enum EventKind {
@@ -47,7 +47,7 @@
   readonly atMs: number;
   readonly kind: EventKind;
   readonly job: SimJob | null;
-  /** The run that the event belongs to; older runs are ignored. */
+  /** The job's run that the event belongs to; events of earlier runs are ignored. */
   readonly run: number;
   readonly rack: number;
 }
@@ -62,7 +62,7 @@
   claimedAtMs: number | null;
 }
 
-/** Runs the trace to its end and returns the readings. */
+/** Runs the trace to its end and returns its statistics. Throws OverlapError. */
 export function simulate(options: SimulationOptions): PolicyResult {
   return new Simulation(options).run();
 }
@@ -101,7 +101,7 @@
       this.#statistics.advance(event.atMs);
       this.#nowMs = event.atMs;
       this.#handle(event);
-      // Events of the same moment are decided on together.
+      // All events of one time are handled before the next planning round.
       if (this.#events.peek()?.atMs === event.atMs) continue;
       this.#plan();
     }
@@ -217,7 +217,7 @@
     this.#options.scheduler.requeue(job.shape.id, options);
   }
 
-  /** Progress of the last whole checkpoint interval; the rest is lost. */
+  /** Saves and returns the progress at the last checkpoint; later work is lost. */
   #saveProgress(job: SimJob): number {
     const ranMs = this.#nowMs - job.startedAtMs;
     const interval = job.shape.checkpointMs;
@@ -262,7 +262,10 @@
     job.slots = [];
   }
 
-  /** Keeps a book of its own, and so notices two jobs on one accelerator. */
+  /**
+   * Marks accelerators as used or free in the simulation's own index, independent of
+   * the scheduler's. Throws OverlapError if two jobs use one accelerator.
+   */
   #occupy(slots: readonly Types.Slot[], isUsed: boolean): void {
     for (const { worker, mask } of slots) {
       const used = this.#space.usedMask(worker);
@@ -273,11 +276,13 @@
   }
 }
 
-/** A scheduler put two jobs on one accelerator. */
+/** Thrown when a scheduler places two jobs on one accelerator. */
 export class OverlapError extends Error {
   readonly _tag = "OverlapError";
   constructor(worker: number) {
-    super(`Two jobs on one accelerator of worker ${worker}.`);
+    super(
+      `The scheduler placed two jobs on one accelerator of worker ${worker}.`,
+    );
   }
 }
 
--- a/packages/bench/src/trace_file.ts
+++ b/packages/bench/src/trace_file.ts
@@ -1,8 +1,8 @@
-/** Reads traces as JSON lines, with every fault reported. */
+/** Parses traces in JSON lines and reports all invalid lines, up to MAX_FAULTS. */
 import * as Data from "effect/Data";
 import type * as traces from "./traces.ts";
 
-/** A trace with faults. Correct the named lines. */
+/** Thrown for an invalid trace; `faults` holds a message for each invalid line. */
 export class InvalidTraceError extends Data.TaggedError("InvalidTraceError")<{
   readonly faults: readonly string[];
 }> {
@@ -15,7 +15,7 @@
 const BLOCKS = ["any", "worker", "rack"];
 const MAX_FAULTS = 20;
 
-/** Parses a trace; throws `InvalidTraceError`. */
+/** Parses a trace and sorts its jobs by time. Throws InvalidTraceError. */
 export function parseTrace(text: string): traces.TraceJob[] {
   const jobs: traces.TraceJob[] = [];
   const faults: string[] = [];
@@ -59,7 +59,7 @@
   return findOversize(job as unknown as traces.TraceJob);
 }
 
-/** Shapes that no cell of 8 x 8 racks can hold. */
+/** Checks the size of a job: racks have 8 workers with 8 accelerators each. */
 function findOversize(job: traces.TraceJob): string | null {
   const { accelerators, gang, block } = job;
   if (accelerators > 8) {
--- a/packages/bench/src/traces.ts
+++ b/packages/bench/src/traces.ts
@@ -1,13 +1,13 @@
 /**
- * Generated traces. Shapes come from the brief: short diagnostics in bursts,
- * rebuilds of hours, nightly settlement gangs. Run times are log-normal: most
- * jobs are short and a few are very long, as job logs of shared clusters show.
+ * Generates traces with the kinds of jobs that the users run: short diagnostics in
+ * bursts, rebuilds of hours, nightly settlement gangs. Run times are log-normal, as
+ * in job logs of shared clusters: most jobs are short and a few are very long.
  */
 import type * as Types from "@cairngate/types";
 import * as Float from "pure-rand/distribution/uniformFloat64";
 import * as Xoroshiro from "pure-rand/generator/xoroshiro128plus";
 
-/** One job of a trace; times in seconds. */
+/** One job of a trace; all times are in seconds, `at` from the trace's start. */
 export interface TraceJob {
   readonly at: number;
   readonly team: string;
@@ -39,14 +39,14 @@
 const DAY_S = 86_400;
 const ACCELERATORS = 8;
 
-/** How to generate. */
+/** Seed, fleet size and example deployment of a generated trace. */
 export interface TraceOptions {
   readonly seed: number;
   readonly workers: number;
   readonly deployment: "polni_data" | "dala_toll";
 }
 
-/** Draws random numbers for a trace. */
+/** Seeded random source of a trace. */
 class TraceRandom {
   readonly #generator: ReturnType<typeof Xoroshiro.xoroshiro128plus>;
 
@@ -54,6 +54,7 @@
     this.#generator = Xoroshiro.xoroshiro128plus(seed);
   }
 
+  /** Returns a number in [0, 1). */
   unit(): number {
     return Float.uniformFloat64(this.#generator);
   }
@@ -62,11 +63,12 @@
     return items[Math.floor(this.unit() * items.length)];
   }
 
+  /** Draws from the exponential distribution. */
   exponential(mean: number): number {
     return -mean * Math.log(1 - this.unit());
   }
 
-  /** Log-normal with this median. */
+  /** Draws from the log-normal distribution with the given median. */
   logNormal(median: number, sigma: number): number {
     const u = Math.max(1e-12, this.unit());
     const normal = Math.sqrt(-2 * Math.log(u)) *
@@ -75,7 +77,7 @@
   }
 }
 
-/** Generates a trace. */
+/** Generates a trace, sorted by time; the same options give the same trace. */
 export function makeTrace(
   name: TraceName,
   options: TraceOptions,
@@ -118,7 +120,7 @@
   return jobs;
 }
 
-/** Short work follows the working day: twice the mean at noon. */
+/** Generates a day of short jobs, whose rate peaks at noon at twice the mean. */
 function makeShort(
   random: TraceRandom,
   options: { teams: string[]; perHour: number; isPolni: boolean },
@@ -156,7 +158,7 @@
   };
 }
 
-/** Long work at nine tenths of the capacity over the day. */
+/** Generates a day of long jobs that use 85 % or 50 % of the capacity. */
 function makeLong(
   random: TraceRandom,
   options: { teams: string[]; capacity: number; isPolni: boolean },
@@ -195,7 +197,7 @@
   };
 }
 
-/** 600 small jobs within two minutes, four times, without warning. */
+/** Generates four bursts of 600 small jobs within two minutes each, at random times. */
 function makeBurst(random: TraceRandom, teams: string[]): TraceJob[] {
   const jobs: TraceJob[] = [];
   for (let burst = 0; burst < 4; burst++) {
@@ -212,7 +214,7 @@
   return jobs;
 }
 
-/** Settlement between 0 and 4 o'clock: gangs of 32 and 64 accelerators. */
+/** Generates settlement gangs of 32 and 64 accelerators between 0 and 4 o'clock. */
 function makeNight(random: TraceRandom, capacity: number): TraceJob[] {
   const jobs: TraceJob[] = [];
   const gangs = Math.round(capacity / 20);
@@ -234,11 +236,11 @@
   return jobs;
 }
 
-/** Letter 1: 40 teams, 9,000 jobs, about 20,000 tasks running at the peak. */
+/** Generates the target load: 40 teams, 9,000 jobs, about 20,000 tasks at the peak. */
 function makeTarget(random: TraceRandom, options: TraceOptions): TraceJob[] {
   const teams = Array.from({ length: 40 }, (_, i) => `team_${i}`);
   const jobs: TraceJob[] = [];
-  // A wave of small tasks first, so that 20,000 tasks run at once.
+  // Starts with a wave of small tasks, so that about 20,000 tasks run at once.
   const tasks = Math.round(options.workers * 6.2);
   for (let i = 0; i < tasks; i++) {
     jobs.push(makeTargetJob(random, { at: i * 0.02, teams, size: 1 }));
