--- a/packages/adapters/mod.ts
+++ b/packages/adapters/mod.ts
@@ -1,4 +1,4 @@
-/** Adapters of the ports: system clock, random source, platform and workers over HTTP. */
+/** Adapters of the ports: system clock, random source, platform and workers (HTTP). */
 export {
   HttpLiveList,
   HttpObjectStore,
