--- a/packages/adapters/src/http_platform.ts
+++ b/packages/adapters/src/http_platform.ts
@@ -153,7 +153,7 @@
 
   call(
     req: HttpJson.HttpCall,
-  ): Effect.Effect<HttpJson.HttpReply, Ports.StoreError> {
+  ): Effect.Effect<HttpJson.HttpResponse, Ports.StoreError> {
     const operation = `${req.method} ${req.path}`;
     return Effect.matchEffect(this.#caller.call(this.#address, req), {
       onFailure: (err) =>
@@ -173,7 +173,7 @@
 /** Whether an answer may lack a body: only 200 and 409 need one, but not for PUT. */
 function mayHaveNoBody(
   { method }: HttpJson.HttpCall,
-  { status }: HttpJson.HttpReply,
+  { status }: HttpJson.HttpResponse,
 ): boolean {
   return method === "PUT" ||
     (status !== STATUS_OK && status !== STATUS_CONFLICT);
@@ -185,8 +185,8 @@
 
 function checkStatus(
   operation: string,
-  reply: HttpJson.HttpReply,
-): Effect.Effect<HttpJson.HttpReply, Ports.StoreError> {
+  reply: HttpJson.HttpResponse,
+): Effect.Effect<HttpJson.HttpResponse, Ports.StoreError> {
   const handledStatuses = [
     STATUS_OK,
     STATUS_NOT_MODIFIED,
--- a/packages/adapters/src/http_workers.ts
+++ b/packages/adapters/src/http_workers.ts
@@ -56,7 +56,7 @@
     this.#control.close();
   }
 
-  override seal(endpoint: string, fence: Types.Fence) {
+  override fence(endpoint: string, fence: Types.Fence) {
     return this.#request<Types.Inventory>(endpoint, "seal", fence);
   }
 
@@ -126,7 +126,7 @@
 function readReply<A>(
   endpoint: string,
   req: WorkerRequest,
-  { status, body }: HttpJson.HttpReply,
+  { status, body }: HttpJson.HttpResponse,
 ): Effect.Effect<A, Ports.WorkerError> {
   if (status === STATUS_OK) {
     return req.isAsking && !HttpJson.isObject(body)
--- a/packages/adapters/src/odd_bodies_test.ts
+++ b/packages/adapters/src/odd_bodies_test.ts
@@ -42,21 +42,21 @@
 }
 
 vitest.describe("a worker's answer", () => {
-  const seal = () => client.seal(address, { cell: "c-1", epoch: 2 });
+  const fence = () => client.fence(address, { cell: "c-1", epoch: 2 });
 
   for (const text of ["", "null", "{}", '{"reason":"else"}']) {
     vitest.it(
       `counts as lost with status 409 and the body '${text}'`,
       async () => {
         answer = { status: 409, text };
-        vitest.expect(await failureOf(seal())).toBe("WorkerLostError");
+        vitest.expect(await failureOf(fence())).toBe("WorkerLostError");
       },
     );
   }
 
   vitest.it("is a refusal with status 409 and a known reason", async () => {
     answer = { status: 409, text: '{"reason":"stale-epoch","epoch":4}' };
-    const refused = await Effect.runPromise(Effect.flip(seal()));
+    const refused = await Effect.runPromise(Effect.flip(fence()));
     vitest.expect(refused).toMatchObject({
       _tag: "WorkerRefusedError",
       worker: address,
@@ -70,7 +70,7 @@
       `counts as lost with status 200 and the body '${text}'`,
       async () => {
         answer = { status: 200, text };
-        vitest.expect(await failureOf(seal())).toBe("WorkerLostError");
+        vitest.expect(await failureOf(fence())).toBe("WorkerLostError");
       },
     );
   }
--- a/packages/admission/src/decide.ts
+++ b/packages/admission/src/decide.ts
@@ -83,10 +83,10 @@
 ): Errors.RejectReason | null {
   for (const step of steps) {
     const demand = amounts.reservedResources(step);
-    if (!amounts.isWithin(demand, largest)) return RejectReason.NoEndpoint;
+    if (!amounts.isWithin(demand, largest)) return RejectReason.EndpointSize;
     const members = step.gang ? step.count : 1;
     const gangDemand = amounts.scale(demand, members);
-    if (!amounts.isWithin(gangDemand, total)) return RejectReason.NoFleet;
+    if (!amounts.isWithin(gangDemand, total)) return RejectReason.FleetSize;
   }
   return null;
 }
@@ -106,10 +106,10 @@
   const minRunFactor = forecasts.MIN_ESTIMATE_FACTOR / fastest;
   const endMs = endMsFor((step) => step.estimateMs * minRunFactor);
   if (endMs > limitMs) return reject(RejectReason.TooLate, endMs - limitMs);
-  const slowEndMs = endMsFor((step) =>
+  const maxEndMs = endMsFor((step) =>
     step.estimateMs * minRunFactor * rackPenalty(step, context)
   );
-  if (slowEndMs > limitMs) return reject(RejectReason.NoRack, FLEET_CHANGE_MS);
+  if (maxEndMs > limitMs) return reject(RejectReason.RackSize, FLEET_CHANGE_MS);
   return accept(null);
 }
 
--- a/packages/admission/src/decide_test.ts
+++ b/packages/admission/src/decide_test.ts
@@ -164,13 +164,15 @@
       return decision.verdict === Verdict.Rejected ? decision.reason : null;
     };
     vitest.expect(reasonOf({ accelerators: 8 })).toBe(null);
-    vitest.expect(reasonOf({ accelerators: 9 })).toBe(RejectReason.NoEndpoint);
+    vitest.expect(reasonOf({ accelerators: 9 })).toBe(
+      RejectReason.EndpointSize,
+    );
     vitest.expect(reasonOf({ count: 65, gang: true }))
-      .toBe(RejectReason.NoFleet);
+      .toBe(RejectReason.FleetSize);
     const wideGang = { count: 33, gang: true, sameRack: true };
     vitest.expect(reasonOf({ ...wideGang, estimateMs: 4000 })).toBe(null);
     vitest.expect(reasonOf({ ...wideGang, estimateMs: 8000 }))
-      .toBe(RejectReason.NoRack);
+      .toBe(RejectReason.RackSize);
   });
 });
 
--- a/packages/box/mod.ts
+++ b/packages/box/mod.ts
@@ -2,6 +2,6 @@
 export { Box, type BoxDump, type BoxPorts } from "./src/box.ts";
 export {
   type ApplyRequest,
-  ConfigKeeper,
+  ConfigManager,
   type VersionSummary,
-} from "./src/config_keeper.ts";
+} from "./src/config_manager.ts";
--- a/packages/box/src/box.ts
+++ b/packages/box/src/box.ts
@@ -10,8 +10,8 @@
 import * as Types from "@cairngate/types";
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
-import * as configs from "./config_keeper.ts";
-import * as live from "./live_workers.ts";
+import * as configs from "./config_manager.ts";
+import * as leaving from "./leaving_workers.ts";
 import * as memberships from "./membership.ts";
 import * as routers from "./owner_router.ts";
 import * as requests from "./peer_requests.ts";
@@ -55,14 +55,14 @@
 /** A running box. */
 export class Box {
   readonly entry: Entry.Entry;
-  readonly configs: configs.ConfigKeeper;
+  readonly configs: configs.ConfigManager;
   readonly metrics: Metrics.Metrics;
   readonly owners: routers.OwnerRouter;
   readonly #ports: BoxPorts;
   readonly #options: BoxOptions;
   readonly #store: TableClient.StoreClient;
   readonly #membership: memberships.Membership;
-  readonly #liveWorkers: live.LiveWorkers;
+  readonly #leavingWorkers: leaving.LeavingWorkers;
   readonly #managers = new Map<string, Cell.CellManager>();
   readonly #fibers: Fiber.Fiber<unknown>[] = [];
   readonly #cellPorts: Cell.CellPorts;
@@ -86,20 +86,20 @@
       clock,
       windowMs: WRITE_GROUP_WINDOW_MS,
     });
-    this.configs = new configs.ConfigKeeper({
+    this.configs = new configs.ConfigManager({
       deployment: options.deployment,
       clock,
       store: this.#store,
       metrics,
-      log: log.part("config"),
+      log: log.child("config"),
       onChange: () => this.#startManagers(),
     });
-    this.#liveWorkers = new live.LiveWorkers(ports.liveList, clock);
+    this.#leavingWorkers = new leaving.LeavingWorkers(ports.liveList, clock);
     this.#membership = new memberships.Membership({
       ...options,
       clock,
       network: ports.network,
-      liveWorkers: this.#liveWorkers,
+      leavingWorkers: this.#leavingWorkers,
       configVersion: () => this.configs.current?.version ?? 0,
     });
     this.owners = new routers.OwnerRouter({
@@ -112,14 +112,14 @@
     this.#cellPorts = {
       ...shared,
       times,
-      log: log.part("cell"),
+      log: log.child("cell"),
       view: this.#membership,
       config: () => this.configs.inForce,
     };
     this.entry = new Entry.Entry({
       ...shared,
       limits,
-      log: log.part("entry"),
+      log: log.child("entry"),
       owners: this.owners,
       config: () => this.configs.inForce?.cfg ?? null,
     });
@@ -133,7 +133,7 @@
       yield* network.listen((_, req) => this.#answer(req));
       this.#membership.start();
       this.#fork(this.configs.keepPolling(times.configPollMs));
-      this.#fork(this.#liveWorkers.keepReading(times.livePollMs));
+      this.#fork(this.#leavingWorkers.keepReading(times.livePollMs));
       this.#fork(this.#keepFetchingConfig());
     });
   }
--- a/packages/box/src/config_keeper.ts
+++ b/packages/box/src/config_manager.ts
@@ -14,7 +14,7 @@
 import * as Effect from "effect/Effect";
 
 /** Settings and services of the keeper. */
-export interface ConfigKeeperOptions {
+export interface ConfigManagerOptions {
   readonly deployment: string;
   readonly clock: Ports.Clock;
   readonly store: TableClient.StoreClient;
@@ -46,12 +46,12 @@
 const APPLY_TIMEOUT_MS = 5000;
 
 /** Follows the configuration in force and applies new ones. */
-export class ConfigKeeper {
-  readonly #options: ConfigKeeperOptions;
+export class ConfigManager {
+  readonly #options: ConfigManagerOptions;
   #version: Types.ConfigVersion | null = null;
   #cfg: Types.DeploymentConfig | null = null;
 
-  constructor(options: ConfigKeeperOptions) {
+  constructor(options: ConfigManagerOptions) {
     this.#options = options;
   }
 
--- a/packages/box/src/live_workers.ts
+++ b/packages/box/src/leaving_workers.ts
@@ -11,7 +11,7 @@
 const RELAY_MS = 5000;
 
 /** Tracks the names of leaving workers. */
-export class LiveWorkers {
+export class LeavingWorkers {
   readonly #list: Ports.LiveList;
   readonly #clock: Ports.Clock;
   #tag: string | null = null;
--- a/packages/box/src/membership.ts
+++ b/packages/box/src/membership.ts
@@ -6,7 +6,7 @@
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
-import type * as live from "./live_workers.ts";
+import type * as leaving from "./leaving_workers.ts";
 
 /** Settings and services of the membership. */
 export interface MembershipOptions {
@@ -14,7 +14,7 @@
   readonly clock: Ports.Clock;
   readonly network: Ports.PeerNetwork;
   readonly times: Config.TimeSettings;
-  readonly liveWorkers: live.LiveWorkers;
+  readonly leavingWorkers: leaving.LeavingWorkers;
   readonly configVersion: () => number;
 }
 
@@ -82,7 +82,7 @@
     if (beat.configVersion > this.#options.configVersion()) {
       Deferred.doneUnsafe(this.#newerConfig, Effect.void);
     }
-    this.#options.liveWorkers.noteLeaving(beat.leavingWorkers);
+    this.#options.leavingWorkers.noteLeaving(beat.leavingWorkers);
   }
 
   /** Waits until a peer has a newer configuration than this box. */
@@ -149,7 +149,7 @@
   }
 
   override isWorkerLeaving(worker: string): boolean {
-    return this.#options.liveWorkers.isLeaving(worker);
+    return this.#options.leavingWorkers.isLeaving(worker);
   }
 
   override announce(): void {
@@ -207,10 +207,14 @@
    * changes. The check runs twice per heartbeat interval.
    */
   #keepAnnouncing(): Effect.Effect<never> {
-    const { clock, times, liveWorkers } = this.#options;
+    const { clock, times, leavingWorkers } = this.#options;
     let announced = "";
     const announceChanges = Effect.sync(() => {
-      const names = [...this.#liveHolders(), "", ...liveWorkers.namesToRelay()];
+      const names = [
+        ...this.#liveHolders(),
+        "",
+        ...leavingWorkers.namesToRelay(),
+      ];
       const text = names.join(" ");
       if (text === announced) return;
       announced = text;
@@ -237,7 +241,7 @@
   }
 
   #makeBeat(): Types.Heartbeat {
-    const { box, liveWorkers, configVersion } = this.#options;
+    const { box, leavingWorkers, configVersion } = this.#options;
     // Holders send their own claims; claims of others are relayed while new.
     const owners = [...this.#claims.values()].filter((claim) =>
       claim.holder === box || this.#isNewClaim(claim)
@@ -250,7 +254,7 @@
       configVersion: configVersion(),
       owners,
       hears,
-      leavingWorkers: liveWorkers.namesToRelay(),
+      leavingWorkers: leavingWorkers.namesToRelay(),
     };
   }
 }
--- a/packages/box/src/peer_requests.ts
+++ b/packages/box/src/peer_requests.ts
@@ -3,13 +3,13 @@
 import * as Errors from "@cairngate/errors";
 import * as Types from "@cairngate/types";
 import * as Effect from "effect/Effect";
-import type * as configs from "./config_keeper.ts";
+import type * as configs from "./config_manager.ts";
 import type * as memberships from "./membership.ts";
 
 /** Components that serve the requests. */
 export interface PeerRequestParts {
   readonly membership: memberships.Membership;
-  readonly configs: configs.ConfigKeeper;
+  readonly configs: configs.ConfigManager;
   readonly owner: (cell: string) => Cell.CellOwner | null;
 }
 
--- a/packages/cell/src/cell_owner.ts
+++ b/packages/cell/src/cell_owner.ts
@@ -200,7 +200,7 @@
       for (let tick = 0;; tick++) {
         if (tick % SCAN_EVERY_TICKS === 0) yield* this.#scan();
         if (tick % RECONSIDER_EVERY_TICKS === 0) {
-          this.#state.scheduler.reconsider();
+          this.#state.scheduler.unblockAll();
         }
         this.#disableLeavingWorkers();
         this.#applyNewConfig();
--- a/packages/cell/src/worker_link.ts
+++ b/packages/cell/src/worker_link.ts
@@ -92,7 +92,7 @@
   #fence(): Effect.Effect<Types.Inventory | null> {
     const { cell, epoch } = this.#lease;
     const { endpoint } = this.worker;
-    const request = this.#ports.workers.seal(endpoint, { cell, epoch });
+    const request = this.#ports.workers.fence(endpoint, { cell, epoch });
     return this.#call(FENCE_TIMEOUT_MS, request);
   }
 
--- a/packages/cli/src/base_command.ts
+++ b/packages/cli/src/base_command.ts
@@ -41,7 +41,7 @@
   /** Calls the operators' API; prints an error and returns null without a response. */
   protected callBox(
     request: HttpJson.HttpCall,
-  ): Promise<HttpJson.HttpReply | null> {
+  ): Promise<HttpJson.HttpResponse | null> {
     const address = this.box ?? process.env["CAIRNGATE_OPERATORS"] ??
       DEFAULT_OPERATORS_ADDRESS;
     return this.#call(address, request);
@@ -50,14 +50,14 @@
   /** Calls the callers' API; prints an error and returns null without a response. */
   protected callCallersApi(
     request: HttpJson.HttpCall,
-  ): Promise<HttpJson.HttpReply | null> {
+  ): Promise<HttpJson.HttpResponse | null> {
     const address = this.callers ?? process.env["CAIRNGATE_CALLERS"] ??
       DEFAULT_CALLERS_ADDRESS;
     return this.#call(address, request);
   }
 
   /** Prints the error of an unsuccessful response; returns the exit code. */
-  protected fail(reply: HttpJson.HttpReply | null): exitCodes.ExitCode {
+  protected fail(reply: HttpJson.HttpResponse | null): exitCodes.ExitCode {
     if (reply === null) return exitCodes.ExitCode.Unreachable;
     const problem = (reply.body ?? {}) as ProblemBody;
     if (this.json) {
@@ -82,7 +82,7 @@
   async #call(
     address: string,
     request: HttpJson.HttpCall,
-  ): Promise<HttpJson.HttpReply | null> {
+  ): Promise<HttpJson.HttpResponse | null> {
     const result = await Effect.runPromise(
       Effect.result(this.#caller.call(address, request)),
     );
--- a/packages/cli/src/render_story_test.ts
+++ b/packages/cli/src/render_workflow_test.ts
@@ -1,6 +1,6 @@
 /** Rendering of the reasons why a workflow was given up. */
 import * as vitest from "vitest";
-import * as workflows from "./render_story.ts";
+import * as workflows from "./render_workflow.ts";
 
 const ID = "5c0e7a21d94b36f8";
 const RUN = {
--- a/packages/cli/src/trace_command.ts
+++ b/packages/cli/src/trace_command.ts
@@ -8,7 +8,7 @@
 import type * as tty from "node:tty";
 import * as base from "./base_command.ts";
 import * as exitCodes from "./exit_codes.ts";
-import * as workflows from "./render_story.ts";
+import * as workflows from "./render_workflow.ts";
 import * as traces from "./trace.ts";
 
 const STANDARD_INPUT = "-";
@@ -89,7 +89,7 @@
     return this.box !== undefined || isTTY ? [] : [STANDARD_INPUT];
   }
 
-  #fetchWorkflow(): Promise<HttpJson.HttpReply | null> {
+  #fetchWorkflow(): Promise<HttpJson.HttpResponse | null> {
     const id = encodeURIComponent(workflows.workflowIdOf(this.id));
     return this.callBox({ method: "GET", path: `${STATE_PATH}/${id}` });
   }
--- a/packages/config/src/node_settings.ts
+++ b/packages/config/src/node_settings.ts
@@ -34,7 +34,7 @@
   cores: Positive,
 });
 
-const FeatureSchema = Schema.optionalKey(Schema.Enum(Types.FeatureUse));
+const FeatureSchema = Schema.optionalKey(Schema.Enum(Types.FeatureMode));
 
 const HardLoadSchema = Schema.Struct({
   competingTeams: FeatureSchema,
--- a/packages/coordinator/src/election/fitness.ts
+++ b/packages/coordinator/src/election/fitness.ts
@@ -4,7 +4,7 @@
 /** Answers the election's questions about this box and the others. */
 export abstract class Fitness {
   /** Whether calls reach the store without a relaying peer. */
-  abstract reachesStore(): boolean;
+  abstract hasDirectStoreAccess(): boolean;
   /** Whether other boxes are known that have clearly more processor cores. */
   abstract hasFitterBox(): boolean;
   /** Whether this box is among the few that follow each renewal of a term. */
@@ -32,5 +32,7 @@
 /** Delay of this box's claims relative to the fittest box, in ms. */
 export function claimDelayMs(fitness: Fitness): number {
   const fitterMs = fitness.hasFitterBox() ? LESS_FIT_DELAY_MS : 0;
-  return fitness.reachesStore() ? fitterMs : fitterMs + RELAYED_DELAY_MS;
+  return fitness.hasDirectStoreAccess()
+    ? fitterMs
+    : fitterMs + RELAYED_DELAY_MS;
 }
--- a/packages/coordinator/src/election/row_watch.ts
+++ b/packages/coordinator/src/election/row_watch.ts
@@ -73,10 +73,10 @@
       feed,
       clock,
       random,
-      awaitBack: () => store.awaitBack(),
+      awaitRecovery: () => store.awaitRecovery(),
       waitMs: FEED_WAIT_MS,
       onChange: (entries) => this.#note(entries),
-      onHeard: () => this.#noteAnswer(),
+      onPolled: () => this.#noteAnswer(),
     });
   }
 
--- a/packages/coordinator/src/election/term_renewal.ts
+++ b/packages/coordinator/src/election/term_renewal.ts
@@ -35,7 +35,7 @@
     const { store, clock, metrics } = this.#ports;
     return Effect.gen({ self: this }, function* () {
       const settled = Deferred.makeUnsafe<void>();
-      let waitMs = Math.min(store.hedgeMs, maxWaitMs);
+      let waitMs = Math.min(store.hedgeDelayMs, maxWaitMs);
       for (;;) {
         yield* Effect.forkChild(this.#attempt(settled));
         const timed = yield* clock.within(waitMs, Deferred.await(settled));
--- a/packages/coordinator/src/load/hard_load_detector.ts
+++ b/packages/coordinator/src/load/hard_load_detector.ts
@@ -70,7 +70,7 @@
   }
 }
 
-function isUsed(use: Types.FeatureUse, isCalledFor: () => boolean): boolean {
-  if (use === Types.FeatureUse.Auto) return isCalledFor();
-  return use === Types.FeatureUse.On;
+function isUsed(use: Types.FeatureMode, isCalledFor: () => boolean): boolean {
+  if (use === Types.FeatureMode.Auto) return isCalledFor();
+  return use === Types.FeatureMode.On;
 }
--- a/packages/coordinator/src/load/hard_load_detector_test.ts
+++ b/packages/coordinator/src/load/hard_load_detector_test.ts
@@ -9,7 +9,7 @@
 const EVEN_TEAMS = new Map([["a", 50], ["b", 50]]);
 const UNEVEN_SPEEDS = [0.6, 0.6, 1, 1, 1.5, 1.5];
 
-function detect(competing: Types.FeatureUse, uneven: Types.FeatureUse) {
+function detect(competing: Types.FeatureMode, uneven: Types.FeatureMode) {
   return new detectors.HardLoadDetector({
     hardLoad: { competingTeams: competing, unevenEndpoints: uneven },
     log: Logger.silentLogger(),
@@ -19,14 +19,14 @@
 
 vitest.describe("HardLoadDetector", () => {
   vitest.it("detects no load where the settings turn the features off", () => {
-    const off = detect(Types.FeatureUse.Off, Types.FeatureUse.Off);
+    const off = detect(Types.FeatureMode.Off, Types.FeatureMode.Off);
     off.update(UNEVEN_TEAMS, UNEVEN_SPEEDS);
     vitest.expect(off.load)
       .toEqual({ teamsCompete: false, endpointsDiffer: false });
   });
 
   vitest.it("detects load from guarantees and speeds in auto mode", () => {
-    const auto = detect(Types.FeatureUse.Auto, Types.FeatureUse.Auto);
+    const auto = detect(Types.FeatureMode.Auto, Types.FeatureMode.Auto);
     auto.update(UNEVEN_TEAMS, [1, 1, 1]);
     vitest.expect(auto.load)
       .toEqual({ teamsCompete: true, endpointsDiffer: false });
@@ -36,7 +36,7 @@
   });
 
   vitest.it("reports load where the settings turn the features on", () => {
-    const on = detect(Types.FeatureUse.On, Types.FeatureUse.On);
+    const on = detect(Types.FeatureMode.On, Types.FeatureMode.On);
     on.update(EVEN_TEAMS, [1]);
     vitest.expect(on.load)
       .toEqual({ teamsCompete: true, endpointsDiffer: true });
--- a/packages/coordinator/src/ports.ts
+++ b/packages/coordinator/src/ports.ts
@@ -31,7 +31,7 @@
   readonly clock: Ports.Clock;
   readonly random: Ports.RandomSource;
   readonly store: TableClient.StoreClient;
-  readonly endpoints: Ports.TaskWorkers;
+  readonly endpoints: Ports.TaskEndpoints;
   /** Null where no advice service is configured. */
   readonly advisor: Ports.Advisor | null;
   readonly endpointFeed: Ports.RowFeed<Ports.EndpointListing>;
--- a/packages/coordinator/src/sessions/endpoint_poller.ts
+++ b/packages/coordinator/src/sessions/endpoint_poller.ts
@@ -34,7 +34,7 @@
 
 /** Answer to one poll. */
 interface PollAnswer {
-  readonly view: Ports.EndpointView;
+  readonly view: Ports.EndpointReport;
   /** Time at which the poll was sent, in ms of the monotonic clock of this box. */
   readonly sentAtMs: number;
   readonly sentEvent: currentIncarnations.EventNumber;
@@ -162,7 +162,7 @@
    */
   get #mayLease(): boolean {
     const { store, outageReports } = this.#options.options.ports;
-    return store.silentForMs() < STORE_UNREACHABLE_MS ||
+    return store.failingForMs() < STORE_UNREACHABLE_MS ||
       outageReports.isUnavailableToAll();
   }
 
--- a/packages/coordinator/src/sessions/premature_ends.ts
+++ b/packages/coordinator/src/sessions/premature_ends.ts
@@ -54,7 +54,7 @@
   }
 
   /** Logs each run once that an answer still reports although it was presumed ended. */
-  checkView({ held, ended }: Ports.EndpointView): void {
+  checkView({ held, ended }: Ports.EndpointReport): void {
     if (this.#presumedEnds.size === 0) return;
     for (const run of held) this.#logOnce(run, "still holds it");
     for (const run of ended) this.#logOnce(run, `reports it as ${run.how}`);
--- a/packages/coordinator/src/sessions/previous_runs.ts
+++ b/packages/coordinator/src/sessions/previous_runs.ts
@@ -34,7 +34,7 @@
 
 /** An answer of an incarnation, with what was known before it. */
 export interface IncarnationAnswer {
-  readonly view: Ports.EndpointView;
+  readonly view: Ports.EndpointReport;
   /** Whether this incarnation started after the last answer of the known one. */
   readonly isNew: boolean;
   /** Whether none was known: starts may have been sent to one at another address. */
@@ -81,7 +81,7 @@
     if (isNew || isFirst) this.#blockUnansweredStarts(runs);
   }
 
-  #findAbsent({ bornMs, held, ended }: Ports.EndpointView) {
+  #findAbsent({ bornMs, held, ended }: Ports.EndpointReport) {
     const { tracked, unreported } = this.#options;
     const sentElsewhere = tracked.all.filter((one) =>
       assignments.isOfOtherIncarnation(one, bornMs)
--- a/packages/coordinator/src/sessions/run_starter.ts
+++ b/packages/coordinator/src/sessions/run_starter.ts
@@ -146,7 +146,7 @@
     switch (err.reason) {
       case Errors.OrderRefusal.Fenced:
         return StartOutcome.Fenced;
-      case Errors.OrderRefusal.OldRun:
+      case Errors.OrderRefusal.StaleRun:
         return StartOutcome.AlreadyHandled;
       case Errors.OrderRefusal.Unhealthy:
         return StartOutcome.NotDelivered;
--- a/packages/coordinator/src/sessions/view_reader.ts
+++ b/packages/coordinator/src/sessions/view_reader.ts
@@ -71,7 +71,7 @@
   }
 
   /** Processes the answer to a poll that was sent at this time of this box's clock. */
-  process(view: Ports.EndpointView, sentAtMs: number): Effect.Effect<void> {
+  process(view: Ports.EndpointReport, sentAtMs: number): Effect.Effect<void> {
     const { unreported, listener, endpoint, clock, previous } = this.#options;
     const ends = this.#options.ends();
     return Effect.gen({ self: this }, function* () {
@@ -168,7 +168,7 @@
   }
 
   /** Confirms runs that are held; stops those that are not expected. */
-  #processHeld(view: Ports.EndpointView): Set<assignments.Assignment> {
+  #processHeld(view: Ports.EndpointReport): Set<assignments.Assignment> {
     const { listener, tracked, clock, bornMs } = this.#options;
     const confirmed = new Set<assignments.Assignment>();
     const unexpected: Ports.RunRef[] = [];
--- a/packages/coordinator/src/work/advice_cache.ts
+++ b/packages/coordinator/src/work/advice_cache.ts
@@ -83,7 +83,7 @@
     endpoints: readonly string[],
   ): readonly string[] {
     const max = Math.min(
-      Ports.MOST_ADVISED,
+      Ports.MAX_ADVISED_ENDPOINTS,
       Math.max(MIN_ENDPOINTS_PER_REQUEST, unit.tasks.length * 2),
     );
     const cached = this.#cached.get(stepName(unit));
@@ -109,7 +109,7 @@
     return Effect.gen({ self: this }, function* () {
       const requestedAtMs = clock.monotonicMs();
       const name = stepName(unit);
-      const response = advisor.ask(name, requested);
+      const response = advisor.requestAdvice(name, requested);
       const timeoutMs = serviceMs + RESPONSE_MARGIN_MS;
       const timed = yield* clock.within(timeoutMs, response);
       if (timed === null) return;
--- a/packages/coordinator/src/work/coordinator.ts
+++ b/packages/coordinator/src/work/coordinator.ts
@@ -175,7 +175,7 @@
     for (const missing of this.#parts.control.resolveMissing()) {
       Effect.runFork(this.#parts.ends.endMissing(missing));
     }
-    const silentMs = this.#ports.store.silentForMs();
+    const silentMs = this.#ports.store.failingForMs();
     return silentMs < MAX_STORE_SILENCE_MS && !this.#term.isLost &&
       !this.#ports.evacuations.mayBeOutdated;
   }
--- a/packages/coordinator/src/work/intake.ts
+++ b/packages/coordinator/src/work/intake.ts
@@ -32,7 +32,7 @@
   const accepted: AcceptedWorkflow[] = [];
   const cancelled: CancelRequest[] = [];
   for (const { key, value } of entries) {
-    const partition = TableClient.Keys.partitionIn(key);
+    const partition = TableClient.Keys.partitionOfKey(key);
     if (value === null || !isOpen(partition)) continue;
     const [, id, kind] = key.split("/");
     if (kind === "cancel") cancelled.push({ id, partition });
--- a/packages/coordinator/src/work/partition_recorder.ts
+++ b/packages/coordinator/src/work/partition_recorder.ts
@@ -147,7 +147,7 @@
     const started = batch.filter(hasStarted);
     const settled = batch.filter(isSettled);
     this.#writingSinceMs = clock.monotonicMs();
-    return store.writeOrLearn(write, WRITE_TIMEOUT_MS).pipe(
+    return store.writeReportingRefusal(write, WRITE_TIMEOUT_MS).pipe(
       Effect.map((revision) => {
         this.#writingSinceMs = null;
         for (const workflow of batch) {
--- a/packages/coordinator/src/work/row_followers.ts
+++ b/packages/coordinator/src/work/row_followers.ts
@@ -45,17 +45,17 @@
     this.#listings = new TableClient.RowFollower({
       ...this.#feedOptions(),
       feed: options.ports.endpointFeed,
-      gatherMs: LISTINGS_BATCH_MS,
+      coalesceMs: LISTINGS_BATCH_MS,
       onChange: options.onListings,
     });
     const isOpen = (partition: string) => options.recovery.isOpen(partition);
     this.#intake = new TableClient.RowFollower<unknown>({
       ...this.#feedOptions(),
       feed: options.ports.intakeFeed,
-      mayRead: isOpen,
+      canRead: isOpen,
       onChange: (entries) =>
         options.onIntake(intake.parseIntake(entries, isOpen)),
-      onHeard: () => this.#checkAllRead(),
+      onPolled: () => this.#checkAllRead(),
     });
   }
 
@@ -106,7 +106,7 @@
 
   #feedOptions() {
     const { clock, random, store } = this.#options.ports;
-    const awaitBack = () => store.awaitBack();
-    return { clock, random, awaitBack, waitMs: FEED_WAIT_MS };
+    const awaitRecovery = () => store.awaitRecovery();
+    return { clock, random, awaitRecovery, waitMs: FEED_WAIT_MS };
   }
 }
--- a/packages/daemon/src/start_daemon.ts
+++ b/packages/daemon/src/start_daemon.ts
@@ -51,7 +51,7 @@
       box,
       settings.operatorsAddress,
     );
-    const daemonLog = log.part("daemon");
+    const daemonLog = log.child("daemon");
     daemonLog.info(
       `Box ${settings.box} serves callers on ${settings.callersAddress}.`,
     );
@@ -73,7 +73,7 @@
     peers: settings.peers,
     clock,
     random,
-    log: log.part("peers"),
+    log: log.child("peers"),
     metrics: platform.metrics,
   });
   return new Box.Box({ ...platform, network, log }, settings);
--- a/packages/errors/src/errors.ts
+++ b/packages/errors/src/errors.ts
@@ -243,13 +243,13 @@
   /** The endpoint has seen a higher fencing token. */
   Fenced = "fenced",
   /** The run is not newer than one that was stopped or has ended there. */
-  OldRun = "old-run",
+  StaleRun = "old-run",
   /** The lease in the order has expired. */
-  Late = "late",
+  LeaseExpired = "late",
   /** The task does not fit beside the current runs. */
-  NoRoom = "no-room",
+  NoCapacity = "no-room",
   /** The ticket of the advice service is not valid. */
-  Ticket = "ticket",
+  InvalidTicket = "ticket",
   Malformed = "malformed",
   /** The endpoint is unhealthy and did not carry out the order. */
   Unhealthy = "unhealthy",
@@ -296,13 +296,13 @@
 /** Reasons why a row of the store can't be used. */
 export enum UnusableReason {
   /** The bytes are not valid text. */
-  Bytes = "bytes",
+  InvalidText = "bytes",
   /** The text is not valid JSON. */
-  Json = "json",
+  InvalidJson = "json",
   /** A field is missing, or has a wrong type or range. */
-  Shape = "shape",
+  InvalidShape = "shape",
   /** The row is used except for some of its parts. */
-  Part = "part",
+  PartlyInvalid = "part",
 }
 
 /** A row written by another program can't be decoded. */
@@ -322,15 +322,15 @@
 /** Reasons why a submission is rejected for lack of capacity. */
 export enum RejectReason {
   /** No listed endpoint is large enough for one of its tasks. */
-  NoEndpoint = "no-endpoint",
+  EndpointSize = "no-endpoint",
   /** All endpoints together are too small for one of its gangs. */
-  NoFleet = "no-fleet",
+  FleetSize = "no-fleet",
   /** No rack fits one of its gangs, and across racks it would be late. */
-  NoRack = "no-rack",
+  RackSize = "no-rack",
   /** It would end after its result has become useless. */
   TooLate = "too-late",
   /** It was resubmitted before its retry time. */
-  Turn = "turn",
+  TooEarly = "turn",
 }
 
 /** A submission was rejected for lack of capacity. Nothing was stored. */
--- a/packages/gateway/mod.ts
+++ b/packages/gateway/mod.ts
@@ -6,14 +6,14 @@
   AccessTable,
 } from "./src/access.ts";
 export {
-  AdmissionDesk,
-  type AdmissionDeskOptions,
+  AdmissionController,
+  type AdmissionControllerOptions,
   type AdmissionDump,
-} from "./src/admission_desk.ts";
+} from "./src/admission_controller.ts";
 export { type Rejection } from "./src/rejection_log.ts";
 export {
   type Submission,
   type SubmissionOptions,
   Submissions,
-  type WorkflowStanding,
+  type WorkflowStatus,
 } from "./src/submissions.ts";
--- a/packages/gateway/src/access.ts
+++ b/packages/gateway/src/access.ts
@@ -16,9 +16,9 @@
 export interface Access {
   readonly route: Ports.QueueRoute;
   /** Team; empty without a known key, on a queue that allows anonymous requests. */
-  readonly tenant: string;
+  readonly team: string;
   /** Path after the queue's prefix. */
-  readonly rest: string;
+  readonly subpath: string;
 }
 
 /** Why a request is refused. */
@@ -47,7 +47,7 @@
   }
 
   /** Puts a version in force if it is newer than the current one. */
-  offer(config: Ports.AccessConfig): void {
+  update(config: Ports.AccessConfig): void {
     if (config.version <= (this.#config?.version ?? 0)) return;
     this.#config = config;
     this.#byHost = indexRoutes(config);
@@ -78,8 +78,8 @@
     if (team === undefined && !route.anonymous) {
       return Effect.fail(new Errors.UnknownKeyError({ queue: route.queue }));
     }
-    const rest = path.slice(route.pathPrefix.length);
-    return Effect.succeed({ route, tenant: team ?? "", rest });
+    const subpath = path.slice(route.pathPrefix.length);
+    return Effect.succeed({ route, team: team ?? "", subpath });
   }
 }
 
--- a/packages/gateway/src/access_test.ts
+++ b/packages/gateway/src/access_test.ts
@@ -19,7 +19,7 @@
     Logger.silentLogger(),
     () => options.outdated ?? false,
   );
-  table.offer({ ...TestUtils.buildAccess(), ...options.changes });
+  table.update({ ...TestUtils.buildAccess(), ...options.changes });
   return table;
 }
 
@@ -38,8 +38,8 @@
     const result = check(buildTable());
     if (result._tag === "Failure") throw result.failure;
     vitest.expect(result.success.route.queue).toBe("queue-1");
-    vitest.expect(result.success.tenant).toBe("hana");
-    vitest.expect(result.success.rest).toBe("a000000000000001");
+    vitest.expect(result.success.team).toBe("hana");
+    vitest.expect(result.success.subpath).toBe("a000000000000001");
   });
 
   vitest.it("prefers the longest prefix", () => {
@@ -64,7 +64,7 @@
 
   vitest.it("ignores an older version", () => {
     const table = buildTable({ changes: { version: 7, tenants: [] } });
-    table.offer(TestUtils.buildAccess());
+    table.update(TestUtils.buildAccess());
     vitest.expect(table.config?.version).toBe(7);
     vitest.expect(failureOf(table)).toBe("UnknownKeyError");
   });
--- a/packages/gateway/src/admission_desk.ts
+++ b/packages/gateway/src/admission_controller.ts
@@ -10,14 +10,14 @@
 import type * as Workflow from "@cairngate/workflow";
 import * as rejections from "./rejection_log.ts";
 
-/** Options of an AdmissionDesk. */
-export interface AdmissionDeskOptions {
+/** Options of an AdmissionController. */
+export interface AdmissionControllerOptions {
   readonly clock: Ports.Clock;
   readonly random: Ports.RandomSource;
   readonly log: Logger.Logger;
   readonly metrics: Metrics.Metrics;
   /** Returns the newest forecast and its age; there is none without hard load. */
-  readonly known: () => Admission.KnownForecast;
+  readonly currentForecast: () => Admission.KnownForecast;
   /** Returns the accelerators that a team has paid for; null while unknown. */
   readonly guaranteeOf: (team: string) => number | null;
   /** Returns the time for which the store has not answered, in ms. */
@@ -42,14 +42,14 @@
 const MAX_STORE_RETRY_MS = 8000;
 
 /** Admission control of one box. */
-export class AdmissionDesk {
-  readonly #options: AdmissionDeskOptions;
+export class AdmissionController {
+  readonly #options: AdmissionControllerOptions;
   readonly #shares = new Admission.CapacityReservations();
   readonly #returns = new Admission.RetrySchedule();
   readonly #rejections: rejections.RejectionLog;
   #hardLoadAtMs = Number.NEGATIVE_INFINITY;
 
-  constructor(options: AdmissionDeskOptions) {
+  constructor(options: AdmissionControllerOptions) {
     this.#options = options;
     this.#rejections = new rejections.RejectionLog(options);
   }
@@ -125,8 +125,8 @@
   }
 
   #currentForecast(): Admission.KnownForecast {
-    const { clock, metrics, known } = this.#options;
-    const current = known();
+    const { clock, metrics, currentForecast } = this.#options;
+    const current = currentForecast();
     if (current.forecast === null) return current;
     const computedAtMs = clock.monotonicMs() - current.ageMs;
     this.#hardLoadAtMs = Math.max(this.#hardLoadAtMs, computedAtMs);
@@ -162,7 +162,7 @@
       this.#options.clock.monotonicMs(),
     );
     if (waitMs <= 0) return null;
-    return rejectedError(id, Errors.RejectReason.Turn, waitMs);
+    return rejectedError(id, Errors.RejectReason.TooEarly, waitMs);
   }
 }
 
--- a/packages/gateway/src/known_filings_test.ts
+++ b/packages/gateway/src/recent_writes_test.ts
@@ -8,7 +8,7 @@
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
 import * as vitest from "vitest";
-import * as writes from "./known_filings.ts";
+import * as writes from "./recent_writes.ts";
 
 const ID = "a000000000000001";
 
--- a/packages/gateway/src/submissions.ts
+++ b/packages/gateway/src/submissions.ts
@@ -5,9 +5,9 @@
 import * as Workflow from "@cairngate/workflow";
 import * as Effect from "effect/Effect";
 import type * as access from "./access.ts";
-import type * as admission from "./admission_desk.ts";
+import type * as admission from "./admission_controller.ts";
 import * as cancellation from "./cancellation.ts";
-import * as recentWrites from "./known_filings.ts";
+import * as recentWrites from "./recent_writes.ts";
 import * as waiting from "./waiting_counts.ts";
 import * as workflowRows from "./workflow_rows.ts";
 
@@ -26,11 +26,11 @@
   /** Maximum size of one row's value, in bytes. */
   readonly rowBytes: number;
   /** Rejects workflows that can't finish in time under hard load. */
-  readonly desk: admission.AdmissionDesk;
+  readonly admission: admission.AdmissionController;
 }
 
 /** State of a workflow for operators, regardless of its team. */
-export interface WorkflowStanding {
+export interface WorkflowStatus {
   readonly state: Workflow.WorkflowState;
   /** Why it was given up; null where it was not. */
   readonly giveUp: Workflow.GiveUp | null;
@@ -51,12 +51,12 @@
   readonly #waiting: waiting.WaitingCounts;
   readonly #clock: Ports.Clock;
   readonly #rowBytes: number;
-  readonly #desk: admission.AdmissionDesk;
-  readonly #recentWrites = new recentWrites.RecentWrites();
+  readonly #admission: admission.AdmissionController;
+  readonly #writes = new recentWrites.RecentWrites();
 
   constructor(options: SubmissionOptions) {
     this.#rowBytes = options.rowBytes;
-    this.#desk = options.desk;
+    this.#admission = options.admission;
     this.#rows = new workflowRows.WorkflowRows(options);
     const { clock } = options;
     this.#cancellation = new cancellation.Cancellation({
@@ -89,7 +89,7 @@
     if (fault !== null) return Effect.fail(new Errors.BadRequestError(fault));
     const spec: Workflow.WorkflowSpec = {
       id,
-      tenant: allowed.tenant,
+      tenant: allowed.team,
       policy: policyOf(allowed.route),
       payload,
       steps,
@@ -102,9 +102,9 @@
       return Effect.fail(new Errors.TooLargeError({ what, limitBytes }));
     }
     return Effect.suspend(() => {
-      const rejected = this.#recentWrites.mayBeStored(id)
+      const rejected = this.#writes.mayBeStored(id)
         ? null
-        : this.#desk.checkAdmission(spec);
+        : this.#admission.checkAdmission(spec);
       return rejected === null
         ? this.#insert(spec, callerWaitMs)
         : this.#rejectUnlessStored(spec, rejected, callerWaitMs);
@@ -120,10 +120,10 @@
   #insert(
     spec: Workflow.WorkflowSpec,
     callerWaitMs?: number,
-    mayBeStored = this.#recentWrites.mayBeStored(spec.id),
+    mayBeStored = this.#writes.mayBeStored(spec.id),
   ): Effect.Effect<void, Errors.StoreUnavailableError> {
-    if (!this.#recentWrites.mayBeStored(spec.id)) this.#desk.noteAccepted(spec);
-    const inserted = this.#recentWrites.track(
+    if (!this.#writes.mayBeStored(spec.id)) this.#admission.noteAccepted(spec);
+    const inserted = this.#writes.track(
       spec.id,
       this.#rows.insert(spec, callerWaitMs),
     );
@@ -143,9 +143,9 @@
       // An earlier request was accepted.
       if (timed !== null && timed.value.copies.length > 0) return;
       const isNotStored = timed !== null && timed.value.failure === null &&
-        !this.#recentWrites.mayBeStored(spec.id);
+        !this.#writes.mayBeStored(spec.id);
       if (isNotStored) {
-        this.#desk.noteRejected(spec, rejected);
+        this.#admission.noteRejected(spec, rejected);
         return yield* rejected;
       }
       const elapsedMs = this.#clock.monotonicMs() - startMs;
@@ -179,9 +179,9 @@
   }
 
   /** Returns the state of a workflow for operators; null where there is none. */
-  standing(
+  findStatus(
     id: string,
-  ): Effect.Effect<WorkflowStanding | null, Errors.StoreUnavailableError> {
+  ): Effect.Effect<WorkflowStatus | null, Errors.StoreUnavailableError> {
     return Effect.map(this.#rows.find(id), (found) => {
       if (found === null) return null;
       const giveUp = Workflow.decodeGiveUp(found.progress ?? {});
@@ -229,7 +229,7 @@
   spec: Workflow.WorkflowSpec,
 ): boolean {
   const isOfQueue = spec.policy.queue === allowed.route.queue;
-  const isOfTeam = spec.tenant === "" || allowed.tenant === spec.tenant ||
+  const isOfTeam = spec.tenant === "" || allowed.team === spec.tenant ||
     allowed.route.anonymous;
   return isOfQueue && isOfTeam;
 }
--- a/packages/gateway/src/workflow_rows.ts
+++ b/packages/gateway/src/workflow_rows.ts
@@ -67,7 +67,7 @@
     callerWaitMs = Number.POSITIVE_INFINITY,
   ): Effect.Effect<void, Errors.StoreUnavailableError> {
     const timeoutMs = callerWaitMs - RESPONSE_MARGIN_MS;
-    if (this.#store.usualWriteMs > timeoutMs) {
+    if (this.#store.averageWriteMs > timeoutMs) {
       const cause = "a write usually takes longer than the caller waits";
       return unavailable(cause, false);
     }
@@ -90,7 +90,7 @@
       Effect.suspend(() => this.#insertInto(partition, spec, deadlineMs))
     );
     return Effect.suspend(() => {
-      const staggerMs = this.#store.hedgeMs;
+      const staggerMs = this.#store.hedgeDelayMs;
       return alternatives.firstSuccess(attempts, {
         clock: this.#clock,
         staggerMs,
@@ -137,7 +137,7 @@
   ): Effect.Effect<LookupResult> {
     return Effect.gen({ self: this }, function* () {
       const [home, ...others] = this.#partitionOrder(id);
-      const homeWaitMs = Math.max(homeTimeoutMs, this.#store.hedgeMs);
+      const homeWaitMs = Math.max(homeTimeoutMs, this.#store.hedgeDelayMs);
       const homeResult = yield* Effect.result(
         this.#within(homeWaitMs, this.#findIn(home, id)),
       );
@@ -167,10 +167,11 @@
     const all = TableClient.Keys.PARTITIONS;
     const start = all.indexOf(TableClient.Keys.homePartition(id));
     const fromHome = [...all.slice(start), ...all.slice(0, start)];
-    const isShut = (partition: string) => this.#store.isShut(partition);
+    const isCircuitOpen = (partition: string) =>
+      this.#store.isCircuitOpen(partition);
     return [
-      ...fromHome.filter((partition) => !isShut(partition)),
-      ...fromHome.filter(isShut),
+      ...fromHome.filter((partition) => !isCircuitOpen(partition)),
+      ...fromHome.filter(isCircuitOpen),
     ];
   }
 
--- a/packages/http-json/mod.ts
+++ b/packages/http-json/mod.ts
@@ -3,14 +3,14 @@
 export {
   type HttpCall,
   HttpLostError,
-  type HttpReply,
+  type HttpResponse,
 } from "./src/http_call.ts";
 export {
   HttpCaller,
   type HttpCallerOptions,
   type SilentConnection,
 } from "./src/http_caller.ts";
-export { type TrafficListener } from "./src/kept_connections.ts";
+export { type TrafficListener } from "./src/connection_pool.ts";
 export { isObject } from "./src/is_object.ts";
 export { readJsonBody } from "./src/read_json_body.ts";
 export { sendJson, sendText } from "./src/send.ts";
--- a/packages/http-json/src/http_call.ts
+++ b/packages/http-json/src/http_call.ts
@@ -3,12 +3,12 @@
 import type * as http from "node:http";
 
 /** A complete response. */
-export interface HttpReply {
+export interface HttpResponse {
   readonly status: number;
   readonly body: unknown;
   readonly headers: http.IncomingHttpHeaders;
   /** Records on its connection which process has responded; see `onlyTo`. */
-  readonly noteSpeaker: (responder: string) => void;
+  readonly setResponder: (responder: string) => void;
 }
 
 /** A call ended without a complete response. */
--- a/packages/http-json/src/http_caller.ts
+++ b/packages/http-json/src/http_caller.ts
@@ -2,10 +2,10 @@
 import * as Effect from "effect/Effect";
 import type * as http from "node:http";
 import type * as net from "node:net";
-import * as detectors from "./answer_watch.ts";
+import * as detectors from "./silence_detector.ts";
 import * as calls from "./http_call.ts";
-import * as responses from "./json_answer.ts";
-import * as pools from "./kept_connections.ts";
+import * as responses from "./read_response.ts";
+import * as pools from "./connection_pool.ts";
 
 export { type HttpCall } from "./http_call.ts";
 
@@ -24,7 +24,7 @@
   /** Time since it last received data, or since the call was sent, in ms. */
   readonly silentMs: number;
   /** Number of idle connections to the same address that were closed with it. */
-  readonly neighbours: number;
+  readonly closedCount: number;
 }
 
 /** Options of an HttpCaller. */
@@ -56,7 +56,7 @@
   call(
     address: string,
     call: calls.HttpCall,
-  ): Effect.Effect<calls.HttpReply, calls.HttpLostError> {
+  ): Effect.Effect<calls.HttpResponse, calls.HttpLostError> {
     return Effect.suspend(() => {
       const nowMs = performance.now();
       const suspectMs = this.#detector.suspectBeforeMs(address, nowMs);
@@ -73,48 +73,55 @@
   #exchange(
     address: string,
     call: calls.HttpCall,
-  ): Effect.Effect<calls.HttpReply, calls.HttpLostError> {
-    return Effect.callback<calls.HttpReply, calls.HttpLostError>((resume) => {
-      const failWith = (cause: string, neverSent: boolean) => {
-        const err = new calls.HttpLostError({ address, cause, neverSent });
-        resume(Effect.fail(err));
-      };
-      if (!this.#pool.canReachResponder(address, call)) {
-        return failWith(
-          "no open connection to the process that responded before",
-          true,
+  ): Effect.Effect<calls.HttpResponse, calls.HttpLostError> {
+    return Effect.callback<calls.HttpResponse, calls.HttpLostError>(
+      (resume) => {
+        const failWith = (cause: string, neverSent: boolean) => {
+          const err = new calls.HttpLostError({ address, cause, neverSent });
+          resume(Effect.fail(err));
+        };
+        if (!this.#pool.canReachResponder(address, call)) {
+          return failWith(
+            "no open connection to the process that responded before",
+            true,
+          );
+        }
+        const pending = this.#addPending(address, call);
+        let socket: net.Socket | null = null;
+        let isConnected = false;
+        const req = this.#pool.request(address, call);
+        const fail = (cause: string, neverSent: boolean) => {
+          this.#detector.remove(pending);
+          failWith(cause, neverSent);
+        };
+        req.on("socket", (assigned) => {
+          socket = assigned;
+          if (assigned.connecting) {
+            assigned.once("connect", () => (isConnected = true));
+          } else isConnected = true;
+          pending.isReused = req.reusedSocket;
+          this.#pool.stateOf(assigned);
+        });
+        req.on("error", (err: NodeJS.ErrnoException) => {
+          fail(
+            err.message,
+            !isConnected && CONNECT_REFUSED.has(err.code ?? ""),
+          );
+        });
+        req.on("response", (res) => {
+          const succeed = (response: calls.HttpResponse) =>
+            resume(Effect.succeed(response));
+          this.#read(pending, res, { succeed, fail });
+        });
+        req.end(
+          call.body === undefined ? undefined : JSON.stringify(call.body),
         );
-      }
-      const pending = this.#addPending(address, call);
-      let socket: net.Socket | null = null;
-      let isConnected = false;
-      const req = this.#pool.request(address, call);
-      const fail = (cause: string, neverSent: boolean) => {
-        this.#detector.remove(pending);
-        failWith(cause, neverSent);
-      };
-      req.on("socket", (assigned) => {
-        socket = assigned;
-        if (assigned.connecting) {
-          assigned.once("connect", () => (isConnected = true));
-        } else isConnected = true;
-        pending.isReused = req.reusedSocket;
-        this.#pool.stateOf(assigned);
-      });
-      req.on("error", (err: NodeJS.ErrnoException) => {
-        fail(err.message, !isConnected && CONNECT_REFUSED.has(err.code ?? ""));
-      });
-      req.on("response", (res) => {
-        const succeed = (response: calls.HttpReply) =>
-          resume(Effect.succeed(response));
-        this.#read(pending, res, { succeed, fail });
-      });
-      req.end(call.body === undefined ? undefined : JSON.stringify(call.body));
-      return Effect.sync(() => {
-        this.#abandon(pending, socket);
-        req.destroy();
-      });
-    });
+        return Effect.sync(() => {
+          this.#abandon(pending, socket);
+          req.destroy();
+        });
+      },
+    );
   }
 
   #addPending(address: string, call: calls.HttpCall): detectors.PendingCall {
@@ -142,13 +149,13 @@
     res.on("data", noteReceived);
     // Which process responds is unknown until the caller has read the response.
     connection.responder = null;
-    const noteSpeaker = (responder: string) => {
+    const setResponder = (responder: string) => {
       connection.responder = responder;
     };
     responses.readResponse(res, (response) => {
       this.#detector.noteResponse(pending, connection.receivedAtMs);
       this.#pool.reportTraffic(res.socket, connection);
-      succeed({ ...response, noteSpeaker });
+      succeed({ ...response, setResponder });
     }, fail);
   }
 
@@ -161,19 +168,19 @@
     if (!this.#detector.isSilent(pending, receivedAtMs, nowMs)) return;
     const { address, sentAtMs } = pending;
     const silentSinceMs = Math.max(sentAtMs, receivedAtMs);
-    const neighbours = this.#pool.closeIdle(address, silentSinceMs);
+    const closedCount = this.#pool.closeIdle(address, silentSinceMs);
     this.#options.onSilence?.({
       address,
       ageMs: nowMs - openedAtMs,
       silentMs: nowMs - silentSinceMs,
-      neighbours,
+      closedCount,
     });
   }
 }
 
 /** Callbacks for the result of a call. */
 interface ResponseHandlers {
-  readonly succeed: (response: calls.HttpReply) => void;
+  readonly succeed: (response: calls.HttpResponse) => void;
   readonly fail: (cause: string, neverSent: boolean) => void;
 }
 
--- a/packages/http-json/src/json_answer.ts
+++ b/packages/http-json/src/read_response.ts
@@ -5,7 +5,7 @@
 /** Reads a response to its end; fails where it is cut off or its JSON is invalid. */
 export function readResponse(
   res: http.IncomingMessage,
-  succeed: (response: Omit<calls.HttpReply, "noteSpeaker">) => void,
+  succeed: (response: Omit<calls.HttpResponse, "setResponder">) => void,
   fail: (cause: string, neverSent: boolean) => void,
 ): void {
   let text = "";
--- a/packages/http-json/src/silence_test.ts
+++ b/packages/http-json/src/silence_detector_test.ts
@@ -103,7 +103,7 @@
     for (let i = 0; i < 4; i++) answered.push(await fixture.call());
     vitest.expect(answered).toEqual([false, true, true, true]);
     vitest.expect(fixture.silences).toHaveLength(1);
-    vitest.expect(fixture.silences[0].neighbours).toBe(CONNECTIONS - 1);
+    vitest.expect(fixture.silences[0].closedCount).toBe(CONNECTIONS - 1);
   });
 
   vitest.it("are not used any more once one response is overdue", async () => {
--- a/packages/http/src/operators_server.ts
+++ b/packages/http/src/operators_server.ts
@@ -49,7 +49,7 @@
     case "/metrics":
       return Effect.sync(() => {
         recordProcessUsage(box);
-        HttpJson.sendText(res, 200, box.metrics.print());
+        HttpJson.sendText(res, 200, box.metrics.format());
       });
   }
   return Effect.match(route(box, req, pathname), {
--- a/packages/logger/src/logger.ts
+++ b/packages/logger/src/logger.ts
@@ -15,7 +15,7 @@
   abstract info(sentence: string): void;
   abstract debug(sentence: string): void;
   /** Creates a logger for another part of the same process. */
-  abstract part(prefix: string): Logger;
+  abstract child(prefix: string): Logger;
 }
 
 class ConsolaLogger extends Logger {
@@ -42,7 +42,7 @@
     this.#consola.debug(sentence);
   }
 
-  override part(prefix: string): Logger {
+  override child(prefix: string): Logger {
     return new ConsolaLogger(this.#consola.withTag(prefix));
   }
 }
--- a/packages/metrics/src/metrics.ts
+++ b/packages/metrics/src/metrics.ts
@@ -64,7 +64,7 @@
   }
 
   /** Returns all metrics as Prometheus text. */
-  print(): string {
+  format(): string {
     const lines: string[] = [];
     for (const [name, series] of this.#series) {
       lines.push(`# TYPE ${name} ${series.type}`);
--- a/packages/placement/mod.ts
+++ b/packages/placement/mod.ts
@@ -13,7 +13,7 @@
   type BoundBlock,
   type GuaranteeDemand,
   GuaranteeTracker,
-} from "./src/guarantee_ledger.ts";
+} from "./src/guarantee_tracker.ts";
 export {
   computeFragmentation,
   type FragmentationReading,
--- a/packages/ports/mod.ts
+++ b/packages/ports/mod.ts
@@ -1,5 +1,5 @@
 /** Ports to the platform, the workers, the peers, time and random numbers. */
-export { Clock, type Timed } from "./src/clock.ts";
+export { Clock, type TimeoutResult } from "./src/clock.ts";
 export { LiveList, type LiveSnapshot } from "./src/live_list.ts";
 export { ObjectStore } from "./src/object_store.ts";
 export {
@@ -12,7 +12,7 @@
   type WriteError,
 } from "./src/table_service.ts";
 export type { StoreError } from "./src/store_error.ts";
-export type { PageAsk } from "./src/page_ask.ts";
+export type { PageRequest } from "./src/page_request.ts";
 export { type WorkerError, Workers } from "./src/workers.ts";
 export { type PeerHandler, PeerNetwork } from "./src/peer_network.ts";
 export {
@@ -28,7 +28,7 @@
   type Advice,
   type AdviceTicket,
   Advisor,
-  MOST_ADVISED,
+  MAX_ADVISED_ENDPOINTS,
 } from "./src/advisor.ts";
 export {
   type FeedEntry,
@@ -41,18 +41,18 @@
   type EndKind,
   type EndpointListing,
   type EndpointRef,
-  type EndpointView,
+  type EndpointReport,
   type HeldRun,
   type OrderError,
-  type RenewLease,
+  type RenewOrder,
   type RunRef,
-  type StartRun,
-  TaskWorkers,
-} from "./src/task_workers.ts";
+  type StartOrder,
+  TaskEndpoints,
+} from "./src/task_endpoints.ts";
 export type {
   AccessConfig,
   QueueRoute,
-  TenantAccess,
+  TeamAccess,
 } from "./src/access_config.ts";
 export {
   type ConfigEntry,
--- a/packages/ports/src/access_config.ts
+++ b/packages/ports/src/access_config.ts
@@ -10,7 +10,7 @@
 }
 
 /** A team with its API keys and its guarantee. */
-export interface TenantAccess {
+export interface TeamAccess {
   readonly name: string;
   readonly keys: readonly string[];
   /** Accelerators guaranteed to the team for work of priority 0. */
@@ -21,6 +21,6 @@
 export interface AccessConfig {
   readonly version: number;
   readonly queues: readonly QueueRoute[];
-  readonly tenants: readonly TenantAccess[];
+  readonly tenants: readonly TeamAccess[];
   readonly maxBodyBytes: number;
 }
--- a/packages/ports/src/advisor.ts
+++ b/packages/ports/src/advisor.ts
@@ -15,12 +15,12 @@
 }
 
 /** Maximum number of endpoints in one request. */
-export const MOST_ADVISED = 100;
+export const MAX_ADVISED_ENDPOINTS = 100;
 
 /** Port of the advice service, which handles one request of a box at a time. */
 export abstract class Advisor {
   /** Returns which of the given endpoints may run a step. */
-  abstract ask(
+  abstract requestAdvice(
     step: string,
     endpoints: readonly string[],
   ): Effect.Effect<Advice, Errors.StoreUnavailableError>;
--- a/packages/ports/src/clock.ts
+++ b/packages/ports/src/clock.ts
@@ -2,7 +2,7 @@
 import * as Effect from "effect/Effect";
 
 /** Result of an effect with a timeout; null if the timeout elapsed first. */
-export type Timed<A> = { readonly value: A } | null;
+export type TimeoutResult<A> = { readonly value: A } | null;
 
 /** Port of time. */
 export abstract class Clock {
@@ -17,9 +17,9 @@
   within<A, E>(
     ms: number,
     work: Effect.Effect<A, E>,
-  ): Effect.Effect<Timed<A>, E> {
-    const finished = Effect.map(work, (value): Timed<A> => ({ value }));
-    const timedOut = Effect.map(this.sleep(ms), (): Timed<A> => null);
+  ): Effect.Effect<TimeoutResult<A>, E> {
+    const finished = Effect.map(work, (value): TimeoutResult<A> => ({ value }));
+    const timedOut = Effect.map(this.sleep(ms), (): TimeoutResult<A> => null);
     return Effect.raceFirst(finished, timedOut);
   }
 
--- a/packages/ports/src/row_feed.ts
+++ b/packages/ports/src/row_feed.ts
@@ -1,7 +1,7 @@
 /** Rows with a feed of their changes. */
 import type * as Errors from "@cairngate/errors";
 import type * as Effect from "effect/Effect";
-import type * as pages from "./page_ask.ts";
+import type * as pages from "./page_request.ts";
 import type * as failures from "./store_error.ts";
 
 /** The current state of a row; a null value means that it was deleted. */
@@ -34,7 +34,7 @@
   /** Reads one page of a partition's rows. */
   abstract page(
     partition: string,
-    ask: pages.PageAsk,
+    request: pages.PageRequest,
   ): Effect.Effect<SnapshotPage<T>, failures.StoreError>;
 
   /** Returns the changes after a position; waits up to `waitMs` for the first one. */
--- a/packages/ports/src/store_peers.ts
+++ b/packages/ports/src/store_peers.ts
@@ -1,7 +1,7 @@
 /** Calls to the store that are relayed by another box. */
 import type * as Errors from "@cairngate/errors";
 import type * as Effect from "effect/Effect";
-import type * as pages from "./page_ask.ts";
+import type * as pages from "./page_request.ts";
 import type * as tables from "./table_service.ts";
 
 /** Kinds of relayed calls. */
@@ -28,14 +28,14 @@
   | {
     readonly kind: StoreCallKind.ScanPage;
     readonly prefix: string;
-    readonly ask: pages.PageAsk;
+    readonly ask: pages.PageRequest;
   }
   | { readonly kind: StoreCallKind.Transact; readonly tx: tables.Transaction }
   | {
     readonly kind: StoreCallKind.Snapshot;
     readonly feed: string;
     readonly partition: string;
-    readonly ask: pages.PageAsk;
+    readonly ask: pages.PageRequest;
   }
   | {
     readonly kind: StoreCallKind.Changes;
--- a/packages/ports/src/table_service.ts
+++ b/packages/ports/src/table_service.ts
@@ -1,7 +1,7 @@
 /** The platform's transactional table service. */
 import type * as Errors from "@cairngate/errors";
 import * as Effect from "effect/Effect";
-import type * as pages from "./page_ask.ts";
+import type * as pages from "./page_request.ts";
 import type * as failures from "./store_error.ts";
 
 /** A row. Revisions increase over the whole table; 0 means the row is absent. */
@@ -73,7 +73,7 @@
    */
   scanPage(
     prefix: string,
-    _ask: pages.PageAsk,
+    _ask: pages.PageRequest,
   ): Effect.Effect<RowPage, failures.StoreError> {
     const all = this.scan(prefix, 0);
     return Effect.map(all, (items) => ({ items, next: null }));
--- a/packages/ports/src/task_workers.ts
+++ b/packages/ports/src/task_endpoints.ts
@@ -43,7 +43,7 @@
 }
 
 /** Order to start a run. */
-export interface StartRun extends RunRef {
+export interface StartOrder extends RunRef {
   readonly payload: string;
   readonly checkpoint: string;
   /** Ticket of the advice service; null if none is needed. */
@@ -54,7 +54,7 @@
 }
 
 /** Order to renew the lease and report runs. */
-export interface RenewLease {
+export interface RenewOrder {
   readonly fencingToken: number;
   /** New end of the lease, on the endpoint's clock; null leaves it unchanged. */
   readonly leaseUntilMs: number | null;
@@ -95,7 +95,7 @@
 }
 
 /** The state of an endpoint: its current runs and the ends not recorded yet. */
-export interface EndpointView {
+export interface EndpointReport {
   readonly clockMs: number;
   /** Birth time of the responding incarnation, as in its listing; null: unknown. */
   readonly bornMs: number | null;
@@ -112,11 +112,11 @@
   | Errors.WorkerLostError;
 
 /** Port of the endpoints that run tasks of workflows. */
-export abstract class TaskWorkers {
+export abstract class TaskEndpoints {
   /** Starts a run; repeating the order has no effect. Returns its clock. */
   abstract start(
     endpoint: EndpointRef,
-    order: StartRun,
+    order: StartOrder,
   ): Effect.Effect<number, OrderError>;
 
   /** Stops a run, and refuses a start that arrives later. Returns its clock. */
@@ -131,6 +131,6 @@
    */
   abstract renew(
     endpoint: EndpointRef,
-    order: RenewLease,
-  ): Effect.Effect<EndpointView, OrderError>;
+    order: RenewOrder,
+  ): Effect.Effect<EndpointReport, OrderError>;
 }
--- a/packages/ports/src/workers.ts
+++ b/packages/ports/src/workers.ts
@@ -15,7 +15,7 @@
 /** Port of the workers; `endpoint` is a worker's address. */
 export abstract class Workers {
   /** Fences off lower epochs and reads all tasks of the worker. */
-  abstract seal(
+  abstract fence(
     endpoint: string,
     fence: Types.Fence,
   ): Effect.Effect<Types.Inventory, WorkerError>;
--- a/packages/scheduler/src/placer.ts
+++ b/packages/scheduler/src/placer.ts
@@ -11,13 +11,13 @@
  */
 import * as Types from "@cairngate/types";
 import * as guarantees from "./find_guaranteed.ts";
-import * as preemption from "./find_with_eviction.ts";
-import * as allocator from "./holdings.ts";
+import * as preemption from "./find_with_preemption.ts";
+import * as allocator from "./allocator.ts";
 import * as entries from "./job_entry.ts";
 import type * as occupancies from "./occupancy.ts";
 import type * as policies from "./policies.ts";
 import type * as reservations from "./reservations.ts";
-import * as bindings from "./adopt_running.ts";
+import * as bindings from "./bind_running.ts";
 
 /** State and policies that a placer uses. */
 export interface PlacerOptions {
--- a/packages/scheduler/src/repair_policy.ts
+++ b/packages/scheduler/src/repair_policy.ts
@@ -1,6 +1,6 @@
 /** Policies for moving running jobs to free a block for a waiting gang. */
 import * as Types from "@cairngate/types";
-import type * as preemption from "./find_with_eviction.ts";
+import type * as preemption from "./find_with_preemption.ts";
 import type * as entries from "./job_entry.ts";
 
 /** Lower bound of the cost of any move, in accelerator-milliseconds. */
--- a/packages/scheduler/src/scheduler.ts
+++ b/packages/scheduler/src/scheduler.ts
@@ -5,7 +5,7 @@
 import * as Types from "@cairngate/types";
 import * as consolidations from "./consolidation.ts";
 import * as explanations from "./explain.ts";
-import type * as allocator from "./holdings.ts";
+import type * as allocator from "./allocator.ts";
 import * as entries from "./job_entry.ts";
 import type * as layouts from "./layout.ts";
 import * as occupancies from "./occupancy.ts";
@@ -129,7 +129,7 @@
   }
 
   /** Makes the next plan try all lanes again, also without a release. */
-  reconsider(): void {
+  unblockAll(): void {
     this.#queue.unblockAll();
   }
 
--- a/packages/stand-ins/src/busy_task_workers.ts
+++ b/packages/stand-ins/src/busy_task_workers.ts
@@ -4,17 +4,17 @@
 import type * as processors from "./busy_processor.ts";
 
 /** Passes orders on when the box has time for them and for their answers. */
-export class BusyTaskWorkers extends Ports.TaskWorkers {
-  readonly #inner: Ports.TaskWorkers;
+export class BusyTaskWorkers extends Ports.TaskEndpoints {
+  readonly #inner: Ports.TaskEndpoints;
   readonly #processor: processors.BusyProcessor;
 
-  constructor(inner: Ports.TaskWorkers, processor: processors.BusyProcessor) {
+  constructor(inner: Ports.TaskEndpoints, processor: processors.BusyProcessor) {
     super();
     this.#inner = inner;
     this.#processor = processor;
   }
 
-  override start(endpoint: Ports.EndpointRef, order: Ports.StartRun) {
+  override start(endpoint: Ports.EndpointRef, order: Ports.StartOrder) {
     return this.#work(this.#inner.start(endpoint, order));
   }
 
@@ -25,7 +25,7 @@
     return this.#work(this.#inner.stop(endpoint, order));
   }
 
-  override renew(endpoint: Ports.EndpointRef, order: Ports.RenewLease) {
+  override renew(endpoint: Ports.EndpointRef, order: Ports.RenewOrder) {
     return this.#work(this.#inner.renew(endpoint, order));
   }
 
--- a/packages/stand-ins/src/cut_page.ts
+++ b/packages/stand-ins/src/cut_page.ts
@@ -4,7 +4,7 @@
 /** The page that was asked for. */
 export function cutPage(
   rows: readonly Ports.Row[],
-  { from, most }: Ports.PageAsk,
+  { from, most }: Ports.PageRequest,
 ): Ports.RowPage {
   const left = rows
     .filter(({ key }) => from === null || key >= from)
--- a/packages/stand-ins/src/faulty_table.ts
+++ b/packages/stand-ins/src/faulty_table.ts
@@ -34,7 +34,7 @@
     );
   }
 
-  override scanPage(prefix: string, ask: Ports.PageAsk) {
+  override scanPage(prefix: string, ask: Ports.PageRequest) {
     return this.#faults.apply(
       "scan",
       () => this.#inner.scanPage(prefix, ask),
--- a/packages/stand-ins/src/memory_row_feed.ts
+++ b/packages/stand-ins/src/memory_row_feed.ts
@@ -32,7 +32,7 @@
     this.#faults = options.faults;
   }
 
-  override page(partition: string, ask: Ports.PageAsk) {
+  override page(partition: string, ask: Ports.PageRequest) {
     const table = this.#prefix.replace("/", "");
     const prefix = partition === "" ? this.#prefix : `${table}:${partition}/`;
     let position = 0;
--- a/packages/stand-ins/src/memory_table.ts
+++ b/packages/stand-ins/src/memory_table.ts
@@ -84,7 +84,7 @@
     return this.#faults.apply("scan", call, partitions.partitionOf(prefix));
   }
 
-  override scanPage(prefix: string, ask: Ports.PageAsk) {
+  override scanPage(prefix: string, ask: Ports.PageRequest) {
     const call = () =>
       Effect.sync(() => {
         this.counts.reads++;
--- a/packages/stand-ins/src/memory_task_workers.ts
+++ b/packages/stand-ins/src/memory_task_workers.ts
@@ -30,7 +30,7 @@
 const STEP_MS = 50;
 
 /** All workers of a test. */
-export class MemoryTaskWorkers extends Ports.TaskWorkers {
+export class MemoryTaskWorkers extends Ports.TaskEndpoints {
   readonly #clock: Ports.Clock;
   readonly #lives = new books.LifeBook();
   /** Connections to each of them. */
@@ -78,7 +78,7 @@
     for (const spec of specs) this.#lives.begin(this.#createLife(spec));
   }
 
-  override start(worker: Ports.EndpointRef, order: Ports.StartRun) {
+  override start(worker: Ports.EndpointRef, order: Ports.StartOrder) {
     const work = (life: lives.WorkerLife) => this.#takeStart(life, order);
     const start = this.#carrier.carry({ worker, kind: "start", work });
     return this.#overConnection(worker, start);
@@ -99,7 +99,7 @@
     return this.#overConnection(worker, stop);
   }
 
-  override renew(worker: Ports.EndpointRef, order: Ports.RenewLease) {
+  override renew(worker: Ports.EndpointRef, order: Ports.RenewOrder) {
     const work = (life: lives.WorkerLife) => this.#takeLook(life, order);
     const look = this.#carrier.carry({ worker, kind: "renew", work });
     const whole = Effect.gen({ self: this }, function* () {
@@ -217,25 +217,25 @@
     return made;
   }
 
-  #takeStart(life: lives.WorkerLife, order: Ports.StartRun): number {
-    const { OldRun, Late, NoRoom } = Errors.OrderRefusal;
+  #takeStart(life: lives.WorkerLife, order: Ports.StartOrder): number {
+    const { StaleRun, LeaseExpired, NoCapacity } = Errors.OrderRefusal;
     const { spec: { id, accelerators }, held } = life;
     const nowMs = this.#clock.monotonicMs();
     lives.checkToken(life, order.fencingToken);
     if (held.has(lives.keyOf(order))) return nowMs;
     if (order.run <= (life.over.get(order.task) ?? 0)) {
-      throw lives.refuse(id, OldRun);
+      throw lives.refuse(id, StaleRun);
     }
     life.leaseUntilMs = Math.max(life.leaseUntilMs, order.leaseUntilMs);
-    if (life.leaseUntilMs < nowMs) throw lives.refuse(id, Late);
+    if (life.leaseUntilMs < nowMs) throw lives.refuse(id, LeaseExpired);
     if (this.guardsRoom && held.size >= accelerators) {
-      throw lives.refuse(id, NoRoom);
+      throw lives.refuse(id, NoCapacity);
     }
     this.#begin(life, order);
     return nowMs;
   }
 
-  #takeLook(life: lives.WorkerLife, order: Ports.RenewLease) {
+  #takeLook(life: lives.WorkerLife, order: Ports.RenewOrder) {
     const nowMs = this.#clock.monotonicMs();
     lives.checkToken(life, order.fencingToken);
     life.leaseUntilMs = Math.max(life.leaseUntilMs, order.leaseUntilMs ?? 0);
@@ -245,7 +245,7 @@
     return lives.viewOf(life, toldEnds, nowMs);
   }
 
-  #begin(life: lives.WorkerLife, { task, run }: Ports.StartRun): void {
+  #begin(life: lives.WorkerLife, { task, run }: Ports.StartOrder): void {
     const { id: worker } = life.spec;
     const nowMs = this.#clock.monotonicMs();
     const { runMs, fails, crashesAfterMs } = this.behave(task, worker);
--- a/packages/stand-ins/src/memory_workers.ts
+++ b/packages/stand-ins/src/memory_workers.ts
@@ -19,7 +19,7 @@
     this.#byEndpoint.delete(endpoint);
   }
 
-  override seal(endpoint: string, fence: Types.Fence) {
+  override fence(endpoint: string, fence: Types.Fence) {
     return Effect.flatMap(this.#find(endpoint), (w) => w.seal(fence));
   }
 
--- a/packages/stand-ins/src/order_carrier.ts
+++ b/packages/stand-ins/src/order_carrier.ts
@@ -72,8 +72,8 @@
     }
     if (fate === OrderFate.Lost || life === undefined) return lose(worker);
     if (fate === OrderFate.NoRoom) {
-      const { NoRoom } = Errors.OrderRefusal;
-      return Effect.fail(lives.refuse(worker.id, NoRoom));
+      const { NoCapacity } = Errors.OrderRefusal;
+      return Effect.fail(lives.refuse(worker.id, NoCapacity));
     }
     if (fate === OrderFate.Late) return this.#carryLate(order);
     return this.#carryOut(order, life, fate === OrderFate.Carried);
--- a/packages/stand-ins/src/worker_life.ts
+++ b/packages/stand-ins/src/worker_life.ts
@@ -94,7 +94,7 @@
   life: WorkerLife,
   toldEnds: number,
   nowMs: number,
-): Ports.EndpointView {
+): Ports.EndpointReport {
   return {
     clockMs: nowMs,
     bornMs: life.bornMs,
--- a/packages/store-relay/src/relayed_feed.ts
+++ b/packages/store-relay/src/relayed_feed.ts
@@ -31,12 +31,17 @@
 
   override page(
     partition: string,
-    ask: Ports.PageAsk,
+    request: Ports.PageRequest,
   ): Effect.Effect<Ports.SnapshotPage<T>, Ports.StoreError> {
     const feed = this.#name;
     return this.#route.call({
-      direct: this.#direct.page(partition, ask),
-      relayed: { kind: Ports.StoreCallKind.Snapshot, feed, partition, ask },
+      direct: this.#direct.page(partition, request),
+      relayed: {
+        kind: Ports.StoreCallKind.Snapshot,
+        feed,
+        partition,
+        ask: request,
+      },
       relayTimeoutMs: SNAPSHOT_TIMEOUT_MS,
       expectedWaitMs: 0,
       onRouteChange: "again",
--- a/packages/store-relay/src/relayed_table.ts
+++ b/packages/store-relay/src/relayed_table.ts
@@ -46,11 +46,11 @@
 
   override scanPage(
     prefix: string,
-    ask: Ports.PageAsk,
+    request: Ports.PageRequest,
   ): Effect.Effect<Ports.RowPage, Ports.StoreError> {
     return this.#route.call({
-      direct: this.#direct.scanPage(prefix, ask),
-      relayed: { kind: Ports.StoreCallKind.ScanPage, prefix, ask },
+      direct: this.#direct.scanPage(prefix, request),
+      relayed: { kind: Ports.StoreCallKind.ScanPage, prefix, ask: request },
       relayTimeoutMs: PAGE_TIMEOUT_MS,
       expectedWaitMs: 0,
       onRouteChange: "again",
--- a/packages/store-relay/src/store_route.ts
+++ b/packages/store-relay/src/store_route.ts
@@ -74,7 +74,7 @@
   }
 
   /** Box through which calls are relayed; null while they go directly. */
-  get through(): string | null {
+  get relayPeer(): string | null {
     return this.#peer?.node ?? null;
   }
 
--- a/packages/table-client/src/keys.ts
+++ b/packages/table-client/src/keys.ts
@@ -92,7 +92,7 @@
 }
 
 /** Partition of a key or prefix; empty where it has none. */
-export function partitionIn(key: string): string {
+export function partitionOfKey(key: string): string {
   const [table] = key.split("/", 1);
   const colon = table.indexOf(":");
   return colon < 0 ? "" : table.slice(colon + 1);
--- a/packages/table-client/src/paged_read.ts
+++ b/packages/table-client/src/paged_read.ts
@@ -17,7 +17,7 @@
 /** Clock and source of the pages. */
 export interface PagedReadOptions<P extends Page, E> {
   readonly clock: Ports.Clock;
-  readonly read: (request: Ports.PageAsk) => Effect.Effect<P, E>;
+  readonly read: (request: Ports.PageRequest) => Effect.Effect<P, E>;
 }
 
 /** Rows of the first page: 150 KB of workflows, which take 0.12 s at 10 Mbit/s. */
@@ -64,7 +64,7 @@
    * Reads one more page; returns whether it was the last. Fails where the page
    * times out; the next call requests it again with fewer rows.
    */
-  step(): Effect.Effect<boolean, E | Errors.StoreUnavailableError> {
+  readPage(): Effect.Effect<boolean, E | Errors.StoreUnavailableError> {
     const { clock, read } = this.#options;
     return Effect.gen({ self: this }, function* () {
       const request = { from: this.#nextFrom, most: this.#maxRows };
--- a/packages/table-client/src/paged_read_test.ts
+++ b/packages/table-client/src/paged_read_test.ts
@@ -8,10 +8,10 @@
 /** Reads the numbers below `count`, each of which takes `rowMs` to arrive. */
 function readNumbers(count: number, rowMs: number) {
   const clock = new TestUtils.FakeClock();
-  const requests: Ports.PageAsk[] = [];
+  const requests: Ports.PageRequest[] = [];
   const read = new pagedReads.PagedRead({
     clock,
-    read: (request: Ports.PageAsk) =>
+    read: (request: Ports.PageRequest) =>
       Effect.gen(function* () {
         requests.push(request);
         const begin = Number(request.from ?? 0);
@@ -22,7 +22,7 @@
       }),
   });
   const step = async () => {
-    const result = Effect.runPromise(Effect.result(read.step()));
+    const result = Effect.runPromise(Effect.result(read.readPage()));
     await clock.advance(2000);
     return await result;
   };
--- a/packages/table-client/src/partition_read.ts
+++ b/packages/table-client/src/partition_read.ts
@@ -39,9 +39,9 @@
     const { clock, feed, partition } = options;
     this.#pages = new pagedReads.PagedRead({
       clock,
-      read: (ask) =>
+      read: (request) =>
         Effect.tap(
-          feed.page(partition, ask),
+          feed.page(partition, request),
           ({ position }) =>
             Effect.sync(() => {
               this.#newestPosition = Math.max(this.#newestPosition, position);
@@ -118,7 +118,7 @@
   #readPages(): Effect.Effect<void> {
     const { clock, random } = this.#options;
     return Effect.gen({ self: this }, function* () {
-      while (!(yield* this.#pages.step()));
+      while (!(yield* this.#pages.readPage()));
       this.#result = this.#pages.items;
       Deferred.doneUnsafe(this.#settled, Effect.void);
     }).pipe(
--- a/packages/table-client/src/resolved_writes.ts
+++ b/packages/table-client/src/resolved_writes.ts
@@ -112,5 +112,5 @@
 
 /** Partition of a transaction, which never spans several. */
 function partitionOf({ writes, conditions }: Ports.Transaction): string {
-  return keys.partitionIn((writes[0] ?? conditions[0])?.key ?? "");
+  return keys.partitionOfKey((writes[0] ?? conditions[0])?.key ?? "");
 }
--- a/packages/table-client/src/row_follower.ts
+++ b/packages/table-client/src/row_follower.ts
@@ -16,28 +16,28 @@
   /** Called with every change; a complete snapshot also reports deleted rows. */
   readonly onChange: (entries: readonly Ports.FeedEntry<T>[]) => void;
   /** Called after each successful read or poll, also where nothing changed. */
-  readonly onHeard?: () => void;
+  readonly onPolled?: () => void;
   /** Called with the time of an answer beyond the requested wait, in ms. */
-  readonly onDelay?: (ms: number) => void;
+  readonly onAnswerDelay?: (ms: number) => void;
   /** Called after each failure. */
   readonly onFailed?: () => void;
   /** Whether a partition may be read now; always true if omitted. */
-  readonly mayRead?: (partition: string) => boolean;
+  readonly canRead?: (partition: string) => boolean;
   /**
    * Completes when the store answers again after an outage; ends a pause and repeats
    * a pending poll. With it, failing polls back off further; if omitted, only
    * frequent polls can detect the end of an outage.
    */
-  readonly awaitBack?: () => Effect.Effect<void>;
+  readonly awaitRecovery?: () => Effect.Effect<void>;
   /** Longest pause after a failure, in ms. */
-  readonly longestPauseMs?: number;
+  readonly maxPauseMs?: number;
   /** Longest wait for changes in one poll, in ms. */
   readonly waitMs: number;
   /**
    * Pause after a poll that returned changes, in ms, so that rows which change
    * constantly are reported in batches; no pause if omitted.
    */
-  readonly gatherMs?: number;
+  readonly coalesceMs?: number;
 }
 
 /** Wait for the first partitions in one step, in ms: the longest usual answer. */
@@ -121,9 +121,9 @@
 
   /** Continues the reads of unread partitions; returns whether one completed. */
   #readMissing(): Effect.Effect<boolean> {
-    const { mayRead, clock } = this.#options;
+    const { canRead, clock } = this.#options;
     return Effect.gen({ self: this }, function* () {
-      const readable = [...this.#unread].filter((p) => mayRead?.(p) ?? true);
+      const readable = [...this.#unread].filter((p) => canRead?.(p) ?? true);
       if (readable.length === 0) return false;
       const reads = readable.map((partition) => this.#partitionRead(partition));
       for (const read of reads) yield* read.resume();
@@ -197,7 +197,7 @@
       }
       this.#answerTimeoutMs = ANSWER_TIMEOUT_MS;
       const delayMs = clock.monotonicMs() - polledAtMs - waitMs;
-      if (delayMs > 0) this.#options.onDelay?.(delayMs);
+      if (delayMs > 0) this.#options.onAnswerDelay?.(delayMs);
       const { entries, position: newPosition } = timed.value;
       this.#position = newPosition;
       const isUpToDate = entries.length === 0 ||
@@ -217,10 +217,10 @@
   }
 
   #coalesce(): Effect.Effect<void> {
-    const { clock, gatherMs } = this.#options;
+    const { clock, coalesceMs } = this.#options;
     const isCaughtUp = this.hasSnapshot && this.#isCaughtUp;
-    if (gatherMs === undefined || !isCaughtUp) return Effect.void;
-    return clock.sleep(gatherMs);
+    if (coalesceMs === undefined || !isCaughtUp) return Effect.void;
+    return clock.sleep(coalesceMs);
   }
 
   /**
@@ -229,9 +229,9 @@
    * seem to end often, does not delay the poll.
    */
   #retryOnRecovery<A, E>(poll: Effect.Effect<A, E>): Effect.Effect<A, E> {
-    const { awaitBack } = this.#options;
-    if (awaitBack === undefined) return poll;
-    return Effect.raceFirst(poll, Effect.andThen(awaitBack(), poll));
+    const { awaitRecovery } = this.#options;
+    if (awaitRecovery === undefined) return poll;
+    return Effect.raceFirst(poll, Effect.andThen(awaitRecovery(), poll));
   }
 
   /** Wait of the next poll; 0 after a failure, to detect at once that it is over. */
@@ -265,7 +265,7 @@
     this.#backoffMs = INITIAL_BACKOFF_MS;
     if (entries.length > 0) this.#options.onChange(entries);
     this.#lastPollAtMs = this.#options.clock.monotonicMs();
-    this.#options.onHeard?.();
+    this.#options.onPolled?.();
   }
 
   /** Once all partitions are read, reports keys that were not found as deleted. */
@@ -280,17 +280,22 @@
   }
 
   #pause(): Effect.Effect<void> {
-    const { clock, random, awaitBack, onFailed, longestPauseMs } =
-      this.#options;
+    const {
+      clock,
+      random,
+      awaitRecovery,
+      onFailed,
+      maxPauseMs,
+    } = this.#options;
     this.#hasFailed = true;
     onFailed?.();
     const waitMs = random.jitter(this.#backoffMs);
-    const defaultMs = awaitBack === undefined
+    const defaultMs = awaitRecovery === undefined
       ? MAX_BACKOFF_MS
       : MAX_BACKOFF_WITH_RECOVERY_MS;
-    const maxBackoffMs = longestPauseMs ?? defaultMs;
+    const maxBackoffMs = maxPauseMs ?? defaultMs;
     this.#backoffMs = Math.min(this.#backoffMs * 2, maxBackoffMs);
-    if (awaitBack === undefined) return clock.sleep(waitMs);
-    return Effect.raceFirst(clock.sleep(waitMs), awaitBack());
+    if (awaitRecovery === undefined) return clock.sleep(waitMs);
+    return Effect.raceFirst(clock.sleep(waitMs), awaitRecovery());
   }
 }
--- a/packages/table-client/src/row_follower_test.ts
+++ b/packages/table-client/src/row_follower_test.ts
@@ -28,7 +28,7 @@
   /** Positions of the polls. */
   readonly polledPositions: number[] = [];
 
-  override page(partition: string, { from }: Ports.PageAsk) {
+  override page(partition: string, { from }: Ports.PageRequest) {
     const page = this.pages.get(partition);
     if (from !== null) this.continuedFrom.push(from);
     // A test sets one page at a time; requesting the same page again fails.
@@ -112,7 +112,7 @@
   });
 
   vitest.it("polls less often for rows that change constantly", async () => {
-    const countPolls = async (gatherMs?: number) => {
+    const countPolls = async (coalesceMs?: number) => {
       const clock = new TestUtils.FakeClock();
       const feed = new ScriptedFeed();
       feed.pages.set("a", pageOf(1)).set("b", pageOf(1));
@@ -127,7 +127,7 @@
         random: new TestUtils.SeededRandom(1),
         waitMs: 10,
         onChange: () => {},
-        ...(gatherMs === undefined ? {} : { gatherMs }),
+        ...(coalesceMs === undefined ? {} : { coalesceMs }),
       });
       const fiber = Effect.runFork(follower.run());
       await clock.advance(2000);
--- a/packages/table-client/src/store_client.ts
+++ b/packages/table-client/src/store_client.ts
@@ -60,42 +60,42 @@
   }
 
   /** Moving average of the time of a write, in ms; 0 before the first. */
-  get usualWriteMs(): number {
+  get averageWriteMs(): number {
     return this.#health.averageWriteMs;
   }
 
   /** Time after which a call is hedged with a second attempt, in ms. */
-  get hedgeMs(): number {
-    return this.#health.hedgeMs;
+  get hedgeDelayMs(): number {
+    return this.#health.hedgeDelayMs;
   }
 
   /** Whether calls to a partition fail at once after repeated failures. */
-  isShut(partition: string): boolean {
+  isCircuitOpen(partition: string): boolean {
     return this.#health.breaker(partition).isOpen();
   }
 
   /** Records an answer of the service to a call made without this client. */
-  noteAnswered(): void {
+  recordAnswer(): void {
     this.#health.recordAnswer();
   }
 
   /** Records the failure of a call made without this client. */
-  noteFailed(): void {
+  recordFailure(): void {
     this.#health.recordFailure();
   }
 
   /** Time for which all calls have failed, in ms; 0 if the last one was answered. */
-  silentForMs(): number {
+  failingForMs(): number {
     return this.#health.failingForMs();
   }
 
   /** Records the time of an answer to a call made without this client, in ms. */
-  noteDelay(tookMs: number): void {
+  recordDelay(tookMs: number): void {
     this.#health.recordDelay(tookMs);
   }
 
   /** Completes when the service answers again after an outage. */
-  awaitBack(): Effect.Effect<void> {
+  awaitRecovery(): Effect.Effect<void> {
     return this.#health.awaitRecovery();
   }
 
@@ -105,7 +105,7 @@
     deadlineMs = DEFAULT_DEADLINE_MS,
   ): Effect.Effect<readonly Ports.Row[], storeErrors.StoreFailure> {
     const call = () => this.#options.table.read(rowKeys);
-    const partition = keys.partitionIn(rowKeys[0] ?? "");
+    const partition = keys.partitionOfKey(rowKeys[0] ?? "");
     return this.#retryRead({ operation: "read", partition }, call, deadlineMs);
   }
 
@@ -116,7 +116,7 @@
     deadlineMs = DEFAULT_DEADLINE_MS,
   ): Effect.Effect<readonly Ports.Row[], storeErrors.StoreFailure> {
     const call = () => this.#options.table.scan(prefix, afterRevision);
-    const partition = keys.partitionIn(prefix);
+    const partition = keys.partitionOfKey(prefix);
     return this.#retryRead({ operation: "scan", partition }, call, deadlineMs);
   }
 
@@ -133,12 +133,12 @@
       clock,
       read: (request) => table.scanPage(prefix, request),
     });
-    const partition = keys.partitionIn(prefix);
+    const partition = keys.partitionOfKey(prefix);
     const target = { operation: "scan", partition };
     return Effect.gen({ self: this }, function* () {
       for (;;) {
         // `PagedRead` has its own timeout for a page, which has to end first.
-        const page = () => read.step();
+        const page = () => read.readPage();
         const timeoutMs = pagedReads.PAGE_TIMEOUT_MS + healths.CALL_TIMEOUT_MS;
         const isLast = yield* this.#retryRead(
           target,
@@ -163,14 +163,14 @@
     storeErrors.StoreFailure | Errors.ConditionFailedError
   > {
     return Effect.catchTag(
-      this.writeOrLearn(write, deadlineMs),
+      this.writeReportingRefusal(write, deadlineMs),
       "WriteRefusedError",
       (err) => storeErrors.unavailable("write", err.message),
     );
   }
 
   /** Like `write`, but fails with `WriteRefusedError` where the store refuses it. */
-  writeOrLearn(
+  writeReportingRefusal(
     write: Write,
     deadlineMs = DEFAULT_DEADLINE_MS,
   ): Effect.Effect<number, storeErrors.WriteFailure> {
--- a/packages/table-client/src/store_client_test.ts
+++ b/packages/table-client/src/store_client_test.ts
@@ -147,19 +147,19 @@
   test("is not hedged early, also where it refuses writes", async () => {
     const { clock, faults, client } = createStore();
     await run(clock, client.write(write));
-    const fastHedgeMs = client.hedgeMs;
+    const fastHedgeMs = client.hedgeDelayMs;
     faults.set({ down: true, delayMs: SLOW_MS });
     await run(clock, client.write(write, 100));
     expect(fastHedgeMs).toBeLessThan(SLOW_MS / 2);
-    expect(client.hedgeMs).toBeGreaterThan(SLOW_MS * 3);
+    expect(client.hedgeDelayMs).toBeGreaterThan(SLOW_MS * 3);
   });
 
   test("affects hedging for a short time only", async () => {
     const { clock, client } = createStore();
-    client.noteDelay(SLOW_MS);
-    expect(client.hedgeMs).toBeGreaterThan(SLOW_MS * 3);
+    client.recordDelay(SLOW_MS);
+    expect(client.hedgeDelayMs).toBeGreaterThan(SLOW_MS * 3);
     await clock.advance(5000);
-    expect(client.hedgeMs).toBeLessThan(SLOW_MS / 2);
+    expect(client.hedgeDelayMs).toBeLessThan(SLOW_MS / 2);
   });
 
   test("is waited for instead of being sent the write again", async () => {
@@ -180,12 +180,12 @@
     const { clock, faults, client } = createStore();
     const write = { conditions: [], writes: [{ key: "k", value: 1 }] };
     await run(clock, client.write(write));
-    const hedgeMs = client.hedgeMs;
+    const hedgeDelayMs = client.hedgeDelayMs;
     faults.set({ silent: true });
     // One call is interrupted, as when its hedge was answered; one times out.
     await run(clock, clock.within(200, client.write(write)));
-    expect(client.hedgeMs).toBe(hedgeMs);
+    expect(client.hedgeDelayMs).toBe(hedgeDelayMs);
     await run(clock, client.write(write, 100));
-    expect(client.hedgeMs).toBe(hedgeMs);
+    expect(client.hedgeDelayMs).toBe(hedgeDelayMs);
   });
 });
--- a/packages/table-client/src/store_health.ts
+++ b/packages/table-client/src/store_health.ts
@@ -63,10 +63,10 @@
    * count toward it: hedging on a store that is slow throughout makes it slower. A
    * call without an answer does not count, as its partition may be down alone.
    */
-  get hedgeMs(): number {
+  get hedgeDelayMs(): number {
     const slowestMs = Math.max(this.#averageWriteMs, this.#slowestRecentMs);
-    const hedgeMs = slowestMs * HEDGE_FACTOR;
-    return Math.min(MAX_HEDGE_MS, Math.max(MIN_HEDGE_MS, hedgeMs));
+    const hedgeDelayMs = slowestMs * HEDGE_FACTOR;
+    return Math.min(MAX_HEDGE_MS, Math.max(MIN_HEDGE_MS, hedgeDelayMs));
   }
 
   /**
--- a/packages/test-utils/src/faulty_workers.ts
+++ b/packages/test-utils/src/faulty_workers.ts
@@ -32,8 +32,8 @@
     this.#inner = inner;
   }
 
-  override seal(endpoint: string, fence: Types.Fence) {
-    return this.#apply("seal", endpoint, this.#inner.seal(endpoint, fence));
+  override fence(endpoint: string, fence: Types.Fence) {
+    return this.#apply("seal", endpoint, this.#inner.fence(endpoint, fence));
   }
 
   override hold(endpoint: string, order: Types.HoldOrder) {
--- a/packages/test-utils/src/hard_load_work.ts
+++ b/packages/test-utils/src/hard_load_work.ts
@@ -26,8 +26,8 @@
 } = {
   config: fleets.buildAccess(GUARANTEES),
   hardLoad: {
-    competingTeams: Types.FeatureUse.On,
-    unevenEndpoints: Types.FeatureUse.On,
+    competingTeams: Types.FeatureMode.On,
+    unevenEndpoints: Types.FeatureMode.On,
   },
 };
 
--- a/packages/test-utils/src/kept_log.ts
+++ b/packages/test-utils/src/kept_log.ts
@@ -24,7 +24,7 @@
 
   override debug(): void {}
 
-  override part(): Logger.Logger {
+  override child(): Logger.Logger {
     return this;
   }
 }
--- a/packages/types/src/feature_use.ts
+++ b/packages/types/src/feature_mode.ts
@@ -1,7 +1,7 @@
 /** Modes of optional features of a deployment. */
 
 /** Mode of an optional feature. */
-export enum FeatureUse {
+export enum FeatureMode {
   Off = "off",
   /** Enabled while the configuration or the observed load requires it. */
   Auto = "auto",
@@ -11,13 +11,13 @@
 /** Modes of the features for hard load, as set by an operator. */
 export interface HardLoadSettings {
   /** For teams of very different sizes that compete for scarce capacity. */
-  readonly competingTeams: FeatureUse;
+  readonly competingTeams: FeatureMode;
   /** For endpoints of very different speeds. */
-  readonly unevenEndpoints: FeatureUse;
+  readonly unevenEndpoints: FeatureMode;
 }
 
 /** Settings with all features for hard load disabled. */
 export const HARD_LOAD_OFF: HardLoadSettings = {
-  competingTeams: FeatureUse.Off,
-  unevenEndpoints: FeatureUse.Off,
+  competingTeams: FeatureMode.Off,
+  unevenEndpoints: FeatureMode.Off,
 };
--- a/packages/workflow-node/src/admission_test.ts
+++ b/packages/workflow-node/src/admission_test.ts
@@ -10,8 +10,8 @@
 import * as vitest from "vitest";
 
 const COMPETING: Types.HardLoadSettings = {
-  competingTeams: Types.FeatureUse.On,
-  unevenEndpoints: Types.FeatureUse.Off,
+  competingTeams: Types.FeatureMode.On,
+  unevenEndpoints: Types.FeatureMode.Off,
 };
 /** Duration of runs that occupy an endpoint until short work is too late, in ms. */
 const LONG_MS = 40_000;
@@ -251,7 +251,7 @@
     );
     vitest.expect(answers.every((answer) => answer === null)).toBe(true);
     const promisedJobs = names.map((name) =>
-      fleet.node(name).desk.dump().promisedJobs
+      fleet.node(name).admissionControl.dump().promisedJobs
     );
     const sum = promisedJobs.reduce((total, jobs) => total + jobs, 0);
     vitest.expect(sum * SHORT.accelerators).toBeLessThanOrEqual(12);
--- a/packages/workflow-node/src/advice_test.ts
+++ b/packages/workflow-node/src/advice_test.ts
@@ -22,7 +22,7 @@
     this.#allowed = allowed;
   }
 
-  override ask(step: string, workers: readonly string[]) {
+  override requestAdvice(step: string, workers: readonly string[]) {
     this.callCount++;
     this.concurrentCalls++;
     this.maxConcurrentCalls = Math.max(
--- a/packages/workflow-node/src/leader_fitness.ts
+++ b/packages/workflow-node/src/coordinator_fitness.ts
@@ -2,20 +2,20 @@
 import * as Coordinator from "@cairngate/coordinator";
 import * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
-import type * as members from "./member_book.ts";
+import type * as members from "./member_registry.ts";
 
-/** Data and ports for {@link LeaderFitness}. */
-export interface LeaderFitnessOptions {
+/** Data and ports for {@link CoordinatorFitness}. */
+export interface CoordinatorFitnessOptions {
   /** Name of this box. */
   readonly node: string;
   /** Processor capacity of this box, in cores. */
   readonly cores: number;
   /** Wall-clock time at which this process started, as stored in its row. */
   readonly startedAtMs: number;
-  readonly others: () => readonly members.Member[];
+  readonly otherBoxes: () => readonly members.Member[];
   readonly peers: Ports.StorePeers;
   /** Whether this box reaches the store directly, without a peer as relay. */
-  readonly reachesStore: () => boolean;
+  readonly hasDirectStoreAccess: () => boolean;
 }
 
 /** Ratio of cores from which another box is fitter; a handover takes time. */
@@ -33,16 +33,16 @@
 const CLOSE_WATCHERS = 6;
 
 /** Fitness by processor capacity and by access to the store. */
-export class LeaderFitness extends Coordinator.Fitness {
-  readonly #options: LeaderFitnessOptions;
+export class CoordinatorFitness extends Coordinator.Fitness {
+  readonly #options: CoordinatorFitnessOptions;
 
-  constructor(options: LeaderFitnessOptions) {
+  constructor(options: CoordinatorFitnessOptions) {
     super();
     this.#options = options;
   }
 
-  override reachesStore(): boolean {
-    return this.#options.reachesStore();
+  override hasDirectStoreAccess(): boolean {
+    return this.#options.hasDirectStoreAccess();
   }
 
   override hasFitterBox(): boolean {
@@ -51,7 +51,7 @@
 
   /** Ranks boxes in the order in which successors are chosen. */
   override isCloseWatcher(): boolean {
-    const preferred = this.#options.others().filter((member) =>
+    const preferred = this.#options.otherBoxes().filter((member) =>
       compareBoxes(member, this.#options) < 0
     );
     return preferred.length < CLOSE_WATCHERS;
@@ -62,7 +62,7 @@
   }
 
   override findSuccessor() {
-    return this.#findFirstReachable(this.#options.others());
+    return this.#findFirstReachable(this.#options.otherBoxes());
   }
 
   /** Returns the fittest box that is reachable, or null. */
@@ -81,8 +81,10 @@
   }
 
   #fitterBoxes(): readonly members.Member[] {
-    const { cores, others } = this.#options;
-    return others().filter((member) => member.cores >= cores * MIN_CORES_RATIO);
+    const { cores, otherBoxes } = this.#options;
+    return otherBoxes().filter((member) =>
+      member.cores >= cores * MIN_CORES_RATIO
+    );
   }
 
   /** Returns whether a box answers in time and reaches the store directly. */
--- a/packages/workflow-node/src/given_up_test.ts
+++ b/packages/workflow-node/src/give_up_reports_test.ts
@@ -30,7 +30,7 @@
   fleet: TestUtils.TestFleet,
 ): Promise<Coordinator.WorkflowReport | null> {
   const [name] = fleet.nodes.keys();
-  return await fleet.run(fleet.node(name).tellWorkflow(CRASHING_ID));
+  return await fleet.run(fleet.node(name).describeWorkflow(CRASHING_ID));
 }
 
 async function restartAll(fleet: TestUtils.TestFleet): Promise<void> {
--- a/packages/workflow-node/src/orderly_stop.ts
+++ b/packages/workflow-node/src/graceful_shutdown.ts
@@ -8,7 +8,7 @@
 import * as Effect from "effect/Effect";
 
 /** Time limits of the steps, in ms. */
-export interface StopBudget {
+export interface ShutdownBudget {
   /** Handing over, while requests are still served. */
   readonly handOverMs: number;
   /** Answering the requests under way. */
@@ -18,7 +18,7 @@
 }
 
 /** Steps of a shutdown. */
-export interface StopSteps {
+export interface ShutdownSteps {
   /** Ends the own term, removes the box's row and reports the box as not ready. */
   readonly handOver: Effect.Effect<void>;
   /** Completes when the last answer is sent. */
@@ -28,7 +28,7 @@
 }
 
 /** Time limits and dependencies of a shutdown. */
-export interface StopOptions {
+export interface ShutdownOptions {
   /** Time from the signal until the process is killed, in ms. */
   readonly graceMs: number;
   /** Time within which the load balancer notices that the box is not ready, in ms. */
@@ -45,7 +45,7 @@
 const END_SHARE = 0.05;
 
 /** Splits the grace time among the steps. */
-export function splitGraceTime(graceMs: number): StopBudget {
+export function splitGraceTime(graceMs: number): ShutdownBudget {
   const handOverShare = 1 - RESERVE_SHARE - ANSWERS_SHARE - END_SHARE;
   return {
     handOverMs: graceMs * handOverShare,
@@ -55,9 +55,9 @@
 }
 
 /** Shuts a box down; a step that exceeds its time limit is abandoned. */
-export function stopOrderly(
-  steps: StopSteps,
-  options: StopOptions,
+export function shutDownGracefully(
+  steps: ShutdownSteps,
+  options: ShutdownOptions,
 ): Effect.Effect<void> {
   const { clock, graceMs, unreadyMs } = options;
   const budget = splitGraceTime(graceMs);
@@ -81,7 +81,7 @@
   stepName: string,
   step: Effect.Effect<unknown>,
   timeoutMs: number,
-  { clock, log }: StopOptions,
+  { clock, log }: ShutdownOptions,
 ): Effect.Effect<void> {
   return Effect.gen(function* () {
     const startedAtMs = clock.monotonicMs();
--- a/packages/workflow-node/src/orderly_stop_test.ts
+++ b/packages/workflow-node/src/graceful_shutdown_test.ts
@@ -3,7 +3,7 @@
 import * as TestUtils from "@cairngate/test-utils";
 import * as Effect from "effect/Effect";
 import * as vitest from "vitest";
-import * as stops from "./orderly_stop.ts";
+import * as stops from "./graceful_shutdown.ts";
 
 /** Grace time of the users' sites (`grace_s` 6), in ms. */
 const GRACE_MS = 6000;
@@ -11,7 +11,7 @@
 const UNREADY_MS = 2300;
 
 /** Runs a shutdown; returns the start times of its steps and the time of its end. */
-async function runStop(changes: Partial<stops.StopSteps>) {
+async function runStop(changes: Partial<stops.ShutdownSteps>) {
   const clock = new TestUtils.FakeClock();
   const startedAtMs = clock.monotonicMs();
   const began: Record<string, number> = {};
@@ -19,10 +19,10 @@
     Effect.sync(() => {
       began[name] = clock.monotonicMs() - startedAtMs;
     });
-  const step = (name: keyof stops.StopSteps) =>
+  const step = (name: keyof stops.ShutdownSteps) =>
     Effect.andThen(note(name), changes[name] ?? Effect.void);
   let endedMs: number | null = null;
-  const stop = stops.stopOrderly({
+  const stop = stops.shutDownGracefully({
     handOver: step("handOver"),
     answer: step("answer"),
     end: step("end"),
--- a/packages/workflow-node/src/member_book.ts
+++ b/packages/workflow-node/src/member_registry.ts
@@ -105,9 +105,9 @@
     return Effect.gen({ self: this }, function* () {
       const read = new TableClient.PagedRead({
         clock,
-        read: (ask: Ports.PageAsk) => feed.page("", ask),
+        read: (ask: Ports.PageRequest) => feed.page("", ask),
       });
-      while (!(yield* read.step()));
+      while (!(yield* read.readPage()));
       const rows = read.items.flatMap(({ value }) =>
         value === null ? [] : [value]
       );
--- a/packages/workflow-node/src/outage_watch.ts
+++ b/packages/workflow-node/src/recovery_detector.ts
@@ -43,8 +43,8 @@
 
   #probeInOutage(): void {
     const { store, probe } = this.#options;
-    if (store.silentForMs() < OUTAGE_AFTER_MS) return;
-    const answered = Effect.sync(() => store.noteAnswered());
+    if (store.failingForMs() < OUTAGE_AFTER_MS) return;
+    const answered = Effect.sync(() => store.recordAnswer());
     Effect.runFork(Effect.ignore(Effect.andThen(probe(), answered)));
   }
 }
--- a/packages/workflow-node/src/shared_outage.ts
+++ b/packages/workflow-node/src/shared_outage_detector.ts
@@ -13,9 +13,9 @@
   readonly random: Ports.RandomSource;
   readonly peers: Ports.StorePeers;
   /** Lists the other boxes. */
-  readonly others: () => readonly Ports.StorePeer[];
+  readonly otherBoxes: () => readonly Ports.StorePeer[];
   /** Time since the store last answered a call, in ms. */
-  readonly silentForMs: () => number;
+  readonly failingForMs: () => number;
   /** Whether this box is the coordinator. */
   readonly coordinates: () => boolean;
 }
@@ -45,9 +45,9 @@
   }
 
   override isUnavailableToAll(): boolean {
-    const { clock, others } = this.#options;
+    const { clock, otherBoxes } = this.#options;
     // Without other boxes, no other coordinator can be elected.
-    if (others().length === 0) return true;
+    if (otherBoxes().length === 0) return true;
     return clock.monotonicMs() - this.#confirmedAtMs <= RESULT_VALIDITY_MS;
   }
 
@@ -60,8 +60,8 @@
   }
 
   #pollInOutage(): void {
-    const { silentForMs, coordinates } = this.#options;
-    if (!coordinates() || silentForMs() < OUTAGE_AFTER_MS) return;
+    const { failingForMs, coordinates } = this.#options;
+    if (!coordinates() || failingForMs() < OUTAGE_AFTER_MS) return;
     Effect.runFork(this.#pollBoxes());
   }
 
@@ -90,8 +90,8 @@
 
   /** Chooses at random, so that the result does not depend on the same few boxes. */
   #chooseBoxes(): readonly Ports.StorePeer[] {
-    const { others, random } = this.#options;
-    return others()
+    const { otherBoxes, random } = this.#options;
+    return otherBoxes()
       .map((peer) => ({ peer, order: random.next() }))
       .sort((a, b) => a.order - b.order)
       .slice(0, MAX_POLLED_BOXES)
--- a/packages/workflow-node/src/shared_outage_test.ts
+++ b/packages/workflow-node/src/shared_outage_test.ts
@@ -1,7 +1,7 @@
 /**
  * Leases while the coordinator can't reach the store. Runs go on through an outage that
  * affects all boxes; an isolated coordinator renews no leases
- * (parted_coordinator_test.ts).
+ * (isolated_coordinator_test.ts).
  */
 import * as TestUtils from "@cairngate/test-utils";
 import * as vitest from "vitest";
--- a/packages/workflow-node/src/team_shares_test.ts
+++ b/packages/workflow-node/src/team_shares_test.ts
@@ -11,8 +11,8 @@
 /** One team has a far larger guarantee than the others. */
 const CONFIG = TestUtils.buildAccess({ large: 8, small: 1, other: 1 });
 const AUTO = {
-  competingTeams: Types.FeatureUse.Auto,
-  unevenEndpoints: Types.FeatureUse.Off,
+  competingTeams: Types.FeatureMode.Auto,
+  unevenEndpoints: Types.FeatureMode.Off,
 };
 
 function buildFleet(
--- a/packages/workflow-node/src/uneven_endpoints_test.ts
+++ b/packages/workflow-node/src/uneven_endpoints_test.ts
@@ -19,8 +19,8 @@
   const fleet = new TestUtils.TestFleet({
     workers: SPEEDS.map(() => 2),
     hardLoad: {
-      competingTeams: Types.FeatureUse.Off,
-      unevenEndpoints: Types.FeatureUse.On,
+      competingTeams: Types.FeatureMode.Off,
+      unevenEndpoints: Types.FeatureMode.On,
     },
   });
   fleet.workers.behave = (task, worker) => {
--- a/packages/workflow-node/src/workflow_node.ts
+++ b/packages/workflow-node/src/workflow_node.ts
@@ -10,10 +10,10 @@
 import type * as Types from "@cairngate/types";
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
-import * as fitnesses from "./leader_fitness.ts";
-import * as members from "./member_book.ts";
-import * as outages from "./outage_watch.ts";
-import * as sharedOutages from "./shared_outage.ts";
+import * as fitnesses from "./coordinator_fitness.ts";
+import * as members from "./member_registry.ts";
+import * as recoveries from "./recovery_detector.ts";
+import * as sharedOutages from "./shared_outage_detector.ts";
 
 /** Change feeds of the store that a box follows. */
 export interface NodeFeeds {
@@ -35,7 +35,7 @@
   readonly clock: Ports.Clock;
   readonly random: Ports.RandomSource;
   readonly table: Ports.TableService;
-  readonly workers: Ports.TaskWorkers;
+  readonly workers: Ports.TaskEndpoints;
   /** Null if no advice service is configured. */
   readonly advisor: Ports.Advisor | null;
   readonly feeds: NodeFeeds;
@@ -74,7 +74,7 @@
 export class WorkflowNode {
   readonly access: Gateway.AccessTable;
   /** Rejects submissions that surely can't complete in time under overload. */
-  readonly desk: Gateway.AdmissionDesk;
+  readonly admissionControl: Gateway.AdmissionController;
   readonly submissions: Gateway.Submissions;
   readonly #ports: WorkflowNodePorts;
   readonly #store: TableClient.StoreClient;
@@ -101,7 +101,7 @@
       members: () => this.#members.others(),
       clock,
       random,
-      log: log.part("relay"),
+      log: log.child("relay"),
       metrics,
     });
     const directFeeds = new Map<string, Ports.RowFeed<unknown>>(
@@ -131,35 +131,35 @@
       mayRemove: () => this.#coordinator !== null,
     });
     this.access = new Gateway.AccessTable(
-      log.part("access"),
+      log.child("access"),
       () => this.#mayBeStale(),
     );
-    this.desk = new Gateway.AdmissionDesk({
+    this.admissionControl = new Gateway.AdmissionController({
       clock,
       random,
-      log: log.part("admission"),
+      log: log.child("admission"),
       metrics,
-      known: () => this.#election.forecast,
+      currentForecast: () => this.#election.forecast,
       guaranteeOf: (team) => guaranteeOf(this.access.config, team),
-      storeSilentMs: () => this.#store.silentForMs(),
+      storeSilentMs: () => this.#store.failingForMs(),
     });
     this.submissions = new Gateway.Submissions({
-      desk: this.desk,
+      admission: this.admissionControl,
       store: this.#store,
       clock,
       rowBytes: ports.storeRowBytes,
     });
     this.#evacuations = new Coordinator.EvacuationTracker({
       clock,
-      log: log.part("node"),
+      log: log.child("node"),
       inForceMs: ports.evacuationInForceMs,
     });
     this.#sharedOutage = new sharedOutages.SharedOutageDetector({
       clock,
       random,
       peers: ports.peers,
-      others: () => this.#members.others(),
-      silentForMs: () => this.#store.silentForMs(),
+      otherBoxes: () => this.#members.others(),
+      failingForMs: () => this.#store.failingForMs(),
       coordinates: () => this.#coordinator !== null,
     });
     this.#coordinatorPorts = {
@@ -175,19 +175,19 @@
       electionFeed: this.#feeds.election,
       config: () => this.access.config,
       evacuations: this.#evacuations,
-      fitness: new fitnesses.LeaderFitness({
+      fitness: new fitnesses.CoordinatorFitness({
         node,
         cores: ports.processorCores,
         startedAtMs: this.#members.startedAtMs,
-        others: () => this.#members.others(),
+        otherBoxes: () => this.#members.others(),
         peers: ports.peers,
-        reachesStore: () => this.#route.isDirect,
+        hasDirectStoreAccess: () => this.#route.isDirect,
       }),
       outageReports: this.#sharedOutage,
       countBoxes: () => this.#members.others().length + 1,
       bounds: ports.bounds,
       hardLoad: ports.hardLoad,
-      log: log.part("coordinator"),
+      log: log.child("coordinator"),
       metrics,
     };
     this.#election = new Coordinator.Election(this.#coordinatorPorts);
@@ -201,7 +201,7 @@
     const { clock, configInForceMs } = this.#ports;
     const silentMs = clock.monotonicMs() - this.#configReadAtMs;
     return silentMs > configInForceMs - FRESHNESS_MARGIN_MS ||
-      this.#store.silentForMs() > STORE_FAILURE_MS;
+      this.#store.failingForMs() > STORE_FAILURE_MS;
   }
 
   /** Listens for peers, then follows configurations and joins the election. */
@@ -214,7 +214,7 @@
   #startLoops(): void {
     const { clock, random, configInForceMs } = this.#ports;
     this.#runForever("Membership", this.#members.run());
-    const recovery = new outages.RecoveryDetector({
+    const recovery = new recoveries.RecoveryDetector({
       store: this.#store,
       clock,
       probe: () => this.#route.probe(),
@@ -226,20 +226,20 @@
       clock,
       random,
       waitMs: Math.round(configInForceMs * CONFIG_POLL_SHARE),
-      awaitBack: () => this.#store.awaitBack(),
-      longestPauseMs: MAX_CONFIG_PAUSE_MS,
-      onHeard: () => {
+      awaitRecovery: () => this.#store.awaitRecovery(),
+      maxPauseMs: MAX_CONFIG_PAUSE_MS,
+      onPolled: () => {
         this.#configReadAtMs = clock.monotonicMs();
         this.#evacuations.noteSynced();
-        this.#store.noteAnswered();
+        this.#store.recordAnswer();
       },
-      onDelay: (ms) => this.#store.noteDelay(ms),
-      onFailed: () => this.#store.noteFailed(),
+      onAnswerDelay: (ms) => this.#store.recordDelay(ms),
+      onFailed: () => this.#store.recordFailure(),
       onChange: (entries) => {
         this.#evacuations.applyChanges(entries);
         for (const { value } of entries) {
           if (value?.kind !== Ports.OperatorEntryKind.Config) continue;
-          this.access.offer(value.config);
+          this.access.update(value.config);
         }
       },
     });
@@ -259,7 +259,7 @@
   /** Runs work in a fiber of its own, and restarts it after a defect. */
   #runForever(what: string, work: Effect.Effect<never>): void {
     const { clock, log, metrics } = this.#ports;
-    const parts = { what, clock, log: log.part("node"), metrics };
+    const parts = { what, clock, log: log.child("node"), metrics };
     const supervised = Coordinator.restartOnDefect(work, parts);
     this.#fibers.push(Effect.runFork(supervised));
   }
@@ -288,15 +288,15 @@
   }
 
   /** Describes a workflow as stored, for operators; null if it does not exist. */
-  tellWorkflow(
+  describeWorkflow(
     id: string,
   ): Effect.Effect<
     Coordinator.WorkflowReport | null,
     Errors.StoreUnavailableError
   > {
-    return Effect.map(this.submissions.standing(id), (standing) => {
-      if (standing === null) return null;
-      const { state, giveUp } = standing;
+    return Effect.map(this.submissions.findStatus(id), (status) => {
+      if (status === null) return null;
+      const { state, giveUp } = status;
       const description = giveUp === null
         ? null
         : Coordinator.describeGiveUp(giveUp);
@@ -316,9 +316,9 @@
       mayMissEvacuations: this.#evacuations.mayBeOutdated,
       peers: this.#members.others().map((peer) => peer.node),
       unusableRows: metrics.get("cairngate_rows_unusable"),
-      storeThrough: this.#route.through,
-      storeSilentMs: Math.round(this.#store.silentForMs()),
-      admission: this.desk.dump(),
+      storeThrough: this.#route.relayPeer,
+      storeSilentMs: Math.round(this.#store.failingForMs()),
+      admission: this.admissionControl.dump(),
       work: this.#coordinator?.dump() ?? null,
     };
   }
--- a/tools/decisions/src/marks.ts
+++ b/tools/decisions/src/scores.ts
@@ -1,5 +1,5 @@
 /** Scores a simulation by the users' rules. */
-import type * as simulation from "./play.ts";
+import type * as simulation from "./simulate.ts";
 
 /** Shares of the possible worth that were earned, and costs. */
 export interface Scores {
--- a/tools/decisions/src/play_test.ts
+++ b/tools/decisions/src/simulate_test.ts
@@ -1,8 +1,8 @@
 /** Simulations of a load against the planner. */
 import * as vitest from "vitest";
 import * as loads from "./load.ts";
-import * as scoring from "./marks.ts";
-import * as simulation from "./play.ts";
+import * as scoring from "./scores.ts";
+import * as simulation from "./simulate.ts";
 
 function smallLoad(): loads.Load {
   const load = loads.LOADS.get("small");
