--- a/packages/coordinator/src/sessions/endpoint_starts.ts
+++ b/packages/coordinator/src/sessions/endpoint_starts.ts
@@ -78,7 +78,7 @@
     }
     if (!this.#mayStart) return LostCause.Evacuated;
     const tasks = [...tracked.sent.map((one) => one.task), task];
-    return options.mayHold(tasks) ? null : LostCause.NoRoom;
+    return options.mayHold(tasks) ? null : LostCause.NoCapacity;
   }
 
   get #mayStart(): boolean {
--- a/packages/coordinator/src/sessions/session_listener.ts
+++ b/packages/coordinator/src/sessions/session_listener.ts
@@ -20,7 +20,7 @@
   NeverSent = "never-sent",
   NotWanted = "not-wanted",
   /** The listing of the endpoint changed between the plan and the start. */
-  NoRoom = "no-room",
+  NoCapacity = "no-room",
   /** Its data centre was evacuated between the plan and the start. */
   Evacuated = "evacuated",
 }
@@ -35,7 +35,7 @@
   [LostCause.Refused]: "its start was refused",
   [LostCause.NeverSent]: "its start did not reach the endpoint",
   [LostCause.NotWanted]: "it was no longer needed",
-  [LostCause.NoRoom]: "its endpoint is draining or has too little capacity",
+  [LostCause.NoCapacity]: "its endpoint is draining or has too little capacity",
   [LostCause.Evacuated]: "its data centre is being evacuated, or may be",
 };
 
