--- a/packages/cli/src/render_node.ts
+++ b/packages/cli/src/render_node.ts
@@ -108,7 +108,7 @@
     const { paidFor, open, short } = work.guarantees;
     lines.push(
       `  guarantees: ${paidFor} accelerators paid for, ${open} left, ` +
-        `${short} unavailable`,
+        `${short} can not be had`,
     );
   }
   return lines;
--- a/packages/cli/src/render_node_test.ts
+++ b/packages/cli/src/render_node_test.ts
@@ -70,7 +70,7 @@
     vitest.expect(lines.slice(1)).toEqual([
       "  data centre brno-b evacuated since 1970-01-01T00:00:00.000Z; " +
       "12 runs continue there",
-      "  guarantees: 100 accelerators paid for, 90 left, 10 unavailable",
+      "  guarantees: 100 accelerators paid for, 90 left, 10 can not be had",
     ]);
   });
 
--- a/packages/scheduler/src/allocator.ts
+++ b/packages/scheduler/src/allocator.ts
@@ -118,6 +118,6 @@
   victim.claimant = claimant;
   entries.addHistory(victim, Types.ReasonKind.Yielded, {
     atMs: nowMs,
-    detail: `to job ${claimant.shape.id} of team ${claimant.shape.team}`,
+    detail: `to ${claimant.shape.id} of ${claimant.shape.team}`,
   });
 }
--- a/packages/scheduler/src/placer.ts
+++ b/packages/scheduler/src/placer.ts
@@ -103,7 +103,7 @@
     const kind = entry.entitlement === Types.Entitlement.Guaranteed
       ? Types.ReasonKind.PlacedGuaranteed
       : Types.ReasonKind.PlacedOpportunistic;
-    const detail = `on ${entry.slots.length} slot(s)`;
+    const detail = `on ${entry.slots.length} worker place(s)`;
     entries.addHistory(entry, kind, { atMs: nowMs, detail });
   }
 
--- a/packages/scheduler/src/scheduler.ts
+++ b/packages/scheduler/src/scheduler.ts
@@ -78,7 +78,7 @@
   override submit(shape: Types.JobShape, options: cores.SubmitOptions): void {
     if (this.#jobs.has(shape.id)) return;
     const entry = entries.createEntry(shape, options.progress ?? 0);
-    const detail = `service ${shape.service} for team ${shape.team}`;
+    const detail = `${shape.service} for ${shape.team}`;
     const atMs = options.nowMs;
     entries.addHistory(entry, Types.ReasonKind.Submitted, { atMs, detail });
     this.#jobs.set(shape.id, entry);
@@ -179,7 +179,7 @@
     });
     for (const entry of moved) {
       entry.state = Types.JobState.Yielding;
-      const detail = "to free a whole rack";
+      const detail = "to make a rack whole";
       entries.addHistory(entry, Types.ReasonKind.Moved, {
         atMs: nowMs,
         detail,
--- a/packages/store-relay/src/relay_server.ts
+++ b/packages/store-relay/src/relay_server.ts
@@ -27,8 +27,8 @@
   /** Carries out one call; never relays it to a third box. */
   answer(call: Ports.StoreCall): Effect.Effect<Ports.StoreReply> {
     return Effect.suspend(() => {
-      if (!this.#options.route.isDirect) return refuse("no direct store route");
-      if (this.#running >= MAX_CALLS) return refuse("too many calls");
+      if (!this.#options.route.isDirect) return refuse("it is turned away too");
+      if (this.#running >= MAX_CALLS) return refuse("it has too many calls");
       this.#running++;
       const done = Effect.sync(() => {
         this.#running--;
@@ -52,16 +52,16 @@
         return replies.toReply(table.transact(call.tx));
       case Ports.StoreCallKind.Snapshot: {
         const feed = feeds.get(call.feed);
-        if (feed === undefined) return refuse(`unknown feed ${call.feed}`);
+        if (feed === undefined) return refuse(`no feed ${call.feed}`);
         return replies.toReply(feed.page(call.partition, call.ask));
       }
       case Ports.StoreCallKind.Changes: {
         const feed = feeds.get(call.feed);
-        if (feed === undefined) return refuse(`unknown feed ${call.feed}`);
+        if (feed === undefined) return refuse(`no feed ${call.feed}`);
         return replies.toReply(feed.changes(call.position, call.waitMs));
       }
       default:
-        return refuse("unknown kind of call");
+        return refuse("it does not know this call");
     }
   }
 }
--- a/packages/store-relay/src/store_route.ts
+++ b/packages/store-relay/src/store_route.ts
@@ -84,7 +84,7 @@
     const read = clock.within(PROBE_TIMEOUT_MS, table.probe(PROBE_KEY));
     return Effect.flatMap(read, (timed) => {
       if (timed !== null) return Effect.void;
-      const cause = "the probe timed out";
+      const cause = "no answer to a probe";
       const operation = "probe";
       return Effect.fail(
         new Errors.StoreUnavailableError({ operation, cause }),
