--- a/packages/stand-ins/mod.ts
+++ b/packages/stand-ins/mod.ts
@@ -1,4 +1,4 @@
-/** In-memory stand-ins for the platform and its workers. */
+/** In-memory stand-ins for the platform and its endpoints. */
 export { BusyProcessor } from "./src/busy_processor.ts";
 export { BusyTaskWorkers } from "./src/busy_task_workers.ts";
 export { FaultyTable } from "./src/faulty_table.ts";
@@ -16,9 +16,12 @@
 export { MemoryTaskWorkers } from "./src/memory_task_workers.ts";
 export { MemoryTable, type TableChange } from "./src/memory_table.ts";
 export { MemoryWorkers } from "./src/memory_workers.ts";
-export { type CallWay, OpenConnections } from "./src/open_connections.ts";
+export {
+  type CallConnection,
+  OpenConnections,
+} from "./src/open_connections.ts";
 export { DeadAddress, OrderFate } from "./src/order_fate.ts";
-export { OrderWays, type WayTimes } from "./src/order_ways.ts";
+export { OrderTransit, type WayTimes } from "./src/order_ways.ts";
 export type { TaskRunNote } from "./src/run_note.ts";
 export { StandInWorker } from "./src/stand_in_worker.ts";
 export { doWork } from "./src/work.ts";
--- a/packages/stand-ins/src/busy_processor.ts
+++ b/packages/stand-ins/src/busy_processor.ts
@@ -1,13 +1,13 @@
-/** A processor that has time for one call after the other. */
+/** Processor model that works on one call at a time. */
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
 
-/** Processor of one box; calls wait for their turn in the order they come. */
+/** Processor of one box; calls are processed in the order of their arrival. */
 export class BusyProcessor {
   readonly #clock: Ports.Clock;
-  /** Time that each call takes, in ms; tests set it. */
+  /** Processing time of each call, in ms; tests set it. */
   callMs = 0;
-  /** Waits while the box stands still. */
+  /** Blocks calls while the box is suspended. */
   gate: Effect.Effect<void> = Effect.void;
   #freeAtMs = 0;
 
@@ -15,13 +15,13 @@
     this.#clock = clock;
   }
 
-  /** Time until a call that comes now has its turn and is over, in ms. */
+  /** Time until a call that arrives now is processed, in ms. */
   get delayMs(): number {
     const nowMs = this.#clock.monotonicMs();
     return Math.max(nowMs, this.#freeAtMs) + this.callMs - nowMs;
   }
 
-  /** Works on one call. */
+  /** Waits for the processor and processes one call. */
   use(): Effect.Effect<void> {
     return Effect.andThen(this.gate, this.#work());
   }
--- a/packages/stand-ins/src/busy_task_workers.ts
+++ b/packages/stand-ins/src/busy_task_workers.ts
@@ -1,9 +1,9 @@
-/** Orders to endpoints from a box whose processor has other work as well. */
+/** Orders to endpoints that share the processor of their box with other calls. */
 import * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
 import type * as processors from "./busy_processor.ts";
 
-/** Passes orders on when the box has time for them and for their answers. */
+/** Forwards orders; each order and each answer needs processor time. */
 export class BusyTaskWorkers extends Ports.TaskEndpoints {
   readonly #inner: Ports.TaskEndpoints;
   readonly #processor: processors.BusyProcessor;
--- a/packages/stand-ins/src/cut_page.ts
+++ b/packages/stand-ins/src/cut_page.ts
@@ -1,14 +1,14 @@
-/** Cuts rows into pages, in the order of their keys. */
+/** Divides rows into pages in key order. */
 import type * as Ports from "@cairngate/ports";
 
-/** The page that was asked for. */
-export function cutPage(
+/** Returns the requested page of the rows. */
+export function selectPage(
   rows: readonly Ports.Row[],
   { from, most }: Ports.PageRequest,
 ): Ports.RowPage {
-  const left = rows
+  const remaining = rows
     .filter(({ key }) => from === null || key >= from)
     .sort((a, b) => a.key < b.key ? -1 : 1);
-  const next = left[most]?.key ?? null;
-  return { items: left.slice(0, most), next };
+  const next = remaining[most]?.key ?? null;
+  return { items: remaining.slice(0, most), next };
 }
--- a/packages/stand-ins/src/fault_switch.ts
+++ b/packages/stand-ins/src/fault_switch.ts
@@ -1,4 +1,4 @@
-/** Faults of the platform's store, switched on and off by tests. */
+/** Faults of the platform's store, which tests switch on and off. */
 import * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
@@ -7,25 +7,25 @@
 
 /** Faults in force. */
 export interface StoreFaults {
-  /** No call is carried out. */
+  /** Every call fails without being executed. */
   readonly down: boolean;
-  /** No call is carried out or answered. */
+  /** No call is executed or answered. */
   readonly silent: boolean;
-  /** No call to these partitions is carried out. */
+  /** Partitions to which every call fails without being executed. */
   readonly downPartitions: readonly string[];
-  /** Feeds, by the prefix of their rows, of which no look is answered. */
+  /** Prefixes of the feeds whose polls are not answered. */
   readonly silentFeeds: readonly string[];
-  /** Share of writes whose answer is lost after they took effect. */
+  /** Share of writes whose answer is lost after they took effect, 0 to 1. */
   readonly loseAnswers: number;
-  /** Share of writes that are neither carried out nor answered. */
+  /** Share of writes that are neither executed nor answered, 0 to 1. */
   readonly swallowWrites: number;
-  /** Looks for changes are answered in time and show none. */
+  /** Polls for changes are answered in time, but without the changes. */
   readonly hideChanges: boolean;
-  /** Time that every call takes, in milliseconds. */
+  /** Duration of every call, in milliseconds. */
   readonly delayMs: number;
   /**
-   * Time that a kilobyte of rows takes on its way to the reader, in
-   * milliseconds; scans that are under way share the link evenly.
+   * Transfer time of a kilobyte of rows, in milliseconds. Concurrent scans share the
+   * link evenly.
    */
   readonly kilobyteMs: number;
 }
@@ -42,24 +42,24 @@
   kilobyteMs: 0,
 };
 
-/** Scans that share a link are carried on in steps of this length, in ms. */
-const CARRY_STEP_MS = 20;
+/** Time step of the transfer of concurrent scans, in ms. */
+const TRANSFER_STEP_MS = 20;
 
-/** Holds the faults in force and applies them to calls. */
+/** Holds the current faults and applies them to calls. */
 export class FaultSwitch {
   readonly #clock: Ports.Clock;
   readonly #random: Ports.RandomSource;
   faults: StoreFaults = HEALTHY;
-  /** Processor of the box that makes the calls. */
+  /** Processor of the calling box. */
   readonly processor: processors.BusyProcessor;
-  /** Connections of the box to the store. */
+  /** Connections from the box to the store. */
   readonly connections: connections.OpenConnections;
-  /** Writes that the box has sent, whatever came of them. */
+  /** Number of writes that the box has sent, with any outcome. */
   writes = 0;
-  /** Looks for changes that the box has made, by the prefix of the rows. */
+  /** Number of polls for changes that the box has sent, by prefix of the rows. */
   readonly looks = new Map<string, number>();
-  /** Scans whose rows are on their way. */
-  #scans = 0;
+  /** Number of scans whose rows are being transferred. */
+  #activeScans = 0;
 
   constructor(clock: Ports.Clock, random: Ports.RandomSource) {
     this.#clock = clock;
@@ -68,12 +68,12 @@
     this.connections = new connections.OpenConnections(clock);
   }
 
-  /** Changes some faults; the others stay. */
+  /** Changes some faults and keeps the others. */
   set(faults: Partial<StoreFaults>): void {
     this.faults = { ...this.faults, ...faults };
   }
 
-  /** Carries out a call to a partition under the faults in force. */
+  /** Executes a call to a partition under the current faults. */
   apply<A, E>(
     operation: string,
     call: () => Effect.Effect<A, E>,
@@ -83,11 +83,11 @@
       yield* this.processor.use();
       if (operation === "write") this.writes++;
       const { delayMs, silent } = this.faults;
-      const way = this.connections.begin();
-      // A probe goes over a new connection.
-      const isSwallowed = way.isSilent && operation !== "probe";
-      if (silent || isSwallowed) return yield* Effect.never;
-      if (operation === "write" && this.#swallows()) return yield* Effect.never;
+      const connection = this.connections.begin();
+      // A probe opens a new connection.
+      const isLost = connection.isSilent && operation !== "probe";
+      if (silent || isLost) return yield* Effect.never;
+      if (operation === "write" && this.#drops()) return yield* Effect.never;
       if (delayMs > 0) yield* this.#clock.sleep(delayMs);
       if (this.faults.down || this.faults.downPartitions.includes(partition)) {
         const cause = "outage";
@@ -95,35 +95,40 @@
       }
       const done = yield* call();
       yield* this.processor.gate;
-      if (!way.answers()) return yield* Effect.never;
-      if (operation === "scan") yield* this.#carry(done);
-      const loses = operation === "write" &&
+      if (!connection.canBeAnswered()) return yield* Effect.never;
+      if (operation === "scan") yield* this.#transfer(done);
+      const isAnswerLost = operation === "write" &&
         this.#random.next() < this.faults.loseAnswers;
-      if (loses) return yield* new Errors.AnswerLostError({ operation });
+      if (isAnswerLost) return yield* new Errors.AnswerLostError({ operation });
       return done;
     });
   }
 
-  /** Draws only where the fault is in force: other plays stay as they are. */
-  #swallows(): boolean {
+  /**
+   * Draws only while the fault is on, so that other simulations of a seed do not
+   * change.
+   */
+  #drops(): boolean {
     const { swallowWrites } = this.faults;
     return swallowWrites > 0 && this.#random.next() < swallowWrites;
   }
 
-  /** Brings the rows of a scan to the reader, beside those of other scans. */
-  #carry(answer: unknown): Effect.Effect<void> {
+  /**
+   * Waits for the transfer of the rows of a scan, which shares the link with others.
+   */
+  #transfer(answer: unknown): Effect.Effect<void> {
     const { kilobyteMs } = this.faults;
     if (kilobyteMs === 0) return Effect.void;
     return Effect.gen({ self: this }, function* () {
-      this.#scans++;
+      this.#activeScans++;
       let leftMs = JSON.stringify(answer).length / 1000 * kilobyteMs;
       while (leftMs > 0) {
-        const stepMs = Math.min(CARRY_STEP_MS, leftMs * this.#scans);
-        leftMs -= stepMs / this.#scans;
+        const stepMs = Math.min(TRANSFER_STEP_MS, leftMs * this.#activeScans);
+        leftMs -= stepMs / this.#activeScans;
         yield* this.#clock.sleep(stepMs);
       }
     }).pipe(Effect.ensuring(Effect.sync(() => {
-      this.#scans--;
+      this.#activeScans--;
     })));
   }
 }
--- a/packages/stand-ins/src/faulty_table.ts
+++ b/packages/stand-ins/src/faulty_table.ts
@@ -1,10 +1,10 @@
-/** One node's way to a table, with faults of its own. */
+/** Table access of one box, with its own faults. */
 import * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
 import type * as switches from "./fault_switch.ts";
 import * as partitions from "./partition_of.ts";
 
-/** Passes calls on under the faults of one node. */
+/** Forwards calls under the faults of one box. */
 export class FaultyTable extends Ports.TableService {
   readonly #inner: Ports.TableService;
   readonly #faults: switches.FaultSwitch;
--- a/packages/stand-ins/src/held_task.ts
+++ b/packages/stand-ins/src/held_task.ts
@@ -1,45 +1,45 @@
-/** A run that an endpoint of the stand-in holds, and how it will end. */
+/** A run that a stand-in endpoint holds, and how it will end. */
 import type * as Ports from "@cairngate/ports";
 import type * as runNotes from "./run_note.ts";
 
-/** An end that has been ordered and has not come yet. */
-export interface ComingEnd {
+/** An end that was requested and is still to come. */
+export interface PendingEnd {
   readonly how: "stopped" | "broken";
   readonly atMs: number;
 }
 
-/** One run. Mutable; owned by the life that holds it. */
-export interface HeldTask {
+/** One run. Mutable; owned by the incarnation that holds it. */
+export interface HeldRun {
   readonly note: runNotes.TaskRunNote;
   readonly endsAtMs: number;
   readonly fails: boolean;
-  /** Null while nobody has told it to end. */
-  coming: ComingEnd | null;
+  /** Null while no end was requested. */
+  ending: PendingEnd | null;
 }
 
-/** Of two ends that were ordered, the earlier one comes. */
-export function order(held: HeldTask, end: ComingEnd): void {
-  if (held.coming === null || end.atMs < held.coming.atMs) held.coming = end;
+/** Requests an end; the earliest requested end takes effect. */
+export function requestEnd(held: HeldRun, end: PendingEnd): void {
+  if (held.ending === null || end.atMs < held.ending.atMs) held.ending = end;
 }
 
-/** How a run has ended by now, and when; null where it goes on. */
+/** Returns how and when a run has ended by now; null while it continues. */
 export function findEnd(
-  { endsAtMs, fails, coming }: HeldTask,
+  { endsAtMs, fails, ending }: HeldRun,
   nowMs: number,
   leaseUntilMs: number,
 ): { readonly how: Ports.EndKind; readonly atMs: number } | null {
-  const byMs = Math.min(nowMs, leaseUntilMs);
-  const isCut = coming !== null && coming.atMs < endsAtMs;
-  if (isCut && coming.atMs <= byMs) return coming;
-  if (endsAtMs <= byMs) {
+  const cutoffMs = Math.min(nowMs, leaseUntilMs);
+  const isEndedEarly = ending !== null && ending.atMs < endsAtMs;
+  if (isEndedEarly && ending.atMs <= cutoffMs) return ending;
+  if (endsAtMs <= cutoffMs) {
     return { how: fails ? "failed" : "done", atMs: endsAtMs };
   }
   return nowMs > leaseUntilMs ? { how: "lapsed", atMs: leaseUntilMs } : null;
 }
 
-/** How far it has come, in percent. */
+/** Progress of a run, in percent. */
 export function percentOf(
-  { note: { startedAtMs }, endsAtMs }: HeldTask,
+  { note: { startedAtMs }, endsAtMs }: HeldRun,
   nowMs: number,
 ): number {
   const share = (nowMs - startedAtMs) / (endsAtMs - startedAtMs);
--- a/packages/stand-ins/src/life_book.ts
+++ b/packages/stand-ins/src/life_book.ts
@@ -1,73 +1,73 @@
-/** Which lives of endpoints there are, and which of them is met at an address. */
+/** Registry of the incarnations of endpoints and of their addresses. */
 import type * as Ports from "@cairngate/ports";
-import type * as lives from "./worker_life.ts";
+import type * as incarnations from "./worker_life.ts";
 
-/** Who listens where an order arrives. */
+/** Listener at the address of an order. */
 export enum Listener {
-  /** The life that it was sent to, or one that was never heard of. */
-  Meant = "meant",
-  Another = "another",
-  Nobody = "nobody",
+  /** The endpoint that the order was sent to, which need not be registered. */
+  Intended = "meant",
+  Other = "another",
+  None = "nobody",
 }
 
-/** Stands for the id of a life where nobody listens. */
-const NOBODY = "";
+/** Id that stands for an address without a listener. */
+const NO_LISTENER = "";
 
-/** The lives of one test. */
-export class LifeBook {
-  readonly #lives = new Map<string, lives.WorkerLife>();
-  /** Ids of lives that have ended, and whether another one has followed. */
+/** The incarnations of one test. */
+export class IncarnationRegistry {
+  readonly #incarnations = new Map<string, incarnations.Incarnation>();
+  /** Ids of ended incarnations, and whether another one has replaced them. */
   readonly #ended = new Map<string, { isReplaced: boolean }>();
-  /** Id of the life that was last said to live at each address. */
+  /** Id of the last listener of each address. */
   readonly #atAddress = new Map<string, string>();
 
-  /** All that live. */
-  get all(): lives.WorkerLife[] {
-    return [...this.#lives.values()];
+  /** All running incarnations. */
+  get all(): incarnations.Incarnation[] {
+    return [...this.#incarnations.values()];
   }
 
-  /** The life under an id; undefined where none is. */
-  get(id: string): lives.WorkerLife | undefined {
-    return this.#lives.get(id);
+  /** Returns the running incarnation of an id; undefined if there is none. */
+  get(id: string): incarnations.Incarnation | undefined {
+    return this.#incarnations.get(id);
   }
 
-  /** A life begins; one that ended under its id is forgotten. */
-  begin(life: lives.WorkerLife): void {
-    this.#ended.delete(life.spec.id);
-    this.#lives.set(life.spec.id, life);
+  /** Adds an incarnation and removes the record of an ended one with its id. */
+  add(incarnation: incarnations.Incarnation): void {
+    this.#ended.delete(incarnation.spec.id);
+    this.#incarnations.set(incarnation.spec.id, incarnation);
   }
 
-  /** A life begins where another one has ended. */
-  replace(former: string, life: lives.WorkerLife): void {
-    this.#lives.set(life.spec.id, life);
-    const ended = this.#ended.get(former);
+  /** Adds an incarnation at the address of an ended one. */
+  replace(earlier: string, incarnation: incarnations.Incarnation): void {
+    this.#incarnations.set(incarnation.spec.id, incarnation);
+    const ended = this.#ended.get(earlier);
     if (ended !== undefined) ended.isReplaced = true;
   }
 
-  /** A life ends. */
-  end(id: string): void {
-    this.#lives.delete(id);
+  /** Removes an incarnation that has ended. */
+  remove(id: string): void {
+    this.#incarnations.delete(id);
     this.#ended.set(id, { isReplaced: false });
   }
 
-  /** Says which life listens at an address; orders to others find it there. */
-  livesAt(address: string, id: string): void {
-    if (this.#lives.has(id)) this.#atAddress.set(address, id);
+  /** Sets the listener of an address, which then also gets orders to other ids. */
+  setListener(address: string, id: string): void {
+    if (this.#incarnations.has(id)) this.#atAddress.set(address, id);
   }
 
-  /** Nobody listens at an address any more. */
+  /** Removes the listener of an address. */
   vacate(address: string): void {
-    this.#atAddress.set(address, NOBODY);
+    this.#atAddress.set(address, NO_LISTENER);
   }
 
-  /** Who listens where an order to an endpoint arrives. */
-  listenerAt(worker: Ports.EndpointRef): Listener {
-    const ended = this.#ended.get(worker.id);
+  /** Returns who listens at the address of an endpoint. */
+  listenerAt(endpoint: Ports.EndpointRef): Listener {
+    const ended = this.#ended.get(endpoint.id);
     if (ended !== undefined) {
-      return ended.isReplaced ? Listener.Another : Listener.Nobody;
+      return ended.isReplaced ? Listener.Other : Listener.None;
     }
-    const there = this.#atAddress.get(worker.address) ?? worker.id;
-    if (there === worker.id) return Listener.Meant;
-    return this.#lives.has(there) ? Listener.Another : Listener.Nobody;
+    const current = this.#atAddress.get(endpoint.address) ?? endpoint.id;
+    if (current === endpoint.id) return Listener.Intended;
+    return this.#incarnations.has(current) ? Listener.Other : Listener.None;
   }
 }
--- a/packages/stand-ins/src/memory_live_list.ts
+++ b/packages/stand-ins/src/memory_live_list.ts
@@ -1,10 +1,10 @@
-/** A live list in memory, which can be made to lag. */
+/** Live list in memory. */
 import * as Ports from "@cairngate/ports";
 import type * as Types from "@cairngate/types";
 import * as Effect from "effect/Effect";
 import type * as switches from "./fault_switch.ts";
 
-/** Keeps the list of live and leaving workers. */
+/** Keeps the list of live and leaving endpoints. */
 export class MemoryLiveList extends Ports.LiveList {
   readonly #entries = new Map<string, Types.LiveEntry>();
   #version = 1;
@@ -15,19 +15,19 @@
     this.#faults = faults;
   }
 
-  /** Adds or changes a machine. */
+  /** Adds or replaces the entry of an endpoint. */
   set(entry: Types.LiveEntry): void {
     this.#entries.set(entry.name, entry);
     this.#version++;
   }
 
-  /** Marks a machine as leaving or staying. */
+  /** Marks an endpoint as leaving or staying. */
   mark(name: string, leaving: boolean): void {
     const entry = this.#entries.get(name);
     if (entry !== undefined) this.set({ ...entry, leaving });
   }
 
-  /** Takes a machine off the list. */
+  /** Removes an endpoint from the list. */
   remove(name: string): void {
     this.#entries.delete(name);
     this.#version++;
--- a/packages/stand-ins/src/memory_object_store.ts
+++ b/packages/stand-ins/src/memory_object_store.ts
@@ -1,9 +1,9 @@
-/** An object store in memory. */
+/** Object store in memory. */
 import * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
 import type * as switches from "./fault_switch.ts";
 
-/** Keeps objects in a map. */
+/** Keeps copies of the stored objects in a map. */
 export class MemoryObjectStore extends Ports.ObjectStore {
   readonly #objects = new Map<string, unknown>();
   readonly #faults: switches.FaultSwitch;
--- a/packages/stand-ins/src/memory_row_feed.ts
+++ b/packages/stand-ins/src/memory_row_feed.ts
@@ -1,4 +1,4 @@
-/** A feed of the rows of a table in memory. */
+/** Feed of the rows of an in-memory table. */
 import * as Errors from "@cairngate/errors";
 import * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
@@ -6,7 +6,7 @@
 import type * as switches from "./fault_switch.ts";
 import type * as tables from "./memory_table.ts";
 
-/** Rows under one prefix. */
+/** Feed of the rows under one prefix. */
 export class MemoryRowFeed<T> extends Ports.RowFeed<T> {
   override readonly partitions: readonly string[];
   readonly #table: tables.MemoryTable;
@@ -20,7 +20,7 @@
       prefix: string;
       clock: Ports.Clock;
       faults: switches.FaultSwitch;
-      /** Left out: the rows lie in one partition. */
+      /** Defaults to one partition for all rows. */
       partitions?: readonly string[];
     },
   ) {
@@ -39,7 +39,7 @@
     const read = () =>
       Effect.sync(() => {
         position = this.#table.revision;
-        return pages.cutPage(this.#table.rowsUnder(prefix), ask);
+        return pages.selectPage(this.#table.rowsUnder(prefix), ask);
       });
     return Effect.map(
       this.#unlessSilent(this.#faults.apply("scan", read, partition)),
@@ -83,11 +83,11 @@
     });
   }
 
-  #unlessSilent<A, E>(look: Effect.Effect<A, E>): Effect.Effect<A, E> {
+  #unlessSilent<A, E>(request: Effect.Effect<A, E>): Effect.Effect<A, E> {
     return Effect.suspend(() =>
       this.#faults.faults.silentFeeds.includes(this.#prefix)
         ? Effect.never
-        : look
+        : request
     );
   }
 }
--- a/packages/stand-ins/src/memory_table.ts
+++ b/packages/stand-ins/src/memory_table.ts
@@ -1,4 +1,4 @@
-/** A table service in memory. */
+/** Table service in memory. */
 import * as Errors from "@cairngate/errors";
 import * as Ports from "@cairngate/ports";
 import * as Deferred from "effect/Deferred";
@@ -7,7 +7,7 @@
 import * as pages from "./cut_page.ts";
 import * as partitions from "./partition_of.ts";
 
-/** A change of one row; a null row means that it was removed. */
+/** Change of one row; the row is null if it was removed. */
 export interface TableChange {
   readonly key: string;
   readonly row: Ports.Row | null;
@@ -22,7 +22,7 @@
   #changed = Deferred.makeUnsafe<void>();
   #revision = 0;
   #forgottenUpTo = 0;
-  /** Transactions and reads carried out. */
+  /** Number of executed transactions and reads. */
   readonly counts = { writes: 0, reads: 0 };
 
   constructor(faults: switches.FaultSwitch) {
@@ -30,36 +30,36 @@
     this.#faults = faults;
   }
 
-  /** Revision of the newest transaction. */
+  /** Revision of the latest transaction. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** Revision up to which changes are forgotten. */
+  /** Revision up to which the history is no longer available. */
   get forgottenUpTo(): number {
     return this.#forgottenUpTo;
   }
 
-  /** Forgets changes, all of them if not told otherwise. */
+  /** Makes the history up to a revision unavailable, by default all of it. */
   forgetHistory(upTo = this.#revision): void {
     this.#forgottenUpTo = upTo;
   }
 
-  /** Rows under a prefix, without faults. */
+  /** Returns the rows under a prefix, without faults. */
   rowsUnder(prefix: string): Ports.Row[] {
     return [...this.#rows.values()].filter((r) => r.key.startsWith(prefix));
   }
 
-  /** Changes under a prefix after a revision. */
+  /** Returns the changes under a prefix after a revision. */
   changesAfter(prefix: string, revision: number): TableChange[] {
     const changes = this.#changes;
-    // From the newest on: each feed asks after each change, mostly for the last one.
+    // Searches from the end: feeds poll after each change, mostly for the last one.
     let first = changes.length;
     while (first > 0 && changes[first - 1].revision > revision) first--;
     return changes.slice(first).filter(({ key }) => key.startsWith(prefix));
   }
 
-  /** Ends at the next change of any row. */
+  /** Waits for the next change of any row. */
   awaitChange(): Effect.Effect<void> {
     return Effect.suspend(() => Deferred.await(this.#changed));
   }
@@ -88,7 +88,7 @@
     const call = () =>
       Effect.sync(() => {
         this.counts.reads++;
-        return pages.cutPage(this.rowsUnder(prefix), ask);
+        return pages.selectPage(this.rowsUnder(prefix), ask);
       });
     return this.#faults.apply("scan", call, partitions.partitionOf(prefix));
   }
@@ -123,17 +123,17 @@
   #put(write: Ports.RowWrite, writeId: string): void {
     if (write.value === null) {
       this.#rows.delete(write.key);
-      this.#note(write.key, null);
+      this.#recordChange(write.key, null);
       return;
     }
     const { key, value } = write;
     const copy = structuredClone(value);
     const row = { key, value: copy, revision: this.#revision, writeId };
     this.#rows.set(key, row);
-    this.#note(key, row);
+    this.#recordChange(key, row);
   }
 
-  #note(key: string, row: Ports.Row | null): void {
+  #recordChange(key: string, row: Ports.Row | null): void {
     this.#changes.push({ key, row, revision: this.#revision });
   }
 }
--- a/packages/stand-ins/src/memory_task_workers.ts
+++ b/packages/stand-ins/src/memory_task_workers.ts
@@ -1,138 +1,145 @@
 /**
- * Workers in memory that run tasks of workflows under a lease and a fencing
- * token. A task takes the time that its test gives; members of a gang work from
- * the moment all are there and end together.
+ * In-memory endpoints that run tasks of workflows under a lease and a fencing token.
+ * The test sets the run time of each task; the runs of a gang's members end together.
  */
 import * as Errors from "@cairngate/errors";
 import * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
-import * as books from "./life_book.ts";
+import * as registries from "./life_book.ts";
 import * as connections from "./open_connections.ts";
-import * as carriers from "./order_carrier.ts";
+import * as deliveries from "./order_carrier.ts";
 import * as fates from "./order_fate.ts";
-import * as orderWays from "./order_ways.ts";
+import * as transits from "./order_ways.ts";
 import * as runEnds from "./run_ends.ts";
 import type * as runNotes from "./run_note.ts";
-import * as lives from "./worker_life.ts";
+import * as incarnations from "./worker_life.ts";
 
 /** How long a task runs and how it ends. */
 export interface TaskBehaviour {
   readonly runMs: number;
   readonly fails: boolean;
   /**
-   * The run ends its endpoint this long after its start, in ms; 0: before the
-   * start is answered. Left out: it does not.
+   * Time from the start of the run to the crash of its endpoint, in ms; with 0, it
+   * crashes before the start is answered. Without a value, it does not crash.
    */
   readonly crashesAfterMs?: number;
 }
 
-/** Time between two looks of an endpoint for an end that a look waits for, in ms. */
-const STEP_MS = 50;
+/** Interval at which a waiting poll checks an endpoint for ended runs, in ms. */
+const POLL_STEP_MS = 50;
 
-/** All workers of a test. */
+/** All endpoints of a test. */
 export class MemoryTaskWorkers extends Ports.TaskEndpoints {
   readonly #clock: Ports.Clock;
-  readonly #lives = new books.LifeBook();
-  /** Connections to each of them. */
+  readonly #registry = new registries.IncarnationRegistry();
+  /** Connections to each endpoint, by id. */
   readonly #connections = new Map<string, connections.OpenConnections>();
   readonly #ends: runEnds.RunEnds;
-  readonly #carrier: carriers.OrderCarrier;
-  /** Every run that was started. */
+  readonly #delivery: deliveries.OrderDelivery;
+  /** All runs in the order of their starts. */
   readonly runs: runNotes.TaskRunNote[] = [];
-  /** What orders meet at the address of a life that has ended. */
+  /** Outcome of orders to the address of an ended incarnation. */
   atDeadAddress = fates.DeadAddress.Answers;
-  /** Time that each order takes on its way, in ms; 0: it is answered at once. */
+  /** Transit time of each order, in ms; with 0, it is answered at once. */
   wayMs = 0;
-  /** Ways that take drawn times and whose connections may be reset. */
-  readonly ways: orderWays.OrderWays;
-  /** Whether a start for which there is no room is refused. */
+  /** Transit of orders with variable times and connections that can be reset. */
+  readonly ways: transits.OrderTransit;
+  /** Whether an endpoint refuses starts beyond its accelerators. */
   guardsRoom = true;
-  /** How long a run takes to end after a stop was answered, in ms. */
+  /** Time from the answer to a stop to the end of the run, in ms. */
   stopTakesMs: (task: string) => number = () => 0;
-  /** How long after the first end of its gang a member ends, in ms. */
+  /** Time from the first end in a gang to that of another member, in ms. */
   gangFollowsMs: (task: string) => number = () => 0;
-  /** Told of each life that crashes; tests let another one begin. */
-  onCrash: (spec: lives.TaskWorkerSpec) => void = () => {};
-  /** Behaviour of a task; tests may replace it. */
-  behave: (task: string, worker: string) => TaskBehaviour = () => ({
+  /** Called after each crash; tests may start another incarnation. */
+  onCrash: (spec: incarnations.TaskWorkerSpec) => void = () => {};
+  /** Behaviour of a task on an endpoint; tests may replace it. */
+  behave: (task: string, endpoint: string) => TaskBehaviour = () => ({
     runMs: 1000,
     fails: false,
   });
-  /** When a life that begins now says that it began; null: it never tells. */
+  /** Birth time that a new incarnation reports, in ms; null if it reports none. */
   birthOf: () => number | null = () => this.#clock.wallMs();
-  /** What becomes of an order; tests may replace it. */
-  carry: (worker: string, order: fates.OrderKind) => fates.OrderFate = () =>
+  /** Decides the outcome of an order; tests may replace it. */
+  carry: (endpoint: string, order: fates.OrderKind) => fates.OrderFate = () =>
     fates.OrderFate.Carried;
 
-  constructor(clock: Ports.Clock, specs: readonly lives.TaskWorkerSpec[]) {
+  constructor(
+    clock: Ports.Clock,
+    specs: readonly incarnations.TaskWorkerSpec[],
+  ) {
     super();
     this.#clock = clock;
-    const parts = { clock, lives: this.#lives };
+    const parts = { clock, registry: this.#registry };
     this.#ends = new runEnds.RunEnds({ ...parts, times: this });
-    this.#carrier = new carriers.OrderCarrier({
+    this.#delivery = new deliveries.OrderDelivery({
       ...parts,
       rules: this,
-      advance: (life) => this.#ends.advance(life),
+      advance: (incarnation) => this.#ends.advance(incarnation),
     });
-    this.ways = new orderWays.OrderWays(clock, (id) => this.#lives.get(id));
-    for (const spec of specs) this.#lives.begin(this.#createLife(spec));
+    this.ways = new transits.OrderTransit(
+      clock,
+      (id) => this.#registry.get(id),
+    );
+    for (const spec of specs) this.#registry.add(this.#createIncarnation(spec));
   }
 
-  override start(worker: Ports.EndpointRef, order: Ports.StartOrder) {
-    const work = (life: lives.WorkerLife) => this.#takeStart(life, order);
-    const start = this.#carrier.carry({ worker, kind: "start", work });
-    return this.#overConnection(worker, start);
+  override start(endpoint: Ports.EndpointRef, order: Ports.StartOrder) {
+    const work = (incarnation: incarnations.Incarnation) =>
+      this.#handleStart(incarnation, order);
+    const start = this.#delivery.deliver({ endpoint, kind: "start", work });
+    return this.#viaConnection(endpoint, start);
   }
 
   override stop(
-    worker: Ports.EndpointRef,
+    endpoint: Ports.EndpointRef,
     order: Ports.RunRef & { readonly fencingToken: number },
   ) {
-    const work = (life: lives.WorkerLife) => {
-      lives.checkToken(life, order.fencingToken);
-      lives.noteOver(life, order);
-      const held = life.held.get(lives.keyOf(order));
-      if (held !== undefined) this.#ends.stop(life, held);
+    const work = (incarnation: incarnations.Incarnation) => {
+      incarnations.checkToken(incarnation, order.fencingToken);
+      incarnations.markOver(incarnation, order);
+      const held = incarnation.held.get(incarnations.keyOf(order));
+      if (held !== undefined) this.#ends.stop(incarnation, held);
       return this.#clock.monotonicMs();
     };
-    const stop = this.#carrier.carry({ worker, kind: "stop", work });
-    return this.#overConnection(worker, stop);
+    const stop = this.#delivery.deliver({ endpoint, kind: "stop", work });
+    return this.#viaConnection(endpoint, stop);
   }
 
-  override renew(worker: Ports.EndpointRef, order: Ports.RenewOrder) {
-    const work = (life: lives.WorkerLife) => this.#takeLook(life, order);
-    const look = this.#carrier.carry({ worker, kind: "renew", work });
-    const whole = Effect.gen({ self: this }, function* () {
-      const way = this.#connectionsTo(worker.id).begin();
-      if (way.isSilent) return yield* Effect.never;
+  override renew(endpoint: Ports.EndpointRef, order: Ports.RenewOrder) {
+    const work = (incarnation: incarnations.Incarnation) =>
+      this.#handleRenew(incarnation, order);
+    const request = this.#delivery.deliver({ endpoint, kind: "renew", work });
+    const longPoll = Effect.gen({ self: this }, function* () {
+      const connection = this.#connectionsTo(endpoint.id).begin();
+      if (connection.isSilent) return yield* Effect.never;
       const untilMs = this.#clock.monotonicMs() + order.waitMs;
       for (;;) {
-        const view = yield* look;
-        if (!way.answers()) return yield* Effect.never;
+        const view = yield* request;
+        if (!connection.canBeAnswered()) return yield* Effect.never;
         const nowMs = this.#clock.monotonicMs();
         if (view.ended.length > 0 || nowMs >= untilMs) return view;
-        yield* this.#clock.sleep(STEP_MS);
+        yield* this.#clock.sleep(POLL_STEP_MS);
       }
     });
-    return this.ways.carry(worker.id, whole);
+    return this.ways.carry(endpoint.id, longPoll);
   }
 
-  /** All open connections turn silent; new ones work. */
+  /** Makes all open connections silent; new ones work. */
   silenceOpen(): void {
     for (const id of this.listLives()) this.#connectionsTo(id).silence();
   }
 
-  /** Lets everything happen that time has brought, also where nobody asked. */
+  /** Updates all endpoints to the current time, including those that get no orders. */
   settle(): void {
-    for (const life of this.#lives.all) this.#ends.advance(life);
+    for (const host of this.#registry.all) this.#ends.advance(host);
   }
 
-  /** Ends whatever runs of a task, as endpoints do for reasons of their own. */
+  /** Ends the runs of a task now, as an endpoint does without an order. */
   endNow(task: string, how: Ports.EndKind): void {
     this.#ends.endNow(task, how);
   }
 
-  /** These tasks are a gang: the runs of one number end together. */
+  /** Registers a gang, whose runs of the same number end together. */
   addGang(tasks: readonly string[]): void {
     this.#ends.addGang(tasks);
   }
@@ -142,114 +149,131 @@
     return this.#ends.gangOf(task);
   }
 
-  /** Accelerators of all that live. */
+  /** Sum of the accelerators of all running endpoints. */
   get acceleratorsAlive(): number {
-    return this.#lives.all
+    return this.#registry.all
       .reduce((sum, { spec }) => sum + spec.accelerators, 0);
   }
 
-  /** Ids of all that live. */
+  /** Returns the ids of all running endpoints. */
   listLives(): string[] {
-    return this.#lives.all.map(({ spec }) => spec.id);
+    return this.#registry.all.map(({ spec }) => spec.id);
   }
 
-  /** A life ends with all that runs there; nobody is told. */
+  /** Crashes an endpoint with all of its runs, without any notification of boxes. */
   crash(id: string): void {
-    const life = this.#lives.get(id);
-    if (life === undefined) return;
-    this.#ends.advance(life);
-    this.#lives.end(id);
-    this.#ends.crash(life);
-    this.onCrash(life.spec);
+    const incarnation = this.#registry.get(id);
+    if (incarnation === undefined) return;
+    this.#ends.advance(incarnation);
+    this.#registry.remove(id);
+    this.#ends.crash(incarnation);
+    this.onCrash(incarnation.spec);
   }
 
-  /** A new life begins, empty, where another one has ended. */
-  replace(former: string, spec: lives.TaskWorkerSpec): void {
-    this.#lives.replace(former, this.#createLife(spec));
+  /** Starts an empty incarnation under a new id in place of an ended one. */
+  replace(earlier: string, spec: incarnations.TaskWorkerSpec): void {
+    this.#registry.replace(earlier, this.#createIncarnation(spec));
   }
 
-  /** A new life begins, empty, under the id of one that has ended. */
-  beginAgain(spec: lives.TaskWorkerSpec): void {
-    this.#lives.begin(this.#createLife(spec));
+  /** Starts an empty incarnation under the id of an ended one. */
+  beginAgain(spec: incarnations.TaskWorkerSpec): void {
+    this.#registry.add(this.#createIncarnation(spec));
   }
 
-  /** When a life began, as it tells; null: it does not live, or tells nothing. */
+  /** Reported birth time of an endpoint, in ms; null if it is down or reports none. */
   bornMs(id: string): number | null {
-    return this.#lives.get(id)?.bornMs ?? null;
+    return this.#registry.get(id)?.bornMs ?? null;
   }
 
-  /** Says which life listens at an address; orders to others find it there. */
+  /** Sets the listener of an address, which then also gets orders to other ids. */
   livesAt(address: string, id: string): void {
-    this.#lives.livesAt(address, id);
+    this.#registry.setListener(address, id);
   }
 
-  /** Nobody listens at an address any more. */
+  /** Removes the listener of an address. */
   vacate(address: string): void {
-    this.#lives.vacate(address);
+    this.#registry.vacate(address);
   }
 
-  /** Runs of a task, in order. */
+  /** Returns the runs of a task in the order of their starts. */
   runsOf(task: string): runNotes.TaskRunNote[] {
     return this.runs.filter((note) => note.task === task);
   }
 
-  #createLife(spec: lives.TaskWorkerSpec): lives.WorkerLife {
-    return lives.createLife(spec, this.birthOf());
+  #createIncarnation(
+    spec: incarnations.TaskWorkerSpec,
+  ): incarnations.Incarnation {
+    return incarnations.createIncarnation(spec, this.birthOf());
   }
 
-  /** An order that is answered at once, over a connection that may be silent. */
-  #overConnection<A>(
-    worker: Ports.EndpointRef,
+  /**
+   * Sends an order without waiting at the endpoint, over a connection that may be
+   * silent.
+   */
+  #viaConnection<A>(
+    endpoint: Ports.EndpointRef,
     order: Effect.Effect<A, Ports.OrderError>,
   ): Effect.Effect<A, Ports.OrderError> {
     return Effect.suspend(() => {
-      const way = this.#connectionsTo(worker.id).begin();
-      if (way.isSilent) return Effect.never;
-      return this.ways.carry(worker.id, order);
+      const connection = this.#connectionsTo(endpoint.id).begin();
+      if (connection.isSilent) return Effect.never;
+      return this.ways.carry(endpoint.id, order);
     });
   }
 
   #connectionsTo(id: string): connections.OpenConnections {
-    const known = this.#connections.get(id);
-    if (known !== undefined) return known;
-    const made = new connections.OpenConnections(this.#clock);
-    this.#connections.set(id, made);
-    return made;
+    const existing = this.#connections.get(id);
+    if (existing !== undefined) return existing;
+    const created = new connections.OpenConnections(this.#clock);
+    this.#connections.set(id, created);
+    return created;
   }
 
-  #takeStart(life: lives.WorkerLife, order: Ports.StartOrder): number {
-    const { StaleRun, LeaseExpired, NoCapacity } = Errors.OrderRefusal;
-    const { spec: { id, accelerators }, held } = life;
+  #handleStart(
+    incarnation: incarnations.Incarnation,
+    order: Ports.StartOrder,
+  ): number {
+    const { StaleRun, LeaseExpired: Late, NoCapacity } = Errors.OrderRefusal;
+    const { spec: { id, accelerators }, held } = incarnation;
     const nowMs = this.#clock.monotonicMs();
-    lives.checkToken(life, order.fencingToken);
-    if (held.has(lives.keyOf(order))) return nowMs;
-    if (order.run <= (life.over.get(order.task) ?? 0)) {
-      throw lives.refuse(id, StaleRun);
+    incarnations.checkToken(incarnation, order.fencingToken);
+    if (held.has(incarnations.keyOf(order))) return nowMs;
+    if (order.run <= (incarnation.lastOverRun.get(order.task) ?? 0)) {
+      throw incarnations.refuse(id, StaleRun);
     }
-    life.leaseUntilMs = Math.max(life.leaseUntilMs, order.leaseUntilMs);
-    if (life.leaseUntilMs < nowMs) throw lives.refuse(id, LeaseExpired);
+    incarnation.leaseUntilMs = Math.max(
+      incarnation.leaseUntilMs,
+      order.leaseUntilMs,
+    );
+    if (incarnation.leaseUntilMs < nowMs) throw incarnations.refuse(id, Late);
     if (this.guardsRoom && held.size >= accelerators) {
-      throw lives.refuse(id, NoCapacity);
+      throw incarnations.refuse(id, NoCapacity);
     }
-    this.#begin(life, order);
+    this.#begin(incarnation, order);
     return nowMs;
   }
 
-  #takeLook(life: lives.WorkerLife, order: Ports.RenewOrder) {
+  #handleRenew(incarnation: incarnations.Incarnation, order: Ports.RenewOrder) {
     const nowMs = this.#clock.monotonicMs();
-    lives.checkToken(life, order.fencingToken);
-    life.leaseUntilMs = Math.max(life.leaseUntilMs, order.leaseUntilMs ?? 0);
-    const isOfThisLife = order.recordedBy === life.bornMs;
-    const toldEnds = isOfThisLife ? order.recordedEnds : 0;
-    lives.acknowledge(life, toldEnds, nowMs);
-    return lives.viewOf(life, toldEnds, nowMs);
+    incarnations.checkToken(incarnation, order.fencingToken);
+    incarnation.leaseUntilMs = Math.max(
+      incarnation.leaseUntilMs,
+      order.leaseUntilMs ?? 0,
+    );
+    const isSameIncarnation = order.recordedBy === incarnation.bornMs;
+    const acknowledgedEnds = isSameIncarnation ? order.recordedEnds : 0;
+    incarnations.acknowledge(incarnation, acknowledgedEnds, nowMs);
+    return incarnations.createView(incarnation, acknowledgedEnds, nowMs);
   }
 
-  #begin(life: lives.WorkerLife, { task, run }: Ports.StartOrder): void {
-    const { id: worker } = life.spec;
+  #begin(
+    incarnation: incarnations.Incarnation,
+    { task, run }: Ports.StartOrder,
+  ): void {
+    const { id: worker } = incarnation.spec;
     const nowMs = this.#clock.monotonicMs();
     const { runMs, fails, crashesAfterMs } = this.behave(task, worker);
-    const { isCarriedLate } = this.#carrier;
+    const { isExecutingLate } = this.#delivery;
     const note: runNotes.TaskRunNote = {
       task,
       run,
@@ -259,26 +283,31 @@
       how: null,
       acknowledgedAtMs: null,
       hasLapsedMeanwhile: false,
-      wasLate: isCarriedLate,
-      wasUncalled: isCarriedLate && !life.wasCalled,
+      wasLate: isExecutingLate,
+      wasLateFirstCall: isExecutingLate && !incarnation.hasAnswered,
     };
     this.runs.push(note);
     const endsAtMs = nowMs + runMs;
-    life.held.set(lives.keyOf(note), { note, endsAtMs, fails, coming: null });
+    incarnation.held.set(incarnations.keyOf(note), {
+      note,
+      endsAtMs,
+      fails,
+      ending: null,
+    });
     if (crashesAfterMs !== undefined) {
-      this.#crashAfter(life, note, crashesAfterMs);
+      this.#crashAfter(incarnation, note, crashesAfterMs);
     }
   }
 
   #crashAfter(
-    life: lives.WorkerLife,
+    incarnation: incarnations.Incarnation,
     note: runNotes.TaskRunNote,
     afterMs: number,
   ): void {
-    const { id } = life.spec;
+    const { id } = incarnation.spec;
     if (afterMs === 0) return this.crash(id);
     const crash = Effect.sync(() => {
-      this.#ends.advance(life);
+      this.#ends.advance(incarnation);
       if (note.endedAtMs === null) this.crash(id);
     });
     Effect.runFork(Effect.andThen(this.#clock.sleep(afterMs), crash));
--- a/packages/stand-ins/src/memory_workers.ts
+++ b/packages/stand-ins/src/memory_workers.ts
@@ -1,20 +1,20 @@
-/** Reaches stand-in workers of the same process. */
+/** Connects to stand-in endpoints in the same process. */
 import * as Errors from "@cairngate/errors";
 import * as Ports from "@cairngate/ports";
 import type * as Types from "@cairngate/types";
 import * as Effect from "effect/Effect";
 import type * as workers from "./stand_in_worker.ts";
 
-/** Adapter of the workers' port to workers in memory, by endpoint. */
+/** Adapter of the `Workers` port that routes orders by address. */
 export class MemoryWorkers extends Ports.Workers {
   readonly #byEndpoint = new Map<string, workers.StandInWorker>();
 
-  /** Adds a worker under its endpoint. */
+  /** Adds an endpoint under its address. */
   add(endpoint: string, worker: workers.StandInWorker): void {
     this.#byEndpoint.set(endpoint, worker);
   }
 
-  /** Takes a worker away: it no longer answers. */
+  /** Removes an endpoint, which then no longer answers. */
   remove(endpoint: string): void {
     this.#byEndpoint.delete(endpoint);
   }
@@ -51,7 +51,7 @@
     return Effect.fail(
       new Errors.WorkerLostError({
         worker: endpoint,
-        cause: "nobody listens",
+        cause: "connection refused",
         neverSent: true,
       }),
     );
--- a/packages/stand-ins/src/open_connections.ts
+++ b/packages/stand-ins/src/open_connections.ts
@@ -1,61 +1,66 @@
 /**
- * Connections of one box to one address, which may all turn silent at once. The
- * box learns of it only by answers that do not come: calls that begin before
- * the first one is overdue use silent connections too, later ones a new one.
+ * Connections of one box to one address, which may all turn silent at once. The box
+ * detects this only by missing answers: calls that begin before the first one times out
+ * also use a silent connection, and later calls a new one.
  */
 import type * as Ports from "@cairngate/ports";
 
-/** A call over HTTP without an answer is overdue after this time, in ms. */
-const OVERDUE_MS = 100;
+/** Timeout of a call over HTTP, in ms. */
+const CALL_TIMEOUT_MS = 100;
 
-/** Connections that nobody uses are closed after this time, in ms. */
+/** Time after which unused connections are closed, in ms. */
 const IDLE_MS = 4000;
 
-/** What a call goes over. */
-export interface CallWay {
-  /** Whether nothing that is sent arrives. */
+/** Connection of one call. */
+export interface CallConnection {
+  /** Whether the call never arrives. */
   readonly isSilent: boolean;
-  /** Whether the answer can still come. */
-  readonly answers: () => boolean;
+  /** Whether the answer can still arrive. */
+  readonly canBeAnswered: () => boolean;
 }
 
 /** Open connections to one address. */
 export class OpenConnections {
   readonly #clock: Ports.Clock;
-  readonly #overdueMs: number;
-  #silences = 0;
-  #usedAtMs = Number.NEGATIVE_INFINITY;
+  readonly #timeoutMs: number;
+  #silenceCount = 0;
+  #lastUsedAtMs = Number.NEGATIVE_INFINITY;
   #hasSilent = false;
   #firstUseAtMs: number | null = null;
 
-  /** @param overdueMs after how long a call casts suspicion on the others */
-  constructor(clock: Ports.Clock, overdueMs = OVERDUE_MS) {
+  /**
+   * @param timeoutMs time after which a call without an answer closes the connections
+   */
+  constructor(clock: Ports.Clock, timeoutMs = CALL_TIMEOUT_MS) {
     this.#clock = clock;
-    this.#overdueMs = overdueMs;
+    this.#timeoutMs = timeoutMs;
   }
 
-  /** All that are open now are silent from now on; new ones work. */
+  /** Makes all open connections silent; new ones work. */
   silence(): void {
-    this.#silences++;
-    // Those that nobody used lately are closed already.
-    const idleMs = this.#clock.monotonicMs() - this.#usedAtMs;
+    this.#silenceCount++;
+    // Connections that were idle for too long are already closed.
+    const idleMs = this.#clock.monotonicMs() - this.#lastUsedAtMs;
     this.#hasSilent = idleMs <= IDLE_MS;
     this.#firstUseAtMs = null;
   }
 
-  /** A call begins. */
-  begin(): CallWay {
+  /** Begins a call. */
+  begin(): CallConnection {
     const isSilent = this.#useSilent();
-    this.#usedAtMs = this.#clock.monotonicMs();
-    const silences = this.#silences;
-    return { isSilent, answers: () => this.#silences === silences };
+    this.#lastUsedAtMs = this.#clock.monotonicMs();
+    const silenceCount = this.#silenceCount;
+    return {
+      isSilent,
+      canBeAnswered: () => this.#silenceCount === silenceCount,
+    };
   }
 
   #useSilent(): boolean {
     if (!this.#hasSilent) return false;
     const nowMs = this.#clock.monotonicMs();
     this.#firstUseAtMs ??= nowMs;
-    if (nowMs - this.#firstUseAtMs <= this.#overdueMs) return true;
+    if (nowMs - this.#firstUseAtMs <= this.#timeoutMs) return true;
     this.#hasSilent = false;
     return false;
   }
--- a/packages/stand-ins/src/order_carrier.ts
+++ b/packages/stand-ins/src/order_carrier.ts
@@ -1,139 +1,141 @@
-/** Carries orders to endpoints of the stand-in, with the fates that tests choose. */
+/** Delivers orders to stand-in endpoints, with the outcomes that tests choose. */
 import * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
-import * as books from "./life_book.ts";
+import * as registries from "./life_book.ts";
 import * as fates from "./order_fate.ts";
-import * as lives from "./worker_life.ts";
+import * as incarnations from "./worker_life.ts";
 
-/** How long a late order is on its way, in ms. */
+/** Transit time of a late order, in ms. */
 const LATE_MS = 2500;
 
-/** What becomes of orders; tests may change it. */
+/** Rules for the outcomes of orders; tests may change them. */
 export interface OrderRules {
-  readonly carry: (worker: string, order: fates.OrderKind) => fates.OrderFate;
+  readonly carry: (endpoint: string, order: fates.OrderKind) => fates.OrderFate;
   readonly atDeadAddress: fates.DeadAddress;
-  /** Time that each order takes on its way, in ms; 0: it is answered at once. */
+  /** Transit time of each order, in ms; with 0, it is answered at once. */
   readonly wayMs: number;
 }
 
-/** What orders are carried with. */
-export interface OrderCarrierOptions {
+/** Options of OrderDelivery. */
+export interface OrderDeliveryOptions {
   readonly clock: Ports.Clock;
-  readonly lives: books.LifeBook;
+  readonly registry: registries.IncarnationRegistry;
   readonly rules: OrderRules;
-  /** Lets what has happened in a life since the last order happen. */
-  readonly advance: (life: lives.WorkerLife) => void;
+  /** Updates an incarnation to the current time. */
+  readonly advance: (incarnation: incarnations.Incarnation) => void;
 }
 
-/** An order: what it does where it arrives. */
+/** An order and its effect on the incarnation that gets it. */
 export interface Order<A> {
-  readonly worker: Ports.EndpointRef;
+  readonly endpoint: Ports.EndpointRef;
   readonly kind: fates.OrderKind;
-  readonly work: (life: lives.WorkerLife) => A;
+  readonly work: (incarnation: incarnations.Incarnation) => A;
 }
 
-type Carried<A> = Effect.Effect<A, Ports.OrderError>;
+type Delivery<A> = Effect.Effect<A, Ports.OrderError>;
 
-/** The orders of one test. */
-export class OrderCarrier {
-  readonly #options: OrderCarrierOptions;
-  #isCarriedLate = false;
+/** Delivers the orders of one test. */
+export class OrderDelivery {
+  readonly #options: OrderDeliveryOptions;
+  #isExecutingLate = false;
 
-  constructor(options: OrderCarrierOptions) {
+  constructor(options: OrderDeliveryOptions) {
     this.#options = options;
   }
 
-  /** While an order is carried out seconds after it was sent. */
-  get isCarriedLate(): boolean {
-    return this.#isCarriedLate;
+  /** Whether an order is being executed seconds after it was sent. */
+  get isExecutingLate(): boolean {
+    return this.#isExecutingLate;
   }
 
-  /** Carries an order out, or lets happen to it what the test chooses. */
-  carry<A>(order: Order<A>): Carried<A> {
+  /** Delivers an order with the outcome that the test chooses. */
+  deliver<A>(order: Order<A>): Delivery<A> {
     const { clock, rules } = this.#options;
-    const carried = Effect.suspend(() => this.#arrive(order));
+    const delivered = Effect.suspend(() => this.#deliverNow(order));
     return Effect.suspend(() =>
       rules.wayMs === 0
-        ? carried
-        : Effect.andThen(clock.sleep(rules.wayMs), carried)
+        ? delivered
+        : Effect.andThen(clock.sleep(rules.wayMs), delivered)
     );
   }
 
-  #arrive<A>(order: Order<A>): Carried<A> {
-    const { worker, kind } = order;
+  #deliverNow<A>(order: Order<A>): Delivery<A> {
+    const { endpoint, kind } = order;
     const { OrderFate } = fates;
-    const fate = this.#options.rules.carry(worker.id, kind);
-    const life = this.#options.lives.get(worker.id);
+    const fate = this.#options.rules.carry(endpoint.id, kind);
+    const target = this.#options.registry.get(endpoint.id);
     if (fate === OrderFate.Silent) return Effect.never;
-    const listener = this.#options.lives.listenerAt(worker);
-    if (listener !== books.Listener.Meant) {
-      return this.#meetDead(worker, listener);
+    const listener = this.#options.registry.listenerAt(endpoint);
+    if (listener !== registries.Listener.Intended) {
+      return this.#failDelivery(endpoint, listener);
     }
-    if (fate === OrderFate.Lost || life === undefined) return lose(worker);
+    if (fate === OrderFate.Lost || target === undefined) return drop(endpoint);
     if (fate === OrderFate.NoRoom) {
       const { NoCapacity } = Errors.OrderRefusal;
-      return Effect.fail(lives.refuse(worker.id, NoCapacity));
+      return Effect.fail(incarnations.refuse(endpoint.id, NoCapacity));
     }
-    if (fate === OrderFate.Late) return this.#carryLate(order);
-    return this.#carryOut(order, life, fate === OrderFate.Carried);
+    if (fate === OrderFate.Late) return this.#executeLate(order);
+    return this.#execute(order, target, fate === OrderFate.Carried);
   }
 
-  #carryOut<A>(
-    { worker, work }: Order<A>,
-    life: lives.WorkerLife,
+  #execute<A>(
+    { endpoint, work }: Order<A>,
+    incarnation: incarnations.Incarnation,
     isAnswered: boolean,
-  ): Carried<A> {
-    this.#options.advance(life);
+  ): Delivery<A> {
+    this.#options.advance(incarnation);
     try {
-      const result = work(life);
-      const isDead = this.#options.lives.get(worker.id) === undefined;
-      life.wasCalled ||= isAnswered;
-      return isDead || !isAnswered ? lose(worker) : Effect.succeed(result);
+      const result = work(incarnation);
+      const isDead = this.#options.registry.get(endpoint.id) === undefined;
+      incarnation.hasAnswered ||= isAnswered;
+      return isDead || !isAnswered ? drop(endpoint) : Effect.succeed(result);
     } catch (err) {
       return Effect.fail(err as Errors.OrderRefusedError);
     }
   }
 
-  #carryLate<A>({ worker, work }: Order<A>): Carried<A> {
-    const { clock, lives: book, advance } = this.#options;
+  #executeLate<A>({ endpoint, work }: Order<A>): Delivery<A> {
+    const { clock, registry, advance } = this.#options;
     const later = Effect.sync(() => {
-      // Perhaps another life has begun under the id: it can't tell.
-      const there = book.get(worker.id);
-      if (there === undefined) return;
-      advance(there);
-      this.#isCarriedLate = true;
+      // A later incarnation of the same id can't detect an order for an earlier one.
+      const current = registry.get(endpoint.id);
+      if (current === undefined) return;
+      advance(current);
+      this.#isExecutingLate = true;
       try {
-        work(there);
+        work(current);
       } finally {
-        this.#isCarriedLate = false;
+        this.#isExecutingLate = false;
       }
     });
     const order = Effect.andThen(clock.sleep(LATE_MS), later);
     Effect.runFork(Effect.ignoreCause(order));
-    return lose(worker);
+    return drop(endpoint);
   }
 
-  /** An order arrives where its life has ended, or has never been. */
-  #meetDead(
-    worker: Ports.EndpointRef,
-    listener: books.Listener,
+  /** Fails an order to an address at which its incarnation does not listen. */
+  #failDelivery(
+    endpoint: Ports.EndpointRef,
+    listener: registries.Listener,
   ): Effect.Effect<never, Ports.OrderError> {
     const { Resets, Silent } = fates.DeadAddress;
     const { atDeadAddress } = this.#options.rules;
-    if (atDeadAddress === Resets) return lose(worker, { cause: "reset" });
-    if (listener === books.Listener.Another) {
-      return Effect.fail(new Errors.WorkerReplacedError({ worker: worker.id }));
+    if (atDeadAddress === Resets) return drop(endpoint, { cause: "reset" });
+    if (listener === registries.Listener.Other) {
+      return Effect.fail(
+        new Errors.WorkerReplacedError({ worker: endpoint.id }),
+      );
     }
     return atDeadAddress === Silent
       ? Effect.never
-      : lose(worker, { cause: "connection refused", neverSent: true });
+      : drop(endpoint, { cause: "connection refused", neverSent: true });
   }
 }
 
-function lose(
+function drop(
   { id: worker }: Ports.EndpointRef,
-  { cause = "lost by the test", neverSent = false } = {},
+  { cause = "dropped by the test", neverSent = false } = {},
 ): Effect.Effect<never, Ports.OrderError> {
   return Effect.fail(new Errors.WorkerLostError({ worker, cause, neverSent }));
 }
--- a/packages/stand-ins/src/order_fate.ts
+++ b/packages/stand-ins/src/order_fate.ts
@@ -1,29 +1,29 @@
-/** What tests let happen to orders to endpoints. */
+/** Outcomes that tests choose for orders to endpoints. */
 
-/** The kinds of orders. */
+/** Kind of an order. */
 export type OrderKind = "start" | "stop" | "renew";
 
-/** What becomes of an order on its way. */
+/** Outcome of an order. */
 export enum OrderFate {
   Carried = "carried",
   /** It never arrives. */
   Lost = "lost",
-  /** It is carried out, and its answer is lost. */
+  /** It is executed, but its answer is lost. */
   AnswerLost = "answer-lost",
-  /** It gets no answer and is carried out seconds later. */
+  /** It gets no answer and is executed seconds later. */
   Late = "late",
-  /** It arrives, and nothing ever comes back. */
+  /** It never gets an answer or an error. */
   Silent = "silent",
-  /** It is refused for want of room. */
+  /** It is refused for lack of capacity. */
   NoRoom = "no-room",
 }
 
-/** What orders meet at an address whose life has ended. */
+/** Outcome of orders to the address of an ended incarnation. */
 export enum DeadAddress {
-  /** Nobody listens until another life is there, which then says so. */
+  /** Connections are refused until another incarnation answers under its own id. */
   Answers = "answers",
-  /** Connections are cut off, also after another life is there. */
+  /** Connections are reset, even after another incarnation listens there. */
   Resets = "resets",
-  /** Nothing comes back until another life is there, which then says so. */
+  /** There is no answer until another incarnation answers under its own id. */
   Silent = "silent",
 }
--- a/packages/stand-ins/src/order_ways.ts
+++ b/packages/stand-ins/src/order_ways.ts
@@ -1,112 +1,122 @@
 /**
- * Ways of orders to their endpoints and back, over connections that may be reset all at
- * once. Each order has a connection of its own, so that answers overtake one another.
- * An answer that has not come back by a reset is lost. So is an order that has not
- * arrived, or the endpoint finds it in what it had received, and carries it out later.
+ * Transit of orders to endpoints and of their answers, over connections that may be
+ * reset all at once. Each order has its own connection, so that answers overtake one
+ * another. A reset loses the answers that have not arrived. It also loses the orders
+ * that have not arrived, unless the endpoint had already buffered them and executes
+ * them later.
  */
 import * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
 
-/** How long orders are on their way. */
+/** Transit times of orders. */
 export interface WayTimes {
-  /** Time to the endpoint, in ms; drawn for each order. */
+  /** Draws the time of an order to its endpoint, in ms. */
   readonly thereMs: () => number;
-  /** Time of its answer or refusal back, in ms. */
+  /** Draws the time of its answer or refusal, in ms. */
   readonly backMs: () => number;
   /**
-   * How long after a reset an order arrives that had not arrived before, in ms; null:
-   * it never does.
+   * Draws the time from a reset to the arrival of an order that had not arrived, in ms;
+   * null if it never arrives.
    */
   readonly afterResetMs: () => number | null;
 }
 
-/** An order on its way. */
-interface OpenWay {
-  readonly worker: string;
-  /** The life at its other end; no later one receives what was sent to this. */
-  readonly life: unknown;
+/** An order in flight. */
+interface InFlightOrder {
+  readonly endpoint: string;
+  /** The incarnation it was sent to; no later one receives it. */
+  readonly incarnation: unknown;
   hasArrived: boolean;
-  /** Done when its connection is reset. */
+  /** Completed when its connection is reset. */
   readonly reset: Deferred.Deferred<void>;
 }
 
-/** Orders of all boxes that are on their way. */
-export class OrderWays {
+/** Orders in flight of all boxes. */
+export class OrderTransit {
   readonly #clock: Ports.Clock;
-  readonly #lifeOf: (worker: string) => unknown;
-  readonly #open = new Set<OpenWay>();
-  /** Null: orders and answers are there at once, and nothing resets them. */
+  readonly #incarnationOf: (endpoint: string) => unknown;
+  readonly #inFlight = new Set<InFlightOrder>();
+  /** Null: orders and answers arrive at once, and resets do not affect them. */
   times: WayTimes | null = null;
 
-  /** @param lifeOf the life of an endpoint that listens now */
-  constructor(clock: Ports.Clock, lifeOf: (worker: string) => unknown) {
+  /** @param incarnationOf returns the current incarnation of an endpoint */
+  constructor(
+    clock: Ports.Clock,
+    incarnationOf: (endpoint: string) => unknown,
+  ) {
     this.#clock = clock;
-    this.#lifeOf = lifeOf;
+    this.#incarnationOf = incarnationOf;
   }
 
-  /** How many orders have left and not arrived. */
+  /** Number of orders that were sent and have not arrived. */
   get leftCount(): number {
-    return [...this.#open].filter(({ hasArrived }) => !hasArrived).length;
+    return [...this.#inFlight].filter(({ hasArrived }) => !hasArrived).length;
   }
 
-  /** Carries an order to an endpoint and its answer back. */
+  /** Carries an order to an endpoint and returns its answer. */
   carry<A>(
-    worker: string,
+    endpoint: string,
     order: Effect.Effect<A, Ports.OrderError>,
   ): Effect.Effect<A, Ports.OrderError> {
     return Effect.suspend(() => {
       const { times } = this;
       if (times === null) return order;
-      const way: OpenWay = {
-        worker,
-        life: this.#lifeOf(worker),
+      const inFlight: InFlightOrder = {
+        endpoint,
+        incarnation: this.#incarnationOf(endpoint),
         hasArrived: false,
         reset: Deferred.makeUnsafe<void>(),
       };
-      this.#open.add(way);
+      this.#inFlight.add(inFlight);
       const reset = Effect.andThen(
-        Deferred.await(way.reset),
-        Effect.suspend(() => this.#break(way, order, times.afterResetMs())),
+        Deferred.await(inFlight.reset),
+        Effect.suspend(() =>
+          this.#failReset(inFlight, order, times.afterResetMs())
+        ),
       );
       return Effect.ensuring(
-        Effect.raceFirst(this.#goAndReturn(way, order, times), reset),
-        Effect.sync(() => this.#open.delete(way)),
+        Effect.raceFirst(this.#roundTrip(inFlight, order, times), reset),
+        Effect.sync(() => this.#inFlight.delete(inFlight)),
       );
     });
   }
 
-  /** Resets the connections to some endpoints; returns how many orders it struck. */
-  reset(strikes: (worker: string) => boolean): number {
-    const struck = [...this.#open].filter(({ worker }) => strikes(worker));
-    for (const way of struck) Deferred.doneUnsafe(way.reset, Effect.void);
-    return struck.length;
+  /**
+   * Resets the connections to some endpoints; returns the number of affected orders.
+   */
+  reset(isAffected: (endpoint: string) => boolean): number {
+    const affected = [...this.#inFlight].filter(({ endpoint }) =>
+      isAffected(endpoint)
+    );
+    for (const order of affected) Deferred.doneUnsafe(order.reset, Effect.void);
+    return affected.length;
   }
 
-  #goAndReturn<A>(
-    way: OpenWay,
+  #roundTrip<A>(
+    inFlight: InFlightOrder,
     order: Effect.Effect<A, Ports.OrderError>,
     times: WayTimes,
   ): Effect.Effect<A, Ports.OrderError> {
     return Effect.gen({ self: this }, function* () {
       yield* this.#clock.sleep(times.thereMs());
-      way.hasArrived = true;
+      inFlight.hasArrived = true;
       const answer = yield* Effect.result(order);
       yield* this.#clock.sleep(times.backMs());
       return yield* Effect.fromResult(answer);
     });
   }
 
-  /** The box learns of the reset, and the order may arrive all the same. */
-  #break<A>(
-    way: OpenWay,
+  /** Fails an order after a reset; it may still arrive later. */
+  #failReset<A>(
+    inFlight: InFlightOrder,
     order: Effect.Effect<A, Ports.OrderError>,
     afterMs: number | null,
   ): Effect.Effect<never, Ports.OrderError> {
-    if (!way.hasArrived && afterMs !== null) {
+    if (!inFlight.hasArrived && afterMs !== null) {
       const arrive = Effect.suspend(() =>
-        this.#lifeOf(way.worker) === way.life
+        this.#incarnationOf(inFlight.endpoint) === inFlight.incarnation
           ? Effect.ignoreCause(order)
           : Effect.void
       );
@@ -114,7 +124,7 @@
     }
     return Effect.fail(
       new Errors.WorkerLostError({
-        worker: way.worker,
+        worker: inFlight.endpoint,
         cause: "read ECONNRESET",
         neverSent: false,
       }),
--- a/packages/stand-ins/src/order_ways_test.ts
+++ b/packages/stand-ins/src/order_ways_test.ts
@@ -1,4 +1,4 @@
-/** Orders on their way to endpoints and back, also where connections are reset. */
+/** Transit of orders to endpoints and of their answers, with and without resets. */
 import * as Ports from "@cairngate/ports";
 import * as StandIns from "@cairngate/stand-ins";
 import * as TestUtils from "@cairngate/test-utils";
@@ -8,29 +8,29 @@
 const ENDPOINT: Ports.EndpointRef = { id: "i-1", address: "10.0.0.1:80" };
 const TASK = "a.0.0.0";
 const LEASE_MS = 60_000;
-/** Time of an order on its way, in ms. */
+/** Transit time of an order, in ms. */
 const THERE_MS = 20;
 
-/** All orders alike, and none arrives after a reset. */
+/** Constant times; no order arrives after a reset. */
 const STEADY: StandIns.WayTimes = {
   thereMs: () => THERE_MS,
   backMs: () => 0,
   afterResetMs: () => null,
 };
 
-/** Each order takes the next of some times; they are used up in turn. */
-function inTurn(times: readonly number[]): () => number {
-  const left = [...times];
-  return () => left.shift() ?? 0;
+/** Returns the given times one after another, then 0. */
+function takeInTurn(times: readonly number[]): () => number {
+  const remaining = [...times];
+  return () => remaining.shift() ?? 0;
 }
 
-/** What became of an order, once it has. */
-interface Sent {
+/** A sent order; the answer or error message is null until it arrives. */
+interface SentOrder {
   answer: string | null;
 }
 
-/** One endpoint and orders that are sent to it. */
-class Play {
+/** One endpoint and the orders sent to it. */
+class Fixture {
   readonly clock = new TestUtils.FakeClock();
   readonly workers = new StandIns.MemoryTaskWorkers(this.clock, [
     { id: ENDPOINT.id, accelerators: 2 },
@@ -41,7 +41,7 @@
     this.workers.behave = () => ({ runMs: LEASE_MS, fails: false });
   }
 
-  start(run = 1): Sent {
+  start(run = 1): SentOrder {
     return this.#send(this.workers.start(ENDPOINT, {
       task: TASK,
       run,
@@ -53,34 +53,34 @@
     }));
   }
 
-  stop(run = 1): Sent {
+  stop(run = 1): SentOrder {
     const order = { task: TASK, run, fencingToken: 1 };
     return this.#send(this.workers.stop(ENDPOINT, order));
   }
 
-  look(waitMs = 0): Sent {
-    const look = this.workers.renew(ENDPOINT, {
+  renew(waitMs = 0): SentOrder {
+    const renew = this.workers.renew(ENDPOINT, {
       fencingToken: 1,
       leaseUntilMs: null,
       recordedEnds: 0,
       recordedBy: null,
       waitMs,
     });
-    return this.#send(Effect.map(look, ({ held }) => `${held.length} held`));
+    return this.#send(Effect.map(renew, ({ held }) => `${held.length} held`));
   }
 
   resetAll(): number {
     return this.workers.ways.reset(() => true);
   }
 
-  #send(order: Effect.Effect<unknown, Ports.OrderError>): Sent {
-    const sent: Sent = { answer: null };
-    const told = Effect.match(order, {
+  #send(order: Effect.Effect<unknown, Ports.OrderError>): SentOrder {
+    const sent: SentOrder = { answer: null };
+    const result = Effect.match(order, {
       onSuccess: (answer) =>
         typeof answer === "string" ? answer : "carried out",
       onFailure: ({ message }) => message,
     });
-    Effect.runFork(Effect.map(told, (answer) => {
+    Effect.runFork(Effect.map(result, (answer) => {
       sent.answer = answer;
     }));
     return sent;
@@ -89,82 +89,84 @@
 
 vitest.describe("orders whose connections are reset", () => {
   vitest.it("are lost where they have not arrived", async () => {
-    const play = new Play(STEADY);
-    const start = play.start();
-    await play.clock.advance(THERE_MS / 2);
-    vitest.expect(play.resetAll()).toBe(1);
-    await play.clock.advance(1000);
+    const fixture = new Fixture(STEADY);
+    const start = fixture.start();
+    await fixture.clock.advance(THERE_MS / 2);
+    vitest.expect(fixture.resetAll()).toBe(1);
+    await fixture.clock.advance(1000);
     vitest.expect(start.answer).toContain("read ECONNRESET");
-    vitest.expect(play.workers.runs).toEqual([]);
+    vitest.expect(fixture.workers.runs).toEqual([]);
   });
 
-  vitest.it("lose the answer of a look that waits", async () => {
-    const play = new Play(STEADY);
-    const start = play.start();
-    const look = play.look(1000);
-    await play.clock.advance(500);
+  vitest.it("lose the answer of a waiting poll", async () => {
+    const fixture = new Fixture(STEADY);
+    const start = fixture.start();
+    const renew = fixture.renew(1000);
+    await fixture.clock.advance(500);
     vitest.expect(start.answer).toBe("carried out");
-    vitest.expect(play.resetAll()).toBe(1);
-    await play.clock.advance(0);
-    vitest.expect(look.answer).toContain("read ECONNRESET");
-    vitest.expect(play.workers.runs.length).toBe(1);
+    vitest.expect(fixture.resetAll()).toBe(1);
+    await fixture.clock.advance(0);
+    vitest.expect(renew.answer).toContain("read ECONNRESET");
+    vitest.expect(fixture.workers.runs.length).toBe(1);
   });
 
-  vitest.it("leave other endpoints and later orders alone", async () => {
-    const play = new Play(STEADY);
-    const start = play.start();
-    vitest.expect(play.workers.ways.reset((id) => id !== ENDPOINT.id)).toBe(0);
-    await play.clock.advance(THERE_MS);
+  vitest.it("do not affect other endpoints or later orders", async () => {
+    const fixture = new Fixture(STEADY);
+    const start = fixture.start();
+    vitest.expect(fixture.workers.ways.reset((id) => id !== ENDPOINT.id)).toBe(
+      0,
+    );
+    await fixture.clock.advance(THERE_MS);
     vitest.expect(start.answer).toBe("carried out");
-    vitest.expect(play.resetAll()).toBe(0);
-    const stop = play.stop();
-    await play.clock.advance(THERE_MS);
+    vitest.expect(fixture.resetAll()).toBe(0);
+    const stop = fixture.stop();
+    await fixture.clock.advance(THERE_MS);
     vitest.expect(stop.answer).toBe("carried out");
   });
 });
 
 vitest.describe("answers on several connections", () => {
   vitest.it(
-    "overtake one another: a look tells less than a start",
+    "overtake one another: a poll misses a start",
     async () => {
-      const backMs = inTurn([50, 0]);
-      const play = new Play({ ...STEADY, thereMs: () => 0, backMs });
-      const look = play.look();
-      await play.clock.advance(0);
-      const start = play.start();
-      await play.clock.advance(0);
+      const backMs = takeInTurn([50, 0]);
+      const fixture = new Fixture({ ...STEADY, thereMs: () => 0, backMs });
+      const renew = fixture.renew();
+      await fixture.clock.advance(0);
+      const start = fixture.start();
+      await fixture.clock.advance(0);
       vitest.expect(start.answer).toBe("carried out");
-      vitest.expect(look.answer).toBeNull();
-      await play.clock.advance(50);
-      vitest.expect(look.answer).toBe("0 held");
+      vitest.expect(renew.answer).toBeNull();
+      await fixture.clock.advance(50);
+      vitest.expect(renew.answer).toBe("0 held");
     },
   );
 
   vitest.it(
-    "overtake one another: a look tells more than a start",
+    "overtake one another: a poll shows a start early",
     async () => {
-      const backMs = inTurn([50, 0]);
-      const play = new Play({ ...STEADY, thereMs: () => 0, backMs });
-      const start = play.start();
-      await play.clock.advance(0);
-      const look = play.look();
-      await play.clock.advance(0);
-      vitest.expect(look.answer).toBe("1 held");
+      const backMs = takeInTurn([50, 0]);
+      const fixture = new Fixture({ ...STEADY, thereMs: () => 0, backMs });
+      const start = fixture.start();
+      await fixture.clock.advance(0);
+      const renew = fixture.renew();
+      await fixture.clock.advance(0);
+      vitest.expect(renew.answer).toBe("1 held");
       vitest.expect(start.answer).toBeNull();
-      await play.clock.advance(50);
+      await fixture.clock.advance(50);
       vitest.expect(start.answer).toBe("carried out");
     },
   );
 
-  vitest.it("bring refusals back as late as answers", async () => {
-    const play = new Play({ ...STEADY, backMs: () => 50 });
-    const stop = play.stop();
-    await play.clock.advance(THERE_MS);
-    const start = play.start();
-    await play.clock.advance(THERE_MS + 49);
+  vitest.it("delay refusals like other answers", async () => {
+    const fixture = new Fixture({ ...STEADY, backMs: () => 50 });
+    const stop = fixture.stop();
+    await fixture.clock.advance(THERE_MS);
+    const start = fixture.start();
+    await fixture.clock.advance(THERE_MS + 49);
     vitest.expect(stop.answer).toBe("carried out");
     vitest.expect(start.answer).toBeNull();
-    await play.clock.advance(1);
+    await fixture.clock.advance(1);
     vitest.expect(start.answer).toContain("old-run");
   });
 });
@@ -173,38 +175,40 @@
   const times = { ...STEADY, afterResetMs: () => 200 };
 
   vitest.it("arrives after it", async () => {
-    const play = new Play(times);
-    const start = play.start();
-    await play.clock.advance(THERE_MS / 2);
-    play.resetAll();
-    await play.clock.advance(199);
+    const fixture = new Fixture(times);
+    const start = fixture.start();
+    await fixture.clock.advance(THERE_MS / 2);
+    fixture.resetAll();
+    await fixture.clock.advance(199);
     vitest.expect(start.answer).toContain("read ECONNRESET");
-    vitest.expect(play.workers.runs).toEqual([]);
-    await play.clock.advance(1);
-    vitest.expect(play.workers.runs.length).toBe(1);
+    vitest.expect(fixture.workers.runs).toEqual([]);
+    await fixture.clock.advance(1);
+    vitest.expect(fixture.workers.runs.length).toBe(1);
   });
 
-  vitest.it("is carried out once where it had arrived", async () => {
-    const play = new Play({ ...times, backMs: () => 50 });
-    const start = play.start();
-    await play.clock.advance(THERE_MS);
-    play.resetAll();
-    await play.clock.advance(0);
-    const stop = play.stop();
-    await play.clock.advance(1000);
+  vitest.it("is executed once if it had arrived", async () => {
+    const fixture = new Fixture({ ...times, backMs: () => 50 });
+    const start = fixture.start();
+    await fixture.clock.advance(THERE_MS);
+    fixture.resetAll();
+    await fixture.clock.advance(0);
+    const stop = fixture.stop();
+    await fixture.clock.advance(1000);
     vitest.expect(start.answer).toContain("read ECONNRESET");
     vitest.expect(stop.answer).toBe("carried out");
-    vitest.expect(play.workers.runs.map(({ how }) => how)).toEqual(["stopped"]);
+    vitest.expect(fixture.workers.runs.map(({ how }) => how)).toEqual([
+      "stopped",
+    ]);
   });
 
-  vitest.it("reaches no later life", async () => {
-    const play = new Play(times);
-    play.start();
-    await play.clock.advance(THERE_MS / 2);
-    play.resetAll();
-    play.workers.crash(ENDPOINT.id);
-    play.workers.beginAgain({ id: ENDPOINT.id, accelerators: 2 });
-    await play.clock.advance(1000);
-    vitest.expect(play.workers.runs).toEqual([]);
+  vitest.it("does not reach a later incarnation", async () => {
+    const fixture = new Fixture(times);
+    fixture.start();
+    await fixture.clock.advance(THERE_MS / 2);
+    fixture.resetAll();
+    fixture.workers.crash(ENDPOINT.id);
+    fixture.workers.beginAgain({ id: ENDPOINT.id, accelerators: 2 });
+    await fixture.clock.advance(1000);
+    vitest.expect(fixture.workers.runs).toEqual([]);
   });
 });
--- a/packages/stand-ins/src/partition_of.ts
+++ b/packages/stand-ins/src/partition_of.ts
@@ -1,4 +1,4 @@
-/** Partition that a key names behind its table; empty for none. */
+/** Returns the partition in a key of the form `table:partition/…`; empty for others. */
 export function partitionOf(key = ""): string {
   return /^[^/:]*:([^/]*)\//.exec(key)?.[1] ?? "";
 }
--- a/packages/stand-ins/src/run_ends.ts
+++ b/packages/stand-ins/src/run_ends.ts
@@ -1,27 +1,29 @@
-/** How runs on endpoints of the stand-in end: by themselves, or with their gang. */
+/**
+ * Ends of the runs on stand-in endpoints: on their own, by order, or with their gang.
+ */
 import type * as Ports from "@cairngate/ports";
-import * as heldTasks from "./held_task.ts";
-import type * as books from "./life_book.ts";
+import * as heldRuns from "./held_task.ts";
+import type * as registries from "./life_book.ts";
 import type * as runNotes from "./run_note.ts";
-import * as lives from "./worker_life.ts";
+import * as incarnations from "./worker_life.ts";
 
-/** Times that ends take; tests may change them. */
+/** Delays of ends; tests may change them. */
 export interface EndTimes {
-  /** How long a run takes to end after a stop was answered, in ms. */
+  /** Time from the answer to a stop to the end of the run, in ms. */
   readonly stopTakesMs: (task: string) => number;
-  /** How long after the first end of its gang a member ends, in ms. */
+  /** Time from the first end in a gang to that of another member, in ms. */
   readonly gangFollowsMs: (task: string) => number;
 }
 
-/** What ends are brought about with. */
+/** Options of RunEnds. */
 export interface RunEndsOptions {
   readonly clock: Ports.Clock;
-  readonly lives: books.LifeBook;
+  readonly registry: registries.IncarnationRegistry;
   readonly times: EndTimes;
 }
 
-/** An end that comes, and when. */
-interface End {
+/** An end and its delay. */
+interface DelayedEnd {
   readonly how: "stopped" | "broken";
   readonly fromMs: number;
   readonly afterMs: number;
@@ -37,7 +39,7 @@
     this.#options = options;
   }
 
-  /** These tasks are a gang: the runs of one number end together. */
+  /** Registers a gang, whose runs of the same number end together. */
   addGang(tasks: readonly string[]): void {
     for (const task of tasks) this.#gangs.set(task, tasks);
   }
@@ -47,81 +49,83 @@
     return this.#gangs.get(task) ?? [task];
   }
 
-  /** Lets what has happened since the last order happen. */
-  advance(life: lives.WorkerLife): void {
+  /** Updates the runs of an incarnation to the current time. */
+  advance(host: incarnations.Incarnation): void {
     const nowMs = this.#nowMs();
-    if (nowMs > life.leaseUntilMs) life.lapsedAtMs = life.leaseUntilMs;
-    for (const held of [...life.held.values()]) {
-      const end = heldTasks.findEnd(held, nowMs, life.leaseUntilMs);
-      if (end !== null) this.#end(life, held, end.how, end.atMs);
+    if (nowMs > host.leaseUntilMs) host.leaseExpiredAtMs = host.leaseUntilMs;
+    for (const held of [...host.held.values()]) {
+      const end = heldRuns.findEnd(held, nowMs, host.leaseUntilMs);
+      if (end !== null) this.#end(host, held, end.how, end.atMs);
     }
   }
 
-  /** A run is told to stop: it ends when that has taken its time. */
-  stop(life: lives.WorkerLife, held: heldTasks.HeldTask): void {
+  /** Stops a run, which ends after its delay. */
+  stop(incarnation: incarnations.Incarnation, held: heldRuns.HeldRun): void {
     const afterMs = this.#options.times.stopTakesMs(held.note.task);
     const fromMs = this.#nowMs();
-    this.#endLater(life, held, { how: "stopped", fromMs, afterMs });
+    this.#endLater(incarnation, held, { how: "stopped", fromMs, afterMs });
   }
 
-  /** Ends whatever runs of a task, as endpoints do for reasons of their own. */
+  /** Ends the runs of a task now, as an endpoint does without an order. */
   endNow(task: string, how: Ports.EndKind): void {
-    for (const life of this.#options.lives.all) {
-      const held = [...life.held.values()].find(({ note }) =>
+    for (const incarnation of this.#options.registry.all) {
+      const held = [...incarnation.held.values()].find(({ note }) =>
         note.task === task
       );
-      if (held !== undefined) this.#end(life, held, how);
+      if (held !== undefined) this.#end(incarnation, held, how);
     }
   }
 
-  /** All that ran in a life has ended with it. */
-  crash(life: lives.WorkerLife): void {
-    for (const { note } of life.held.values()) {
+  /** Ends all runs of a crashed incarnation. */
+  crash(incarnation: incarnations.Incarnation): void {
+    for (const { note } of incarnation.held.values()) {
       note.endedAtMs = this.#nowMs();
       note.how = "crashed";
     }
-    for (const { note } of life.held.values()) this.#endGang(note);
-    // A timer of the life may look at it once more: nothing of it ends again.
-    life.held.clear();
+    for (const { note } of incarnation.held.values()) this.#endGang(note);
+    // A timer may still update this incarnation; its runs must not end twice.
+    incarnation.held.clear();
   }
 
   #end(
-    life: lives.WorkerLife,
-    held: heldTasks.HeldTask,
+    incarnation: incarnations.Incarnation,
+    held: heldRuns.HeldRun,
     how: Ports.EndKind,
     atMs = this.#nowMs(),
   ): void {
     const { note } = held;
-    life.held.delete(lives.keyOf(note));
-    lives.noteOver(life, note);
+    incarnation.held.delete(incarnations.keyOf(note));
+    incarnations.markOver(incarnation, note);
     note.endedAtMs = atMs;
     note.how = how;
-    life.ended.push({ number: life.nextEnd++, note });
+    incarnation.ended.push({ number: incarnation.nextEndNumber++, note });
     this.#endGang(note);
   }
 
-  /** An end that takes its time; until then the run is there and holds its room. */
+  /** Ends a run after a delay, during which it keeps its accelerator. */
   #endLater(
-    life: lives.WorkerLife,
-    held: heldTasks.HeldTask,
-    { how, fromMs, afterMs }: End,
+    incarnation: incarnations.Incarnation,
+    held: heldRuns.HeldRun,
+    { how, fromMs, afterMs }: DelayedEnd,
   ): void {
-    if (afterMs === 0) return this.#end(life, held, how, fromMs);
-    heldTasks.order(held, { how, atMs: fromMs + afterMs });
+    if (afterMs === 0) return this.#end(incarnation, held, how, fromMs);
+    heldRuns.requestEnd(held, { how, atMs: fromMs + afterMs });
   }
 
-  /** The other members of a gang's run end with the first, or soon after it. */
+  /** Ends the other members of a gang's run with the first one or soon after it. */
   #endGang({ task, run, how, endedAtMs }: runNotes.TaskRunNote): void {
     const others = this.#gangs.get(task) ?? [];
     const fromMs = endedAtMs ?? this.#nowMs();
     for (const other of others) {
-      for (const life of this.#options.lives.all) {
-        const held = life.held.get(lives.keyOf({ task: other, run }));
+      for (const incarnation of this.#options.registry.all) {
+        const held = incarnation.held.get(
+          incarnations.keyOf({ task: other, run }),
+        );
         if (held === undefined) continue;
-        if (how === "done") this.#end(life, held, "done", fromMs);
+        if (how === "done") this.#end(incarnation, held, "done", fromMs);
         else {
           const afterMs = this.#options.times.gangFollowsMs(other);
-          this.#endLater(life, held, { how: "broken", fromMs, afterMs });
+          this.#endLater(incarnation, held, { how: "broken", fromMs, afterMs });
         }
       }
     }
--- a/packages/stand-ins/src/run_ledger.ts
+++ b/packages/stand-ins/src/run_ledger.ts
@@ -1,6 +1,6 @@
-/** What truly ran, as the workers saw it. */
+/** Log of what the endpoints ran. */
 
-/** Steps of a task. */
+/** Step of a task. */
 export enum LedgerEvent {
   Held = "held",
   Started = "started",
@@ -8,7 +8,7 @@
   Stopped = "stopped",
 }
 
-/** One step of one task on one worker. */
+/** One step of one task on one endpoint. */
 export interface LedgerEntry {
   readonly event: LedgerEvent;
   readonly worker: string;
@@ -20,7 +20,7 @@
   readonly atMs: number;
 }
 
-/** Counts over a ledger. */
+/** Summary of a ledger. */
 export interface LedgerSummary {
   /** Unrepeatable jobs that started more than once. */
   readonly doubled: readonly string[];
@@ -29,7 +29,7 @@
   readonly startedJobs: number;
 }
 
-/** Keeps every step in order. */
+/** Records every step in order. */
 export class RunLedger {
   readonly entries: LedgerEntry[] = [];
 
@@ -39,13 +39,13 @@
   }
 }
 
-/** Counts what must never happen. */
+/** Finds violations in a ledger and counts the started jobs. */
 export function summarizeLedger(
   entries: readonly LedgerEntry[],
 ): LedgerSummary {
   return {
-    doubled: findDoubled(entries),
-    partial: findPartial(entries),
+    doubled: findRepeatedStarts(entries),
+    partial: findPartialGangs(entries),
     startedJobs: new Set(startsOf(entries).map((e) => e.jobId)).size,
   };
 }
@@ -54,7 +54,7 @@
   return entries.filter((e) => e.event === LedgerEvent.Started);
 }
 
-function findDoubled(entries: readonly LedgerEntry[]): string[] {
+function findRepeatedStarts(entries: readonly LedgerEntry[]): string[] {
   const starts = new Map<string, number>();
   for (const entry of startsOf(entries)) {
     if (entry.repeatable) continue;
@@ -64,7 +64,7 @@
   return [...starts].filter(([, count]) => count > 1).map(([id]) => id);
 }
 
-function findPartial(entries: readonly LedgerEntry[]): string[] {
+function findPartialGangs(entries: readonly LedgerEntry[]): string[] {
   const started = new Map<string, Set<number>>();
   for (const entry of startsOf(entries)) {
     const key = `${entry.jobId}/${entry.attempt}`;
--- a/packages/stand-ins/src/run_note.ts
+++ b/packages/stand-ins/src/run_note.ts
@@ -1,24 +1,24 @@
-/** What became of a run at the stand-in, for the checks of tests. */
+/** Record of a run on a stand-in endpoint. */
 import type * as Ports from "@cairngate/ports";
 
-/** One run, for the checks of tests. */
+/** Record of one run, for the checks of tests. */
 export interface TaskRunNote {
   readonly task: string;
   readonly run: number;
   readonly worker: string;
   readonly startedAtMs: number;
   endedAtMs: number | null;
-  /** Null while it runs; "crashed" where its endpoint ended under it. */
+  /** Null while it runs; "crashed" if its endpoint crashed. */
   how: Ports.EndKind | "crashed" | null;
-  /** When the coordinator said that the end is recorded. */
+  /** When the coordinator acknowledged that it recorded the end. */
   acknowledgedAtMs: number | null;
-  /** Whether the lease ran out between the end and that moment. */
+  /** Whether the lease expired between the end and the acknowledgement. */
   hasLapsedMeanwhile: boolean;
-  /** Whether its start was carried out seconds after it was sent. */
+  /** Whether its start was executed seconds after it was sent. */
   readonly wasLate: boolean;
   /**
-   * Whether that was in a life which no coordinator had called by then: nothing that
-   * a coordinator does can keep a former order from such a life.
+   * Whether it was late and reached an incarnation that had not answered any
+   * coordinator: no coordinator can keep an earlier order from such an incarnation.
    */
-  readonly wasUncalled: boolean;
+  readonly wasLateFirstCall: boolean;
 }
--- a/packages/stand-ins/src/stand_in_task.ts
+++ b/packages/stand-ins/src/stand_in_task.ts
@@ -1,11 +1,11 @@
-/** A task on a stand-in worker. */
+/** A task on a stand-in endpoint. */
 import * as Types from "@cairngate/types";
 import type * as Deferred from "effect/Deferred";
 
-/** Run time of a task whose input does not say one, in milliseconds. */
+/** Run time of a task whose input sets none, in milliseconds. */
 const DEFAULT_RUN_MS = 5;
 
-/** A task with what the worker knows of it. */
+/** State of a task on an endpoint. */
 export interface Task {
   readonly order: Types.HoldOrder;
   readonly epoch: number;
@@ -25,19 +25,19 @@
     task.state === Types.TaskState.Running;
 }
 
-/** Key of an attempt of a member. */
+/** Key of one attempt of a gang member. */
 export function keyOf(key: Types.TaskKey): string {
   return `${key.jobId}/${key.attempt}/${key.rank}`;
 }
 
-/** Run time that the input asks for, in milliseconds. */
+/** Run time that the input sets, in milliseconds. */
 export function runMsOf(order: Types.HoldOrder): number {
   const input = order.input as { runMs?: unknown } | null;
   const runMs = input?.runMs;
   return typeof runMs === "number" && runMs >= 0 ? runMs : DEFAULT_RUN_MS;
 }
 
-/** The answer of a task that has ended. */
+/** Builds the answer of a task that has ended. */
 export function answerOf(task: Task): Types.TaskAnswer {
   const { jobId, attempt, rank, caller } = task.order;
   return {
@@ -50,7 +50,7 @@
   };
 }
 
-/** A task as a report tells it. */
+/** Builds the report of a task. */
 export function reportOf(task: Task): Types.TaskReport {
   const { order } = task;
   return {
--- a/packages/stand-ins/src/stand_in_worker.ts
+++ b/packages/stand-ins/src/stand_in_worker.ts
@@ -1,4 +1,4 @@
-/** A worker in memory: runs tasks under leases and refuses stale epochs. */
+/** In-memory endpoint that runs tasks under leases and refuses stale epochs. */
 import * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
 import * as Types from "@cairngate/types";
@@ -8,10 +8,10 @@
 import * as tasks from "./stand_in_task.ts";
 import * as works from "./work.ts";
 
-/** Finished tasks that are kept when nobody acknowledges them. */
-const KEPT_TASKS = 5000;
+/** Limit on kept tasks; beyond it, the oldest ended task is removed. */
+const MAX_FINISHED_TASKS = 5000;
 
-/** What a stand-in worker needs. */
+/** Options of a stand-in endpoint. */
 export interface StandInWorkerOptions {
   readonly name: string;
   readonly accelerators: number;
@@ -20,7 +20,7 @@
   readonly ledger: ledgers.RunLedger;
 }
 
-/** One worker. */
+/** One stand-in endpoint. */
 export class StandInWorker {
   readonly name: string;
   readonly #options: StandInWorkerOptions;
@@ -38,9 +38,9 @@
     this.#bootId = options.random.id();
   }
 
-  /** Forgets everything, as a restarted machine does. */
+  /** Discards all state, as a restarted endpoint does. */
   restart(): void {
-    // Nobody is told: the machine is simply gone for a moment.
+    // A restart reports no ends of tasks, so that none are recorded here.
     for (const task of this.#tasks.values()) {
       task.state = Types.TaskState.Stopped;
     }
@@ -48,16 +48,16 @@
     this.#revoked.clear();
     this.#epochs.clear();
     this.#bootId = this.#options.random.id();
-    this.#touch();
+    this.#bumpVersion();
   }
 
-  /** Marks the worker as leaving or staying. */
+  /** Marks the endpoint as leaving or staying. */
   setLeaving(leaving: boolean): void {
     this.leaving = leaving;
-    this.#touch();
+    this.#bumpVersion();
   }
 
-  /** Shuts out lower epochs and returns all tasks. */
+  /** Fences off lower epochs and returns all tasks. */
   seal(fence: Types.Fence) {
     return Effect.gen({ self: this }, function* () {
       yield* this.#checkFence(fence);
@@ -65,7 +65,7 @@
     });
   }
 
-  /** Sets accelerators aside. */
+  /** Reserves accelerators for a task. */
   hold(order: Types.HoldOrder) {
     return Effect.gen({ self: this }, function* () {
       yield* this.#checkFence(order.fence);
@@ -86,7 +86,7 @@
     });
   }
 
-  /** Holds, starts and waits for the end. */
+  /** Holds and starts a task and waits for its end. */
   run(order: Types.HoldOrder) {
     return Effect.gen({ self: this }, function* () {
       yield* this.hold(order);
@@ -96,7 +96,7 @@
     });
   }
 
-  /** Stops a task, or keeps one from ever starting. */
+  /** Stops a task, or prevents it from starting later. */
   stop(order: Types.StopOrder) {
     return Effect.gen({ self: this }, function* () {
       yield* this.#checkFence(order.fence);
@@ -117,12 +117,12 @@
     });
   }
 
-  /** Waits for changes after a version; renews leases. */
+  /** Waits for changes after a version and renews leases. */
   report(request: Types.ReportRequest) {
     return Effect.gen({ self: this }, function* () {
       const { clock } = this.#options;
       yield* this.#checkFence(request.fence);
-      for (const key of request.acknowledged) this.#forget(tasks.keyOf(key));
+      for (const key of request.acknowledged) this.#discard(tasks.keyOf(key));
       this.#renewLeases(request.fence.cell);
       if (this.#version <= request.sinceVersion) {
         const changed = Deferred.await(this.#changed);
@@ -134,7 +134,7 @@
     });
   }
 
-  /** Accelerators in use. */
+  /** Number of accelerators in use. */
   usage(): number {
     let mask = 0;
     for (const task of this.#tasks.values()) {
@@ -197,11 +197,11 @@
     };
     this.#tasks.set(tasks.keyOf(order), task);
     this.#record(task, ledgers.LedgerEvent.Held);
-    this.#watchHold(task);
-    this.#change(task);
+    this.#expireHold(task);
+    this.#markChanged(task);
   }
 
-  #watchHold(task: tasks.Task): void {
+  #expireHold(task: tasks.Task): void {
     const { clock } = this.#options;
     const watch = Effect.gen({ self: this }, function* () {
       yield* clock.sleep(task.order.holdMs);
@@ -219,7 +219,7 @@
       task.startedAtMs = clock.wallMs();
       task.leaseUntilMs = clock.monotonicMs() + task.order.leaseMs;
       this.#record(task, ledgers.LedgerEvent.Started);
-      this.#change(task);
+      this.#markChanged(task);
       Effect.runFork(this.#work(task));
     });
   }
@@ -234,13 +234,13 @@
         if (task.state !== Types.TaskState.Running || nowMs >= endMs) break;
         const untilMs = Math.min(endMs, task.leaseUntilMs);
         yield* clock.sleep(Math.max(1, untilMs - nowMs));
-        if (clock.monotonicMs() > task.leaseUntilMs) this.#lapse(task);
+        if (clock.monotonicMs() > task.leaseUntilMs) this.#expireLease(task);
       }
       if (task.state === Types.TaskState.Running) this.#finish(task);
     });
   }
 
-  #lapse(task: tasks.Task): void {
+  #expireLease(task: tasks.Task): void {
     if (task.state !== Types.TaskState.Running) return;
     this.#saveProgress(task, true);
     this.#end(task, "stopped");
@@ -266,7 +266,7 @@
       : ledgers.LedgerEvent.Stopped;
     this.#record(task, event);
     Deferred.doneUnsafe(task.ended, Effect.succeed(tasks.answerOf(task)));
-    this.#change(task);
+    this.#markChanged(task);
   }
 
   #saveProgress(task: tasks.Task, checkpoint: boolean): void {
@@ -311,29 +311,29 @@
     };
   }
 
-  #forget(key: string): void {
+  #discard(key: string): void {
     const task = this.#tasks.get(key);
     if (task === undefined || tasks.isActive(task)) return;
     this.#tasks.delete(key);
     this.#revoked.add(key);
   }
 
-  #change(task: tasks.Task): void {
-    // Waiting reports resume inside of #touch, so the version is set first.
+  #markChanged(task: tasks.Task): void {
+    // Waiting reports resume inside #bumpVersion, so the version is set first.
     task.version = this.#version + 1;
-    this.#touch();
-    if (this.#tasks.size > KEPT_TASKS) this.#forgetOldest();
+    this.#bumpVersion();
+    if (this.#tasks.size > MAX_FINISHED_TASKS) this.#discardOldest();
   }
 
-  #forgetOldest(): void {
+  #discardOldest(): void {
     for (const [key, task] of this.#tasks) {
       if (tasks.isActive(task)) continue;
-      this.#forget(key);
+      this.#discard(key);
       return;
     }
   }
 
-  #touch(): void {
+  #bumpVersion(): void {
     this.#version++;
     const changed = this.#changed;
     this.#changed = Deferred.makeUnsafe();
--- a/packages/stand-ins/src/work.ts
+++ b/packages/stand-ins/src/work.ts
@@ -1,20 +1,20 @@
-/** Small real work for the stand-in workers, so that answers can be checked. */
+/** Small computations for the stand-in endpoints, so that tests can check answers. */
 
-/** Input of a member: the job's input, its rank and the gang's size. */
+/** Input of a gang member: the job's input, its rank and the size of the gang. */
 export interface WorkInput {
   readonly input: unknown;
   readonly rank: number;
   readonly gang: number;
 }
 
-/** A telemetry reading of a tractor. */
+/** Telemetry reading of a tractor. */
 interface Reading {
   readonly code: string;
   readonly value: number;
   readonly limit: number;
 }
 
-/** A plate captured at a gantry, or an account with its plate. */
+/** Plate captured at a gantry. */
 interface Capture {
   readonly plate: string;
   readonly gantry?: string;
@@ -25,14 +25,14 @@
   readonly account: string;
 }
 
-/** A claim of one road operator on another. */
+/** Claim of one road operator against another. */
 interface Claim {
   readonly from: string;
   readonly to: string;
   readonly amount: number;
 }
 
-/** Does the named work on an input; unknown work returns the input. */
+/** Runs the named computation; an unknown name returns the input. */
 export function doWork(work: string, member: WorkInput): unknown {
   const input = (member.input ?? {}) as Record<string, unknown>;
   const result = compute(work, input, member);
--- a/packages/stand-ins/src/worker_life.ts
+++ b/packages/stand-ins/src/worker_life.ts
@@ -1,67 +1,67 @@
-/** One life of an endpoint of the stand-in: what it holds, and what it tells of it. */
+/** One incarnation of a stand-in endpoint: its runs and what it reports of them. */
 import * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
-import * as heldTasks from "./held_task.ts";
+import * as heldRuns from "./held_task.ts";
 import type * as runNotes from "./run_note.ts";
 
-/** A worker of the stand-in. */
+/** A stand-in endpoint. */
 export interface TaskWorkerSpec {
   readonly id: string;
   readonly accelerators: number;
 }
 
-/** A life. Mutable; owned by the workers of one test. */
-export interface WorkerLife {
+/** An incarnation. Mutable; owned by the endpoints of one test. */
+export interface Incarnation {
   readonly spec: TaskWorkerSpec;
-  /** What its answers and entries tell; null: they tell none. */
+  /** Birth time that it reports, in ms; null if it reports none. */
   readonly bornMs: number | null;
   token: number;
   /** Whether it has answered a coordinator. */
-  wasCalled: boolean;
+  hasAnswered: boolean;
   leaseUntilMs: number;
-  /** When a lease ran out last. */
-  lapsedAtMs: number;
-  nextEnd: number;
-  /** By task and run: the next run may come while a former one still ends. */
-  readonly held: Map<string, heldTasks.HeldTask>;
+  /** When a lease last expired, in ms. */
+  leaseExpiredAtMs: number;
+  nextEndNumber: number;
+  /** By task and run: the next run may start while an earlier one is still ending. */
+  readonly held: Map<string, heldRuns.HeldRun>;
   readonly ended: { number: number; note: runNotes.TaskRunNote }[];
-  /** Highest run stopped or ended, by task. */
-  readonly over: Map<string, number>;
+  /** Highest number of a stopped or ended run, by task. */
+  readonly lastOverRun: Map<string, number>;
 }
 
-/** A life that begins, empty. */
-export function createLife(
+/** Creates an incarnation without runs. */
+export function createIncarnation(
   spec: TaskWorkerSpec,
   bornMs: number | null,
-): WorkerLife {
+): Incarnation {
   return {
     spec,
     bornMs,
     token: 0,
-    wasCalled: false,
+    hasAnswered: false,
     leaseUntilMs: 0,
-    lapsedAtMs: Number.NEGATIVE_INFINITY,
-    nextEnd: 1,
+    leaseExpiredAtMs: Number.NEGATIVE_INFINITY,
+    nextEndNumber: 1,
     held: new Map(),
     ended: [],
-    over: new Map(),
+    lastOverRun: new Map(),
   };
 }
 
-/** Name of a run. */
+/** Key of a run. */
 export function keyOf({ task, run }: Ports.RunRef): string {
   return `${task}@${run}`;
 }
 
-/** Refuses orders of earlier coordinators. */
-export function checkToken(life: WorkerLife, token: number): void {
-  if (token < life.token) {
-    throw refuse(life.spec.id, Errors.OrderRefusal.Fenced);
+/** Throws a refusal if an order comes from an earlier coordinator. */
+export function checkToken(incarnation: Incarnation, token: number): void {
+  if (token < incarnation.token) {
+    throw refuse(incarnation.spec.id, Errors.OrderRefusal.Fenced);
   }
-  life.token = token;
+  incarnation.token = token;
 }
 
-/** An order that an endpoint does not carry out. */
+/** Builds the error of a refused order. */
 export function refuse(
   worker: string,
   reason: Errors.OrderRefusal,
@@ -69,54 +69,58 @@
   return new Errors.OrderRefusedError({ worker, reason });
 }
 
-/** No run of a task up to this one starts there any more. */
-export function noteOver(life: WorkerLife, { task, run }: Ports.RunRef): void {
-  const over = life.over.get(task) ?? 0;
-  life.over.set(task, Math.max(over, run));
+/** Prevents further starts of this run and of earlier runs of its task. */
+export function markOver(
+  incarnation: Incarnation,
+  { task, run }: Ports.RunRef,
+): void {
+  const last = incarnation.lastOverRun.get(task) ?? 0;
+  incarnation.lastOverRun.set(task, Math.max(last, run));
 }
 
-/** Ends up to a number are recorded; they are told no more. */
+/** Removes the ends up to a number from later reports, as they are recorded. */
 export function acknowledge(
-  life: WorkerLife,
+  incarnation: Incarnation,
   upTo: number,
   nowMs: number,
 ): void {
-  while (life.ended.length > 0 && life.ended[0].number <= upTo) {
-    const [first] = life.ended.splice(0, 1);
-    const { note } = first;
+  while (incarnation.ended.length > 0 && incarnation.ended[0].number <= upTo) {
+    const [earliest] = incarnation.ended.splice(0, 1);
+    const { note } = earliest;
     note.acknowledgedAtMs = nowMs;
-    note.hasLapsedMeanwhile = life.lapsedAtMs > (note.endedAtMs ?? 0);
+    note.hasLapsedMeanwhile =
+      incarnation.leaseExpiredAtMs > (note.endedAtMs ?? 0);
   }
 }
 
-/** What it answers to a look. */
-export function viewOf(
-  life: WorkerLife,
+/** Builds the answer to a poll. */
+export function createView(
+  incarnation: Incarnation,
   toldEnds: number,
   nowMs: number,
 ): Ports.EndpointReport {
   return {
     clockMs: nowMs,
-    bornMs: life.bornMs,
+    bornMs: incarnation.bornMs,
     toldEnds,
-    held: [...life.held.values()].map((held) => ({
+    held: [...incarnation.held.values()].map((held) => ({
       task: held.note.task,
       run: held.note.run,
       checkpoint: "",
-      percent: heldTasks.percentOf(held, nowMs),
+      percent: heldRuns.percentOf(held, nowMs),
       reading: null,
     })),
-    ended: life.ended.map(({ number, note }) => ({
+    ended: incarnation.ended.map(({ number, note }) => ({
       number,
       task: note.task,
       run: note.run,
-      how: toldEnd(note),
+      how: reportedEndKind(note),
       checkpoint: "",
     })),
   };
 }
 
-/** A life tells no crash: it is over by then. */
-function toldEnd({ how }: runNotes.TaskRunNote): Ports.EndKind {
+/** Reports a crash as an expired lease, as a crashed incarnation reports nothing. */
+function reportedEndKind({ how }: runNotes.TaskRunNote): Ports.EndKind {
   return how === null || how === "crashed" ? "lapsed" : how;
 }
--- a/packages/test-utils/mod.ts
+++ b/packages/test-utils/mod.ts
@@ -1,4 +1,4 @@
-/** Fakes and builders for tests. */
+/** Fakes, builders and fault simulations for tests. */
 export {
   buildDeployment,
   buildJobShape,
@@ -15,7 +15,7 @@
 export { type AnswerRule, FaultyWorkers, Loss } from "./src/faulty_workers.ts";
 export { PausableClock } from "./src/pausable_clock.ts";
 export { SeededRandom } from "./src/seeded_random.ts";
-export { SilentProxy, type SilentWay } from "./src/silent_proxy.ts";
+export { SilentProxy, type SilentTraffic } from "./src/silent_proxy.ts";
 export { TestCluster } from "./src/test_cluster.ts";
 export {
   buildAccess,
@@ -33,16 +33,16 @@
 } from "./src/cut_play.ts";
 export { type CutShape, EndpointCuts } from "./src/endpoint_cuts.ts";
 export { Evacuations } from "./src/evacuations.ts";
-export { ChangingRooms } from "./src/changing_rooms.ts";
+export { CapacityChanges } from "./src/changing_rooms.ts";
 export { GREY_FAILS_MS, GreyEndpoints } from "./src/grey_endpoints.ts";
 export { checkFailed, CRASHER, findBrokenRuns } from "./src/run_checks.ts";
 export { Suspensions } from "./src/suspensions.ts";
 export {
   isRed,
   PLAY_KINDS,
-  RED_PLAYS,
-  type RedPlay,
+  UNRESOLVED_FAILURES,
+  type UnresolvedFailure,
 } from "./src/play_kinds.ts";
 export { faultSeeds } from "./src/fault_seeds.ts";
-export { type PlayKinds, playRandomFaults } from "./src/random_play.ts";
+export { type FaultOptions, playRandomFaults } from "./src/random_play.ts";
 export { playSlowEnds, type SlowPlayOptions } from "./src/slow_play.ts";
--- a/packages/test-utils/src/brief_cuts.ts
+++ b/packages/test-utils/src/brief_cuts.ts
@@ -1,15 +1,15 @@
-/** Endpoints that orders do not get through to for a moment; all of them run on. */
+/** Short network cuts between the boxes and some endpoints, which keep running. */
 import * as StandIns from "@cairngate/stand-ins";
 import * as randoms from "./seeded_random.ts";
 import type * as fleets from "./test_fleet.ts";
 
-/** Length of a cut, in ms: shorter than any lease. */
-const LENGTH_MS = { least: 300, most: 3000 };
-/** Most endpoints that are cut off at one moment. */
-const MOST_AT_ONCE = 4;
+/** Duration of a cut, in ms: shorter than any lease. */
+const CUT_MS = { min: 300, max: 3000 };
+/** Limit on the endpoints that one call cuts off while no run is about to end. */
+const MAX_CUT_ENDPOINTS = 4;
 
-/** What becomes of orders during a cut: all alike, or each as it is drawn. */
-const SHAPES: readonly (readonly StandIns.OrderFate[])[] = [
+/** Outcomes that the orders of one cut draw from. */
+const OUTCOME_SETS: readonly (readonly StandIns.OrderFate[])[] = [
   [StandIns.OrderFate.Lost],
   [StandIns.OrderFate.AnswerLost],
   [StandIns.OrderFate.Lost, StandIns.OrderFate.AnswerLost],
@@ -17,10 +17,10 @@
 
 interface Cut {
   readonly untilMs: number;
-  readonly fates: readonly StandIns.OrderFate[];
+  readonly outcomes: readonly StandIns.OrderFate[];
 }
 
-/** The cuts of one play. */
+/** Short cuts of one simulation. */
 export class BriefCuts {
   readonly #fleet: fleets.TestFleet;
   readonly #random: randoms.SeededRandom;
@@ -32,20 +32,24 @@
   }
 
   /**
-   * Cuts some endpoints off, for one time and in one way. If there are any on which a
-   * run is about to end, those are struck and one of them is left; else some that run.
+   * Cuts off some endpoints for the same time and with the same outcomes. Chooses among
+   * the endpoints on which a run is about to end, of which at least one stays
+   * connected, or among all busy endpoints if fewer than two are about to end a run.
    */
-  strike(ending: readonly string[]): void {
-    const isAny = ending.length > 1;
-    const from = isAny ? [...ending] : this.#listBusy();
-    const lastsMs = this.#random.between(LENGTH_MS.least, LENGTH_MS.most);
-    const untilMs = this.#fleet.clock.monotonicMs() + lastsMs;
-    const fates = this.#random.choose(SHAPES);
-    const most = isAny ? ending.length - 1 : MOST_AT_ONCE;
-    const count = this.#random.between(1, most);
-    for (let i = 0; i < count && from.length > 0; i++) {
-      const [id] = from.splice(this.#random.between(0, from.length - 1), 1);
-      this.#cuts.set(id, { untilMs, fates });
+  inject(ending: readonly string[]): void {
+    const hasEnding = ending.length > 1;
+    const candidates = hasEnding ? [...ending] : this.#listBusy();
+    const durationMs = this.#random.between(CUT_MS.min, CUT_MS.max);
+    const untilMs = this.#fleet.clock.monotonicMs() + durationMs;
+    const outcomes = this.#random.choose(OUTCOME_SETS);
+    const max = hasEnding ? ending.length - 1 : MAX_CUT_ENDPOINTS;
+    const count = this.#random.between(1, max);
+    for (let i = 0; i < count && candidates.length > 0; i++) {
+      const [id] = candidates.splice(
+        this.#random.between(0, candidates.length - 1),
+        1,
+      );
+      this.#cuts.set(id, { untilMs, outcomes });
     }
   }
 
@@ -56,15 +60,17 @@
     return [...new Set(running.map(({ worker }) => worker))];
   }
 
-  /** What becomes of an order to an endpoint that arrives now. */
-  fateOf(id: string): StandIns.OrderFate {
+  /** Draws the outcome of an order that arrives at an endpoint now. */
+  outcomeOf(id: string): StandIns.OrderFate {
     const cut = this.#cuts.get(id);
     const isOver = cut === undefined ||
       cut.untilMs <= this.#fleet.clock.monotonicMs();
-    return isOver ? StandIns.OrderFate.Carried : this.#random.choose(cut.fates);
+    return isOver
+      ? StandIns.OrderFate.Carried
+      : this.#random.choose(cut.outcomes);
   }
 
-  /** Orders get through to all. */
+  /** Ends all cuts. */
   endAll(): void {
     this.#cuts.clear();
   }
--- a/packages/test-utils/src/builders.ts
+++ b/packages/test-utils/src/builders.ts
@@ -1,8 +1,8 @@
-/** Small deployments and jobs. */
+/** Builders for small deployments and jobs. */
 import * as Types from "@cairngate/types";
 import * as Yaml from "yaml";
 
-/** A team; the guarantee is a list of [accelerators, count]. */
+/** Builds a team; the guarantee is a list of [accelerators, count]. */
 export function buildTeam(
   name: string,
   options: {
@@ -26,7 +26,7 @@
   };
 }
 
-/** One cell of racks with 8 accelerators a worker. */
+/** Builds a deployment of one cell whose endpoints have 8 accelerators each. */
 export function buildDeployment(
   options: {
     racks?: number;
@@ -82,7 +82,7 @@
   };
 }
 
-/** A job of team a on one accelerator, unless told otherwise. */
+/** Builds a job of team a on one accelerator; `changes` override the defaults. */
 export function buildJobShape(
   id: string,
   changes: Partial<Types.JobShape> = {},
@@ -104,7 +104,7 @@
   };
 }
 
-/** Text of an operators' file; optional fields are left out, not null. */
+/** Prints a deployment as the YAML file of an operator; null fields are left out. */
 export function printDeployment(cfg: Types.DeploymentConfig): string {
   const plain = JSON.stringify(
     cfg,
--- a/packages/test-utils/src/changing_rooms.ts
+++ b/packages/test-utils/src/changing_rooms.ts
@@ -1,76 +1,85 @@
-/** Endpoints whose rooms shrink and grow, and what may start there. */
+/** Simulates endpoints whose listed capacity changes, and checks starts against it. */
 import * as randoms from "./seeded_random.ts";
 import type * as fleets from "./test_fleet.ts";
 
-/** A shrunk room counts from then on, in ms: operators give contact and a beat. */
-const ROOM_KNOWN_MS = 4500;
+/**
+ * Time after which a reduced capacity binds the scheduler, in ms: operators allow for
+ * one contact and one heartbeat.
+ */
+const CAPACITY_EFFECTIVE_MS = 4500;
 
-/** Rooms of the endpoints that shrink and grow, as their listings tell. */
-export class ChangingRooms {
+/** Changes the listed accelerators of endpoints and checks starts against them. */
+export class CapacityChanges {
   readonly #fleet: fleets.TestFleet;
   readonly #random: randoms.SeededRandom;
   readonly #sizes: readonly number[];
-  readonly #changes: { id: string; atMs: number; room: number }[] = [];
+  readonly #changes: { id: string; atMs: number; capacity: number }[] = [];
 
-  /** @param sizes accelerators of the endpoints, by the place of their address */
+  /** @param sizes accelerators of the endpoints, by index of their address */
   constructor(
     fleet: fleets.TestFleet,
     options: { readonly seed: number; readonly sizes: readonly number[] },
   ) {
     this.#fleet = fleet;
     this.#sizes = options.sizes;
-    // Draws of its own: the other faults of a seed stay as they are.
+    // A separate generator, so that the other faults of a seed do not change.
     this.#random = new randoms.SeededRandom(options.seed + 0.5);
     fleet.workers.guardsRoom = false;
   }
 
-  /** One endpoint says that its room is another. */
+  /** Lists a random endpoint with a random number of accelerators. */
   change(): void {
-    const lives = this.#fleet.workers.listLives();
-    if (lives.length === 0) return;
-    const id = this.#random.choose(lives);
+    const ids = this.#fleet.workers.listLives();
+    if (ids.length === 0) return;
+    const id = this.#random.choose(ids);
     this.#set(id, this.#random.between(0, this.#sizeOf(id)));
   }
 
-  /** All endpoints have all of their room again. */
+  /** Lists all endpoints with all of their accelerators again. */
   restore(): void {
     for (const id of this.#fleet.workers.listLives()) {
       this.#set(id, this.#sizeOf(id));
     }
   }
 
-  /** Starts that brought an endpoint over what it had said for long enough. */
+  /** Returns the starts that exceeded the capacity listed at the time, as messages. */
   findViolations(): string[] {
     const { runs } = this.#fleet.workers;
     return runs.flatMap(({ task, run, worker, startedAtMs }) => {
-      const held = runs.filter((note) =>
+      const concurrent = runs.filter((note) =>
         note.worker === worker && note.startedAtMs <= startedAtMs &&
         (note.endedAtMs ?? Number.POSITIVE_INFINITY) > startedAtMs
       );
-      const room = this.#roomAt(worker, startedAtMs);
-      return held.length > room
-        ? [`${task} run ${run}: ${held.length} on a room of ${room}`]
+      const capacity = this.#capacityAt(worker, startedAtMs);
+      return concurrent.length > capacity
+        ? [
+          `${task} run ${run}: ${concurrent.length} runs on a capacity of ${capacity}`,
+        ]
         : [];
     });
   }
 
-  #set(id: string, room: number): void {
+  #set(id: string, capacity: number): void {
     const place = this.#fleet.placeOf(id);
-    this.#fleet.list({ id, accelerators: room }, place);
-    this.#changes.push({ id, atMs: this.#fleet.clock.monotonicMs(), room });
+    this.#fleet.list({ id, accelerators: capacity }, place);
+    this.#changes.push({ id, atMs: this.#fleet.clock.monotonicMs(), capacity });
   }
 
   #sizeOf(id: string): number {
     return this.#sizes[this.#fleet.placeOf(id)];
   }
 
-  /** The most that it has said of itself in the time that counts. */
-  #roomAt(id: string, atMs: number): number {
-    const own = this.#changes.filter((one) => one.id === id && one.atMs < atMs);
-    const before = own.filter((one) => one.atMs <= atMs - ROOM_KNOWN_MS);
-    const counted = own.slice(Math.max(0, before.length - 1));
-    const rooms = counted.map(({ room }) => room);
-    if (before.length === 0) rooms.push(this.#sizeOf(id));
-    return Math.max(...rooms);
+  /** Highest capacity listed within the effective time before a moment. */
+  #capacityAt(id: string, atMs: number): number {
+    const changes = this.#changes.filter((one) =>
+      one.id === id && one.atMs < atMs
+    );
+    const earlier = changes.filter((one) =>
+      one.atMs <= atMs - CAPACITY_EFFECTIVE_MS
+    );
+    const relevant = changes.slice(Math.max(0, earlier.length - 1));
+    const capacities = relevant.map(({ capacity }) => capacity);
+    if (earlier.length === 0) capacities.push(this.#sizeOf(id));
+    return Math.max(...capacities);
   }
 }
--- a/packages/test-utils/src/cut_play.ts
+++ b/packages/test-utils/src/cut_play.ts
@@ -1,47 +1,47 @@
 /**
- * One play of work whose endpoints are cut off while their entries lapse. No
- * endpoint ends in it and no task fails.
+ * Simulates work on endpoints that are cut off while their list entries expire. No
+ * endpoint crashes and no task fails.
  */
 import * as StandIns from "@cairngate/stand-ins";
 import * as Workflow from "@cairngate/workflow";
-import * as cutting from "./endpoint_cuts.ts";
+import * as endpointCuts from "./endpoint_cuts.ts";
 import * as checks from "./run_checks.ts";
 import * as randoms from "./seeded_random.ts";
 import * as fleets from "./test_fleet.ts";
 
-/** Time of a run, in ms: longer than the longest lease of the fleet, 6 s. */
+/** Run time of a task, in ms: longer than the longest lease of the fleet, 6 s. */
 const RUN_MS = 7000;
-/** Cuts of a play: each run meets one, wherever it starts again. */
-const CUTS = 16;
+/** Number of cuts: enough that every run meets one, wherever it restarts. */
+const CUT_COUNT = 16;
 /** Time between two cuts, in ms. */
-const PAUSE_MS = { least: 2500, most: 3000 };
-/** Cuts after each of which another box coordinates, where a play changes it. */
+const PAUSE_MS = { min: 2500, max: 3000 };
+/** Number of cuts between two changes of the coordinator. */
 const CUTS_PER_TERM = 3;
-/** Cuts after each of which urgent work is handed in, where a play has it. */
-const CUTS_PER_RUSH = 2;
-/** Time of urgent work, in ms, and its width: the guarantee of the team. */
-const RUSH = { runMs: 2000, count: 4 };
-/** Time in which all work ends after the last cut, in ms: some ten runs. */
-const LIMIT_MS = 80_000;
+/** Number of cuts between two submissions of urgent work. */
+const CUTS_PER_URGENT = 2;
+/** Run time and task count of urgent work; the count is the guarantee of the team. */
+const URGENT = { runMs: 2000, count: 4 };
+/** Time in which all work must end after the last cut, in ms: about ten runs. */
+const COMPLETION_TIMEOUT_MS = 80_000;
 
-/** What is played. */
+/** Options of a simulation of cuts. */
 export interface CutPlay {
-  readonly shape: cutting.CutShape;
+  readonly shape: endpointCuts.CutShape;
   /** Accelerators of the endpoints. */
   readonly workers: readonly number[];
   readonly workflows: number;
-  /** Endpoints that are cut off at each of the moments. */
+  /** Number of endpoints that are cut off at a time. */
   readonly victims: number;
-  /** Whether each workflow is a gang of two tasks, and not one task. */
+  /** Whether each workflow is a gang of two tasks instead of one task. */
   readonly gangs: boolean;
   readonly changesCoordinator: boolean;
-  /** Whether guaranteed work takes the room of the other between the cuts. */
+  /** Whether guaranteed work preempts other work between the cuts. */
   readonly rushes: boolean;
 }
 
 /**
- * Six tasks on eight endpoints, of which up to four are cut off at one time, for
- * three seconds longer than the longest lease; the entry returns with the link.
+ * Default cuts: six tasks on eight endpoints, of which up to four are cut off at a
+ * time, for 3 s longer than the longest lease. The list entry returns with the link.
  */
 export const USUAL_CUTS: CutPlay = {
   shape: {
@@ -58,50 +58,50 @@
   rushes: false,
 };
 
-/** What went wrong in a play; all lists are empty if all is well. */
+/** Problems found by a simulation; all lists are empty on success. */
 export interface CutOutcome {
-  /** Workflows that are shown as failed. */
+  /** Workflows that failed. */
   readonly failed: readonly string[];
-  /** Workflows that are neither done nor failed at the end. */
+  /** Workflows that have neither completed nor failed at the end. */
   readonly undone: readonly string[];
-  /** Runs that break a promise, in words. */
+  /** Descriptions of the runs that violate a guarantee. */
   readonly broken: readonly string[];
 }
 
-/** Work under way and the cuts that it meets. */
-class Cutting {
+/** Runs the work and the cuts of one seed. */
+class CutSimulation {
   readonly fleet: fleets.TestFleet;
   readonly ids: string[] = [];
-  readonly #play: CutPlay;
+  readonly #options: CutPlay;
   readonly #random: randoms.SeededRandom;
-  readonly #cuts: cutting.EndpointCuts;
+  readonly #cuts: endpointCuts.EndpointCuts;
 
-  constructor(play: CutPlay, seed: number) {
-    this.#play = play;
+  constructor(options: CutPlay, seed: number) {
+    this.#options = options;
     this.#random = new randoms.SeededRandom(seed);
-    this.fleet = new fleets.TestFleet({ workers: play.workers, seed });
-    this.#cuts = new cutting.EndpointCuts(this.fleet);
+    this.fleet = new fleets.TestFleet({ workers: options.workers, seed });
+    this.#cuts = new endpointCuts.EndpointCuts(this.fleet);
     this.fleet.workers.behave = (task) => ({
-      runMs: task.startsWith("b") ? RUSH.runMs : RUN_MS,
+      runMs: task.startsWith("b") ? URGENT.runMs : RUN_MS,
       fails: false,
     });
     this.fleet.workers.carry = (id) =>
       this.#cuts.fateOf(id) ?? StandIns.OrderFate.Carried;
   }
 
-  async handIn(): Promise<void> {
-    const gang = this.#play.gangs ? { count: 2, gang: true } : {};
+  async submitAll(): Promise<void> {
+    const gang = this.#options.gangs ? { count: 2, gang: true } : {};
     const steps = [fleets.buildStep({ estimateMs: RUN_MS, ...gang })];
-    const priority = this.#play.rushes ? 2 : 1;
-    for (let i = 0; i < this.#play.workflows; i++) {
+    const priority = this.#options.rushes ? 2 : 1;
+    for (let i = 0; i < this.#options.workflows; i++) {
       await this.#submit("a", { steps, priority });
     }
   }
 
   async cutAll(): Promise<void> {
-    const { changesCoordinator, rushes, victims, shape } = this.#play;
-    for (let i = 1; i <= CUTS; i++) {
-      const pauseMs = this.#random.between(PAUSE_MS.least, PAUSE_MS.most);
+    const { changesCoordinator, rushes, victims, shape } = this.#options;
+    for (let i = 1; i <= CUT_COUNT; i++) {
+      const pauseMs = this.#random.between(PAUSE_MS.min, PAUSE_MS.max);
       await this.fleet.clock.advance(pauseMs);
       for (const id of this.#chooseVictims(victims)) {
         this.#cuts.begin(id, shape);
@@ -109,20 +109,23 @@
       if (changesCoordinator && i % CUTS_PER_TERM === 0) {
         await this.#replaceCoordinator();
       }
-      if (rushes && i % CUTS_PER_RUSH === 0) await this.#rush();
+      if (rushes && i % CUTS_PER_URGENT === 0) await this.#addUrgent();
     }
   }
 
-  /** Endpoints on which something runs and which are whole, if there are any. */
+  /**
+   * Chooses busy endpoints that are not cut off; fewer than `count` if there are not
+   * enough.
+   */
   #chooseVictims(count: number): string[] {
     this.fleet.workers.settle();
     const running = this.fleet.workers.runs.filter(({ how }) => how === null);
-    const busy = new Set(running.map(({ worker }) => worker));
-    const whole = [...busy].filter((id) => !this.#cuts.has(id));
+    const busyIds = new Set(running.map(({ worker }) => worker));
+    const candidates = [...busyIds].filter((id) => !this.#cuts.has(id));
     const chosen: string[] = [];
-    while (chosen.length < count && whole.length > 0) {
-      const at = this.#random.between(0, whole.length - 1);
-      chosen.push(...whole.splice(at, 1));
+    while (chosen.length < count && candidates.length > 0) {
+      const at = this.#random.between(0, candidates.length - 1);
+      chosen.push(...candidates.splice(at, 1));
     }
     return chosen;
   }
@@ -134,8 +137,8 @@
     this.fleet.startNode(`${coordinator}+`);
   }
 
-  async #rush(): Promise<void> {
-    const { runMs: estimateMs, count } = RUSH;
+  async #addUrgent(): Promise<void> {
+    const { runMs: estimateMs, count } = URGENT;
     const steps = [fleets.buildStep({ estimateMs, count })];
     await this.#submit("b", { steps, priority: 0 });
   }
@@ -145,20 +148,20 @@
     options: { steps: readonly Workflow.StepSpec[]; priority: number },
   ): Promise<void> {
     const id = `${kind}${String(this.ids.length).padStart(15, "0")}`;
-    const [name] = this.fleet.nodes.keys();
-    await this.fleet.submit(name, id, options);
+    const [box] = this.fleet.nodes.keys();
+    await this.fleet.submit(box, id, options);
     this.ids.push(id);
   }
 }
 
-/** Plays some seeds of the usual cuts, changed in some parts. */
+/** Simulates the default cuts, with some options changed, for each of the seeds. */
 export async function playCuts(
   changes: Partial<CutPlay>,
   seeds: readonly number[],
 ): Promise<CutOutcome> {
-  const play = { ...USUAL_CUTS, ...changes };
+  const options = { ...USUAL_CUTS, ...changes };
   const outcomes: CutOutcome[] = [];
-  for (const seed of seeds) outcomes.push(await playSeed(play, seed));
+  for (const seed of seeds) outcomes.push(await simulateSeed(options, seed));
   return {
     failed: outcomes.flatMap(({ failed }) => failed),
     undone: outcomes.flatMap(({ undone }) => undone),
@@ -166,21 +169,24 @@
   };
 }
 
-async function playSeed(play: CutPlay, seed: number): Promise<CutOutcome> {
-  const cuts = new Cutting(play, seed);
-  const { fleet, ids } = cuts;
+async function simulateSeed(
+  options: CutPlay,
+  seed: number,
+): Promise<CutOutcome> {
+  const simulation = new CutSimulation(options, seed);
+  const { fleet, ids } = simulation;
   await fleet.start();
-  await cuts.handIn();
-  await cuts.cutAll();
+  await simulation.submitAll();
+  await simulation.cutAll();
   const { Completed, Failed } = Workflow.WorkflowState;
   const isFailed = (id: string) => fleet.state(id) === Failed;
   const isOver = (id: string) => isFailed(id) || fleet.state(id) === Completed;
-  await fleet.until(() => ids.every(isOver), LIMIT_MS);
-  const name = (id: string) => `seed ${seed}: ${id}`;
+  await fleet.until(() => ids.every(isOver), COMPLETION_TIMEOUT_MS);
+  const label = (id: string) => `seed ${seed}: ${id}`;
   const outcome = {
-    failed: ids.filter(isFailed).map(name),
-    undone: ids.filter((id) => !isOver(id)).map(name),
-    broken: checks.findBrokenRuns(fleet).map(name),
+    failed: ids.filter(isFailed).map(label),
+    undone: ids.filter((id) => !isOver(id)).map(label),
+    broken: checks.findBrokenRuns(fleet).map(label),
   };
   await fleet.stop();
   return outcome;
--- a/packages/test-utils/src/drawn_ways.ts
+++ b/packages/test-utils/src/drawn_ways.ts
@@ -1,32 +1,34 @@
-/** Times of orders on their ways, so that answers overtake one another. */
+/** Random transit times of orders, so that answers overtake one another. */
 import type * as StandIns from "@cairngate/stand-ins";
 import * as randoms from "./seeded_random.ts";
 
-/** Times that a network takes one way, in ms. */
-const QUICK_MS = { least: 1, most: 10 };
+/** Transit time of the network alone, one way, in ms. */
+const FAST_MS = { min: 1, max: 10 };
 /**
- * The same for a box or an endpoint that has other work: under half of what an order
- * may take there and back, 450 ms, so that none is lost by it.
+ * Transit time where a box or an endpoint is busy, one way, in ms: less than half of
+ * the 450 ms that an order may take there and back, so that no order times out.
  */
-const SLOW_MS = { least: 10, most: 200 };
-/** Share of the ways that are slow, 0 to 1. */
+const SLOW_MS = { min: 10, max: 200 };
+/** Share of the transits that are slow, 0 to 1. */
 const SLOW_SHARE = 0.15;
-/** Share of the orders on their way at a reset that arrive after it, 0 to 1. */
-const ARRIVES_SHARE = 0.5;
-/** By when they have arrived, in ms after the reset. */
-const AFTER_RESET_MS = 300;
+/** Share of the orders in flight at a reset that still arrive after it, 0 to 1. */
+const LATE_ARRIVAL_SHARE = 0.5;
+/** Longest time from a reset to such an arrival, in ms. */
+const MAX_LATE_ARRIVAL_MS = 300;
 
-/** Draws the times of one play. */
-export function drawWays(seed: number): StandIns.WayTimes {
+/** Creates the random transit times of one simulation. */
+export function drawDelays(seed: number): StandIns.WayTimes {
   const random = new randoms.SeededRandom(seed);
   const drawMs = () => {
-    const { least, most } = random.next() < SLOW_SHARE ? SLOW_MS : QUICK_MS;
-    return random.between(least, most);
+    const { min, max } = random.next() < SLOW_SHARE ? SLOW_MS : FAST_MS;
+    return random.between(min, max);
   };
   return {
     thereMs: drawMs,
     backMs: drawMs,
     afterResetMs: () =>
-      random.next() < ARRIVES_SHARE ? random.between(0, AFTER_RESET_MS) : null,
+      random.next() < LATE_ARRIVAL_SHARE
+        ? random.between(0, MAX_LATE_ARRIVAL_MS)
+        : null,
   };
 }
--- a/packages/test-utils/src/ended_workflows.ts
+++ b/packages/test-utils/src/ended_workflows.ts
@@ -1,12 +1,12 @@
-/** Rows of workflows that ended before a test begins. */
+/** Store rows of workflows that ended before a test begins. */
 import * as TableClient from "@cairngate/table-client";
 import * as Workflow from "@cairngate/workflow";
 import * as fleets from "./test_fleet.ts";
 
-/** Bytes of the payload of a workflow that is large. */
+/** Size of a large payload, in bytes. */
 const PAYLOAD_BYTES = 4000;
 
-/** Specification of a workflow that ended, with all of its work. */
+/** Builds the specification of a workflow with a large payload. */
 export function buildEnded(index: number): Workflow.WorkflowSpec {
   const id = `b${String(index).padStart(15, "0")}`;
   const [, policy] = fleets.buildAccess().queues;
@@ -31,8 +31,8 @@
 }
 
 /**
- * Writes the rows of a workflow that has ended, in its home partition, with all
- * of its work, as earlier versions and broken-off terms leave them.
+ * Writes the rows of a completed workflow to its home partition, including its full
+ * specification, as earlier versions and interrupted terms leave them.
  */
 export function writeEnded(fleet: fleets.TestFleet, index: number): void {
   const spec = buildEnded(index);
--- a/packages/test-utils/src/endpoint_cuts.ts
+++ b/packages/test-utils/src/endpoint_cuts.ts
@@ -1,28 +1,28 @@
-/** Endpoints that no order reaches and whose entries lapse, and that live on. */
+/** Cuts off endpoints that keep running, and removes their list entries meanwhile. */
 import type * as Ports from "@cairngate/ports";
 import type * as StandIns from "@cairngate/stand-ins";
 import * as Effect from "effect/Effect";
 import type * as fleets from "./test_fleet.ts";
 
-/** One cut; its times are in ms from the moment at which it begins. */
+/** Course of one cut; its times are in ms from the start of the cut. */
 export interface CutShape {
-  /** What becomes of orders to the endpoint meanwhile. */
+  /** Outcome of orders to the endpoint during the cut. */
   readonly fate: StandIns.OrderFate;
   /** When orders arrive again. */
   readonly healsMs: number;
   readonly entryGoesMs: number;
-  /** When the same life is listed again. */
+  /** When the same incarnation is listed again. */
   readonly entryBackMs: number;
 }
 
 interface Cut {
   fate: StandIns.OrderFate | null;
-  /** The entry while it is away. */
+  /** The removed list entry. */
   entry: Ports.EndpointListing | null;
-  isListed: boolean;
+  isRelisted: boolean;
 }
 
-/** Cuts off endpoints of a fleet for a while; none of them ends by it. */
+/** Cuts off endpoints of a fleet for a time without ending them. */
 export class EndpointCuts {
   readonly #fleet: fleets.TestFleet;
   readonly #cuts = new Map<string, Cut>();
@@ -31,27 +31,27 @@
     this.#fleet = fleet;
   }
 
-  /** Cuts an endpoint off that is not cut already. */
+  /** Cuts off an endpoint; does nothing if it is cut off already. */
   begin(id: string, shape: CutShape): void {
     if (this.has(id)) return;
-    const cut: Cut = { fate: shape.fate, entry: null, isListed: false };
+    const cut: Cut = { fate: shape.fate, entry: null, isRelisted: false };
     this.#cuts.set(id, cut);
-    this.#later(shape.entryGoesMs, () => this.#unlist(id, cut));
-    this.#later(shape.entryBackMs, () => this.#listAgain(id, cut));
-    this.#later(shape.healsMs, () => this.#heal(id, cut));
+    this.#schedule(shape.entryGoesMs, () => this.#unlist(id, cut));
+    this.#schedule(shape.entryBackMs, () => this.#listAgain(id, cut));
+    this.#schedule(shape.healsMs, () => this.#heal(id, cut));
   }
 
-  /** Whether an endpoint is cut off, or not yet listed again. */
+  /** Whether an endpoint is cut off or not yet listed again. */
   has(id: string): boolean {
     return this.#cuts.has(id);
   }
 
-  /** What becomes of orders to an endpoint; null while it is not cut off. */
+  /** Outcome of orders to an endpoint; null while orders reach it. */
   fateOf(id: string): StandIns.OrderFate | null {
     return this.#cuts.get(id)?.fate ?? null;
   }
 
-  /** All are reached and listed again. */
+  /** Ends all cuts and lists the endpoints again. */
   endAll(): void {
     for (const [id, cut] of [...this.#cuts]) {
       this.#listAgain(id, cut);
@@ -67,24 +67,24 @@
 
   #listAgain(id: string, cut: Cut): void {
     if (this.#cuts.get(id) !== cut) return;
-    const lives = this.#fleet.workers.listLives().includes(id);
-    if (lives && cut.entry !== null) this.#fleet.writeEntry(cut.entry);
-    cut.isListed = true;
-    this.#forget(id, cut);
+    const isAlive = this.#fleet.workers.listLives().includes(id);
+    if (isAlive && cut.entry !== null) this.#fleet.writeEntry(cut.entry);
+    cut.isRelisted = true;
+    this.#removeIfOver(id, cut);
   }
 
   #heal(id: string, cut: Cut): void {
     cut.fate = null;
-    this.#forget(id, cut);
+    this.#removeIfOver(id, cut);
   }
 
-  #forget(id: string, cut: Cut): void {
-    const isOver = cut.isListed && cut.fate === null;
+  #removeIfOver(id: string, cut: Cut): void {
+    const isOver = cut.isRelisted && cut.fate === null;
     if (isOver && this.#cuts.get(id) === cut) this.#cuts.delete(id);
   }
 
-  #later(afterMs: number, act: () => void): void {
+  #schedule(afterMs: number, action: () => void): void {
     const wait = this.#fleet.clock.sleep(afterMs);
-    Effect.runFork(Effect.andThen(wait, Effect.sync(act)));
+    Effect.runFork(Effect.andThen(wait, Effect.sync(action)));
   }
 }
--- a/packages/test-utils/src/evacuations.ts
+++ b/packages/test-utils/src/evacuations.ts
@@ -1,14 +1,14 @@
 /**
- * Data centres that are evacuated and taken back, or lose power, and what may start
- * there.
+ * Simulates evacuations and power losses of data centres, and checks that nothing
+ * starts in an evacuated one.
  */
 import type * as StandIns from "@cairngate/stand-ins";
 import * as randoms from "./seeded_random.ts";
 import * as fleets from "./test_fleet.ts";
 
-/** Share of the changes in which the endpoints of a data centre lose power. */
+/** Share of the changes in which a data centre loses power, 0 to 1. */
 const POWER_LOSS_SHARE = 0.2;
-/** Time for which endpoints are cold that come back, in ms. */
+/** Time for which endpoints are cold after a power loss, in ms. */
 const COLD_MS = 2000;
 
 interface Span {
@@ -17,7 +17,7 @@
   untilMs: number;
 }
 
-/** The operator of a test that evacuates data centres. */
+/** Evacuates data centres of a fleet as its operator does. */
 export class Evacuations {
   readonly #fleet: fleets.TestFleet;
   readonly #random: randoms.SeededRandom;
@@ -27,8 +27,8 @@
   readonly #losesPower: boolean;
 
   /**
-   * @param options.dataCentres those that may be evacuated
-   * @param options.losesPower whether they lose power at times as well
+   * @param options.dataCentres data centres that may be evacuated
+   * @param options.losesPower whether they also lose power at random
    */
   constructor(
     fleet: fleets.TestFleet,
@@ -41,73 +41,74 @@
     this.#fleet = fleet;
     this.#losesPower = options.losesPower ?? false;
     this.#dataCentres = options.dataCentres;
-    // Draws of its own: the other faults of a seed stay as they are.
+    // A separate generator, so that the other faults of a seed do not change.
     this.#random = new randoms.SeededRandom(options.seed + 0.75);
     if (this.#losesPower) fleet.coldAfterCrashMs = COLD_MS;
   }
 
-  /** One data centre is evacuated, or taken back where it is so already. */
+  /** Evacuates a random data centre, or returns it to use if it is evacuated. */
   change(): void {
     const dataCentre = this.#random.choose(this.#dataCentres);
     if (this.#losesPower && this.#random.next() < POWER_LOSS_SHARE) {
       this.#losePower(dataCentre);
     }
-    if (this.#open(dataCentre) === undefined) this.begin(dataCentre);
+    if (this.#findOpenSpan(dataCentre) === undefined) this.begin(dataCentre);
     else this.end(dataCentre);
   }
 
-  /** The operator writes the row, also where it is there already. */
+  /** Writes the evacuation row of a data centre, even if it exists already. */
   begin(dataCentre: string): void {
     this.#fleet.evacuate(dataCentre);
-    if (this.#open(dataCentre) !== undefined) return;
+    if (this.#findOpenSpan(dataCentre) !== undefined) return;
     const fromMs = this.#fleet.clock.monotonicMs();
     const untilMs = Number.POSITIVE_INFINITY;
     this.#spans.push({ dataCentre, fromMs, untilMs });
   }
 
-  /** The operator takes the row away. */
+  /** Removes the evacuation row of a data centre. */
   end(dataCentre: string): void {
     this.#fleet.takeBack(dataCentre);
-    const span = this.#open(dataCentre);
+    const span = this.#findOpenSpan(dataCentre);
     if (span !== undefined) span.untilMs = this.#fleet.clock.monotonicMs();
   }
 
-  /** All data centres are in use again. */
+  /** Ends all evacuations. */
   endAll(): void {
     for (const dataCentre of this.#dataCentres) this.end(dataCentre);
   }
 
   /**
-   * Starts in an evacuated data centre later than the bound. Orders that their
-   * endpoint carried out late do not count: no box can take them back in time.
+   * Describes the starts in an evacuated data centre after the grace period. Orders
+   * that an endpoint executed late are not counted, because no box can revoke them in
+   * time.
    */
   findViolations(): string[] {
     const runs = this.#fleet.workers.runs.filter((note) => !note.wasLate);
     return runs.filter((note) => this.#isForbidden(note)).map((note) =>
-      `${note.task} run ${note.run} starts on ${note.worker} at ` +
-      `${note.startedAtMs} ms, evacuated`
+      `${note.task} run ${note.run} started on ${note.worker} at ` +
+      `${note.startedAtMs} ms in an evacuated data centre`
     );
   }
 
   #losePower(dataCentre: string): void {
     const fleet = this.#fleet;
-    const lost = fleet.workers.listLives().filter((id) =>
+    const endpoints = fleet.workers.listLives().filter((id) =>
       fleet.dataCentreOf(fleet.placeOf(id)) === dataCentre
     );
-    for (const id of lost) fleet.workers.crash(id);
+    for (const id of endpoints) fleet.workers.crash(id);
   }
 
   #isForbidden({ worker, startedAtMs }: StandIns.TaskRunNote): boolean {
     const place = this.#fleet.placeOf(worker);
     const dataCentre = this.#fleet.dataCentreOf(place);
-    const boundMs = fleets.EVACUATION_IN_FORCE_MS;
+    const graceMs = fleets.EVACUATION_IN_FORCE_MS;
     return this.#spans.some((span) =>
       span.dataCentre === dataCentre &&
-      startedAtMs > span.fromMs + boundMs && startedAtMs < span.untilMs
+      startedAtMs > span.fromMs + graceMs && startedAtMs < span.untilMs
     );
   }
 
-  #open(dataCentre: string): Span | undefined {
+  #findOpenSpan(dataCentre: string): Span | undefined {
     return this.#spans.find((span) =>
       span.dataCentre === dataCentre &&
       span.untilMs === Number.POSITIVE_INFINITY
--- a/packages/test-utils/src/fake_clock.ts
+++ b/packages/test-utils/src/fake_clock.ts
@@ -1,4 +1,4 @@
-/** A clock that moves only when a test says so. */
+/** A clock that advances only when a test advances it. */
 import * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
 import * as timers from "node:timers";
@@ -9,10 +9,10 @@
   readonly wake: () => void;
 }
 
-/** Rounds of the event loop in which woken fibers come to rest. */
+/** Rounds of the event loop after which woken fibers are idle again. */
 const SETTLE_ROUNDS = 4;
 
-/** Time that a test moves. */
+/** Clock under the control of a test. */
 export class FakeClock extends Ports.Clock {
   #nowMs = 1_000_000;
   #order = 0;
@@ -40,7 +40,7 @@
     });
   }
 
-  /** Moves time on, waking each sleeper at its own moment. */
+  /** Advances the time and wakes each sleeper at its due time. */
   async advance(ms: number): Promise<void> {
     const endMs = this.#nowMs + ms;
     await settle();
@@ -54,13 +54,13 @@
     this.#nowMs = endMs;
   }
 
-  /** Moves time on in steps until something holds; false if it never does. */
+  /** Advances in steps until a condition holds; returns false on timeout. */
   async advanceUntil(
     holds: () => boolean,
-    limitMs: number,
+    timeoutMs: number,
   ): Promise<boolean> {
     const stepMs = 50;
-    for (let passed = 0; passed < limitMs; passed += stepMs) {
+    for (let elapsedMs = 0; elapsedMs < timeoutMs; elapsedMs += stepMs) {
       if (holds()) return true;
       await this.advance(stepMs);
     }
--- a/packages/test-utils/src/fake_network.ts
+++ b/packages/test-utils/src/fake_network.ts
@@ -1,10 +1,10 @@
-/** Links between boxes of one process, which tests can cut. */
+/** In-process network between boxes, whose links tests can cut. */
 import * as Errors from "@cairngate/errors";
 import * as Ports from "@cairngate/ports";
 import type * as Types from "@cairngate/types";
 import * as Effect from "effect/Effect";
 
-/** Connects the fake networks of all boxes. */
+/** Routes requests between the fake networks of all boxes. */
 export class NetworkHub {
   readonly #handlers = new Map<string, Ports.PeerHandler>();
   readonly #cut = new Set<string>();
@@ -17,33 +17,33 @@
     this.clock = clock;
   }
 
-  /** Sets who answers for a box; null when the box is gone. */
+  /** Sets the request handler of a box; null removes the box. */
   attach(box: string, handler: Ports.PeerHandler | null): void {
     if (handler === null) this.#handlers.delete(box);
     else this.#handlers.set(box, handler);
   }
 
-  /** Sets what a box waits for before it answers. */
+  /** Sets an effect that a box completes before it handles a request. */
   setGate(box: string, gate: Effect.Effect<void>): void {
     this.#gates.set(box, gate);
   }
 
-  /** Whether the process of a box is there. */
+  /** Whether a box has a handler. */
   isAttached(box: string): boolean {
     return this.#handlers.has(box);
   }
 
-  /** Cuts a box off from all others. */
+  /** Cuts off a box from all others. */
   cut(box: string): void {
     this.#cut.add(box);
   }
 
-  /** Connects a box again. */
+  /** Reconnects a box. */
   heal(box: string): void {
     this.#cut.delete(box);
   }
 
-  /** Carries a request; a cut link answers nothing. */
+  /** Delivers a request; a request over a cut link is never answered. */
   carry(
     from: string,
     to: string,
@@ -52,13 +52,13 @@
     if (this.#cut.has(from) || this.#cut.has(to)) return Effect.never;
     const handler = this.#handlers.get(to);
     if (handler === undefined) return Effect.never;
-    // Messages are copied, as they are on a real link.
+    // A copy, as on a real link, so that the boxes share no objects.
     const gate = this.#gates.get(to) ?? Effect.void;
     return Effect.andThen(gate, handler(from, structuredClone(req)));
   }
 }
 
-/** One box's side of the hub. */
+/** Network of one box, connected to the hub. */
 export class FakeNetwork extends Ports.PeerNetwork {
   readonly #self: string;
   readonly #hub: NetworkHub;
--- a/packages/test-utils/src/fake_store_peers.ts
+++ b/packages/test-utils/src/fake_store_peers.ts
@@ -1,55 +1,55 @@
-/** Links between the nodes of one test. */
+/** In-process links between the boxes of one test. */
 import * as Errors from "@cairngate/errors";
 import * as Ports from "@cairngate/ports";
 import * as StandIns from "@cairngate/stand-ins";
 import * as Effect from "effect/Effect";
 
-/** A silent link is given up after this time without a sign of life, in ms. */
-const LINK_OVERDUE_MS = 1000;
+/** Time without an answer after which a silent link is closed, in ms. */
+const LINK_TIMEOUT_MS = 1000;
 
 type Handler = (call: Ports.StoreCall) => Effect.Effect<Ports.StoreReply>;
 
-/** All nodes of a test by address. */
+/** Routes calls between the boxes of a test by address. */
 export class FakePeerHub {
   readonly #clock: Ports.Clock;
   readonly #handlers = new Map<string, Handler>();
-  /** Links by their two ends. */
+  /** Links by their two addresses. */
   readonly #links = new Map<string, StandIns.OpenConnections>();
-  /** Whether a message gets from one address to another; tests replace it. */
+  /** Whether one address can send to another; tests replace it. */
   passes: (from: string, to: string) => boolean = () => true;
-  /** Time that a call and its reply are on their way. */
+  /** Time that a call takes to arrive, in ms; its reply takes none. */
   delayMs = 1;
 
   constructor(clock: Ports.Clock) {
     this.#clock = clock;
   }
 
-  /** The links of one node. */
-  linksOf(address: string): Ports.StorePeers {
+  /** Creates the links of one box. */
+  peersOf(address: string): Ports.StorePeers {
     return new FakeStorePeers(this, address);
   }
 
-  /** Opens or closes an address. */
+  /** Sets the handler of an address; null closes the address. */
   register(address: string, handler: Handler | null): void {
     if (handler === null) this.#handlers.delete(address);
     else this.#handlers.set(address, handler);
   }
 
-  /** All open links turn silent; new ones work. */
+  /** Makes all open links silent; new ones work. */
   silenceOpen(): void {
     for (const link of this.#links.values()) link.silence();
   }
 
   #linkOf(from: string, to: string): StandIns.OpenConnections {
     const name = `${from}>${to}`;
-    const known = this.#links.get(name);
-    if (known !== undefined) return known;
-    const made = new StandIns.OpenConnections(this.#clock, LINK_OVERDUE_MS);
-    this.#links.set(name, made);
-    return made;
+    const existing = this.#links.get(name);
+    if (existing !== undefined) return existing;
+    const created = new StandIns.OpenConnections(this.#clock, LINK_TIMEOUT_MS);
+    this.#links.set(name, created);
+    return created;
   }
 
-  /** Carries a call; silence where nothing passes. */
+  /** Delivers a call; fails after the timeout if it or its reply is lost. */
   carry(
     path: { from: string; to: string },
     call: Ports.StoreCall,
@@ -59,26 +59,28 @@
     const fail = (cause: string) =>
       Effect.fail(new Errors.PeerUnreachableError({ box: to, cause }));
     const reply = Effect.gen({ self: this }, function* () {
-      const way = this.#linkOf(from, to).begin();
-      if (way.isSilent) return yield* Effect.never;
+      const connection = this.#linkOf(from, to).begin();
+      if (connection.isSilent) return yield* Effect.never;
       yield* this.#clock.sleep(this.delayMs);
       if (!this.passes(from, to)) return yield* Effect.never;
       const handler = this.#handlers.get(to);
-      if (handler === undefined) return yield* fail("nobody listens");
+      if (handler === undefined) return yield* fail("connection refused");
       const answer = yield* handler(structuredClone(call));
-      const isLost = !this.passes(to, from) || !way.answers();
+      const isLost = !this.passes(to, from) || !connection.canBeAnswered();
       if (isLost) return yield* Effect.never;
       return structuredClone(answer);
     });
     return Effect.flatMap(
       this.#clock.within(timeoutMs, reply),
-      (timed) =>
-        timed === null ? fail("no reply") : Effect.succeed(timed.value),
+      (result) =>
+        result === null
+          ? fail("no reply in time")
+          : Effect.succeed(result.value),
     );
   }
 }
 
-/** One node's links. */
+/** Links of one box. */
 class FakeStorePeers extends Ports.StorePeers {
   readonly #hub: FakePeerHub;
   readonly #address: string;
--- a/packages/test-utils/src/faulty_workers.ts
+++ b/packages/test-utils/src/faulty_workers.ts
@@ -1,30 +1,30 @@
-/** Workers whose orders and answers can be lost, by order and worker. */
+/** Endpoint adapter that loses orders or answers by rule. */
 import * as Errors from "@cairngate/errors";
 import * as Ports from "@cairngate/ports";
 import type * as Types from "@cairngate/types";
 import * as Effect from "effect/Effect";
 
-/** What becomes of a call. */
+/** What is lost of a call. */
 export enum Loss {
   None = "none",
   /** The order never arrives. */
   Order = "order",
-  /** The order is carried out; its answer never arrives. */
+  /** The order is executed, but its answer never arrives. */
   Answer = "answer",
 }
 
-/** Decides for each call. */
+/** Decides what is lost of a call. */
 export type LossRule = (order: string, endpoint: string) => Loss;
 
-/** Changes an answer on its way. */
+/** Replaces the answer of a run. */
 export type AnswerRule = (answer: Types.TaskAnswer) => Types.TaskAnswer;
 
-/** Wraps an adapter of the workers. */
+/** Wraps an endpoint adapter. */
 export class FaultyWorkers extends Ports.Workers {
   readonly #inner: Ports.Workers;
   rule: LossRule = () => Loss.None;
   answerRule: AnswerRule = (answer) => answer;
-  /** Waits while the box is paused. */
+  /** Blocks calls while the box is paused. */
   gate: Effect.Effect<void> = Effect.void;
 
   constructor(inner: Ports.Workers) {
--- a/packages/test-utils/src/fleet_callers.ts
+++ b/packages/test-utils/src/fleet_callers.ts
@@ -1,19 +1,19 @@
-/** Calls of a caller of a test fleet that are checked afterwards. */
+/** Calls to a test fleet as its callers make them. */
 import * as Effect from "effect/Effect";
 import type * as fleets from "./test_fleet.ts";
 
-/** How a cancel is asked for. */
+/** A request to cancel a workflow. */
 export interface CancelCall {
-  /** Box that is asked. */
+  /** Name of the box that receives the request. */
   readonly at: string;
   readonly id: string;
-  /** Left out: 1. */
+  /** Defaults to 1. */
   readonly priority?: number;
 }
 
 /**
- * Asks a box to cancel a workflow. Returns the time of the acknowledgement, or
- * the tag of the error where the box answered with one.
+ * Cancels a workflow through a box. Returns the time of the acknowledgement in ms, or
+ * the tag of the error.
  */
 export async function cancelAt(
   fleet: fleets.TestFleet,
--- a/packages/test-utils/src/foreign_entries.ts
+++ b/packages/test-utils/src/foreign_entries.ts
@@ -1,34 +1,35 @@
-/** Entries of the list that other writers make, and that name no life. */
+/** List entries of another writer that belong to no incarnation of an endpoint. */
 import type * as Ports from "@cairngate/ports";
 import * as randoms from "./seeded_random.ts";
 import type * as fleets from "./test_fleet.ts";
 
-/** Share of the changes in which an entry comes, 0 to 1: one in every other round. */
-const COMES_SHARE = 0.5;
-/** Share of the changes in which one goes, 0 to 1: fewer, so that some stay. */
-const GOES_SHARE = 0.4;
-/** Share of the entries that stay to the end of the play and beyond. */
-const STAYS_SHARE = 0.2;
-/** Most at once: fewer than the four endpoints of a play. */
-const MOST = 3;
+/** Share of the changes that add an entry, 0 to 1. */
+const ADD_SHARE = 0.5;
+/** Share of the changes that remove one, 0 to 1: fewer, so that entries accumulate. */
+const REMOVE_SHARE = 0.4;
+/** Share of the entries that are never removed, 0 to 1. */
+const PERMANENT_SHARE = 0.2;
+/** Limit on entries at a time: fewer than the four endpoints of a simulation. */
+const MAX_ENTRIES = 3;
 
-/** Makes of an endpoint's entry one that names no life. */
-type Forge = (own: Ports.EndpointListing) => Ports.EndpointListing;
+/** Derives an entry without an incarnation from the entry of an endpoint. */
+type EntryVariant = (entry: Ports.EndpointListing) => Ports.EndpointListing;
 
-const FORGES: readonly Forge[] = [
-  // Looks usable, and names the endpoint's address.
-  (own) => own,
-  (own) => ({ ...own, service: "nobody-names-it", accelerators: 0 }),
-  (own) => ({ ...own, service: "nobody-names-it" }),
-  // Nobody listens there.
-  (own) => ({ ...own, address: "10.9.9.9:80" }),
+const ENTRY_VARIANTS: readonly EntryVariant[] = [
+  // Looks usable and has the address of the endpoint.
+  (entry) => entry,
+  (entry) => ({ ...entry, service: "nobody-names-it", accelerators: 0 }),
+  (entry) => ({ ...entry, service: "nobody-names-it" }),
+  // An address without a listener.
+  (entry) => ({ ...entry, address: "10.9.9.9:80" }),
 ];
 
-/** The other writer of one play. */
+/** The other writer of one simulation. */
 export class ForeignEntries {
   readonly #fleet: fleets.TestFleet;
   readonly #random: randoms.SeededRandom;
-  readonly #listed: { readonly id: string; readonly stays: boolean }[] = [];
+  readonly #listed: { readonly id: string; readonly isPermanent: boolean }[] =
+    [];
   #written = 0;
 
   constructor(fleet: fleets.TestFleet, seed: number) {
@@ -36,35 +37,35 @@
     this.#random = new randoms.SeededRandom(seed);
   }
 
-  /** An entry comes, goes, or both. */
+  /** May remove an entry and may add one. */
   change(): void {
-    if (this.#random.next() < GOES_SHARE) this.#removeOne();
-    if (this.#random.next() < COMES_SHARE) this.#add();
+    if (this.#random.next() < REMOVE_SHARE) this.#removeOne();
+    if (this.#random.next() < ADD_SHARE) this.#add();
   }
 
-  /** All go that do not stay. */
+  /** Removes all entries that are not permanent. */
   endAll(): void {
-    for (const { id, stays } of this.#listed) {
-      if (!stays) this.#fleet.unlist(id);
+    for (const { id, isPermanent } of this.#listed) {
+      if (!isPermanent) this.#fleet.unlist(id);
     }
   }
 
   #removeOne(): void {
-    const first = this.#listed.findIndex(({ stays }) => !stays);
+    const first = this.#listed.findIndex(({ isPermanent }) => !isPermanent);
     if (first < 0) return;
     const [{ id }] = this.#listed.splice(first, 1);
     this.#fleet.unlist(id);
   }
 
   #add(): void {
-    const lives = this.#fleet.workers.listLives();
-    if (lives.length === 0 || this.#listed.length >= MOST) return;
-    const own = this.#fleet.entryOf(this.#random.choose(lives));
-    const forge = this.#random.choose(FORGES);
-    const stays = this.#random.next() < STAYS_SHARE;
-    if (own === null) return;
+    const ids = this.#fleet.workers.listLives();
+    if (ids.length === 0 || this.#listed.length >= MAX_ENTRIES) return;
+    const entry = this.#fleet.entryOf(this.#random.choose(ids));
+    const vary = this.#random.choose(ENTRY_VARIANTS);
+    const isPermanent = this.#random.next() < PERMANENT_SHARE;
+    if (entry === null) return;
     const id = `foreign-${this.#written++}`;
-    this.#fleet.writeEntry({ ...forge(own), id });
-    this.#listed.push({ id, stays });
+    this.#fleet.writeEntry({ ...vary(entry), id });
+    this.#listed.push({ id, isPermanent });
   }
 }
--- a/packages/test-utils/src/free_address.ts
+++ b/packages/test-utils/src/free_address.ts
@@ -1,7 +1,7 @@
-/** Addresses for servers of a test. */
+/** Free addresses for the servers of a test. */
 import * as net from "node:net";
 
-/** A port on loopback that nobody listens on. */
+/** Finds a loopback port without a listener. */
 export function findFreePort(): Promise<number> {
   return new Promise((resolve) => {
     const server = net.createServer();
@@ -12,7 +12,7 @@
   });
 }
 
-/** An address on loopback that nobody listens on, as host:port. */
+/** Finds a loopback address without a listener, as host:port. */
 export async function findFreeAddress(): Promise<string> {
   return `127.0.0.1:${await findFreePort()}`;
 }
--- a/packages/test-utils/src/grey_endpoints.ts
+++ b/packages/test-utils/src/grey_endpoints.ts
@@ -1,12 +1,12 @@
-/** Endpoints that fail what they start, and are not heard for a while then. */
+/** Endpoints with a grey failure: every run fails, and contact is lost for a time. */
 import type * as fleets from "./test_fleet.ts";
 
 /** Time from a start on a grey endpoint to its failure, in ms. */
 export const GREY_FAILS_MS = 40;
-/** Time for which a grey endpoint is not heard after a failure, in ms. */
+/** Time for which a grey endpoint is unreachable after a failed run, in ms. */
 const GREY_SILENT_MS = 1500;
 
-/** Endpoints that fail what they start, and tell of it late. */
+/** Endpoints that fail every run and report it late. */
 export class GreyEndpoints {
   readonly #ids = new Set<string>();
   readonly #fleet: fleets.TestFleet;
@@ -15,22 +15,22 @@
     this.#fleet = fleet;
   }
 
-  /** An endpoint fails whatever it starts from now on. */
+  /** Makes an endpoint fail every run from now on. */
   add(id: string): void {
     this.#ids.add(id);
   }
 
-  /** All are well again. */
+  /** Makes all endpoints healthy again. */
   clear(): void {
     this.#ids.clear();
   }
 
-  /** Whether an endpoint fails what it starts. */
+  /** Whether an endpoint fails every run. */
   has(id: string): boolean {
     return this.#ids.has(id);
   }
 
-  /** Whether a run has failed there lately. */
+  /** Whether an endpoint is unreachable because a run failed there recently. */
   isSilent(id: string): boolean {
     if (!this.#ids.has(id)) return false;
     const sinceMs = this.#fleet.clock.monotonicMs() - GREY_SILENT_MS;
--- a/packages/test-utils/src/group_crashes.ts
+++ b/packages/test-utils/src/group_crashes.ts
@@ -1,50 +1,54 @@
-/** Endpoints that end in groups and are back soon, beside their former entries. */
+/** Crashes of groups of endpoints that return before their earlier entries expire. */
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
 import * as randoms from "./seeded_random.ts";
 import type * as fleets from "./test_fleet.ts";
 
-/** Share of the changes in which a group ends. */
+/** Share of the changes in which a group crashes, 0 to 1. */
 const CRASH_SHARE = 0.3;
-/** Share of the endpoints in a group: ten of 33 in the users' record. */
+/** Share of the endpoints in a group, 0 to 1: users recorded ten of 33. */
 const GROUP_SHARE = 1 / 3;
-/** Time after which another life is there, in ms: as in the users' record. */
-const BACK_MS = 1000;
-/** Longest time for which a former entry outlasts that, in ms: as there. */
-const OUTLASTS_MS = 3000;
+/** Time from a crash to the next incarnation, in ms, as users recorded it. */
+const RETURN_MS = 1000;
+/**
+ * Longest time that an earlier entry outlasts the return, in ms, as users recorded it.
+ */
+const MAX_ENTRY_OVERLAP_MS = 3000;
 /** Time between two heartbeats of an endpoint, in ms. */
-const BEAT_MS = 500;
+const HEARTBEAT_MS = 500;
 
-/** Groups of endpoints that end in one play, and the heartbeats of all. */
+/** Crashes groups of endpoints in one simulation and sends the heartbeats of all. */
 export class GroupCrashes {
   readonly #fleet: fleets.TestFleet;
   readonly #random: randoms.SeededRandom;
-  readonly #beats: Fiber.Fiber<unknown>;
+  readonly #heartbeats: Fiber.Fiber<unknown>;
 
   constructor(fleet: fleets.TestFleet, seed: number) {
     this.#fleet = fleet;
     this.#random = new randoms.SeededRandom(seed);
-    fleet.crashBackMs = BACK_MS;
+    fleet.crashBackMs = RETURN_MS;
     const beat = Effect.sync(() => fleet.beat());
-    const wait = fleet.clock.sleep(BEAT_MS);
-    this.#beats = Effect.runFork(Effect.forever(Effect.andThen(wait, beat)));
+    const wait = fleet.clock.sleep(HEARTBEAT_MS);
+    this.#heartbeats = Effect.runFork(
+      Effect.forever(Effect.andThen(wait, beat)),
+    );
   }
 
-  /** A group ends at one moment, or none does. */
+  /** Crashes a group of endpoints at once, or none. */
   change(): void {
-    this.#fleet.entryOutlastsMs = this.#random.between(0, OUTLASTS_MS);
+    this.#fleet.entryOutlastsMs = this.#random.between(0, MAX_ENTRY_OVERLAP_MS);
     if (this.#random.next() >= CRASH_SHARE) return;
-    const lives = this.#fleet.workers.listLives();
-    const size = Math.ceil(lives.length * GROUP_SHARE);
+    const ids = this.#fleet.workers.listLives();
+    const size = Math.ceil(ids.length * GROUP_SHARE);
     for (let i = 0; i < size; i++) {
-      const at = this.#random.between(0, lives.length - 1);
-      const [id] = lives.splice(at, 1);
+      const at = this.#random.between(0, ids.length - 1);
+      const [id] = ids.splice(at, 1);
       this.#fleet.workers.crash(id);
     }
   }
 
-  /** No endpoint writes its entry again. */
+  /** Stops the heartbeats. */
   end(): void {
-    Effect.runFork(Fiber.interrupt(this.#beats));
+    Effect.runFork(Fiber.interrupt(this.#heartbeats));
   }
 }
--- a/packages/test-utils/src/hard_load_work.ts
+++ b/packages/test-utils/src/hard_load_work.ts
@@ -1,25 +1,26 @@
 /**
- * Work beside that of a random play which makes its load hard: teams of very different
- * size hand in more than the endpoints hold, and the endpoints differ in speed.
+ * Additional work that puts a random simulation under hard load: teams of very
+ * different size submit more than the endpoints have capacity for, and endpoints differ
+ * in speed.
  */
 import * as Types from "@cairngate/types";
 import type * as Ports from "@cairngate/ports";
 import * as randoms from "./seeded_random.ts";
 import * as fleets from "./test_fleet.ts";
 
-/** Accelerators that the teams have paid for; the first has most of them. */
+/** Guaranteed accelerators of the teams. */
 const GUARANTEES: Readonly<Record<string, number>> = {
   hana: 4,
   bara: 1,
   cyril: 1,
 };
 const TEAMS: readonly string[] = Object.keys(GUARANTEES);
-/** How much longer work takes on each endpoint, by its place. */
-const SLOWNESS: readonly number[] = [1, 1.7, 0.6, 1.7];
-/** Workflows that come beside each one of the play. */
-const MOST_BESIDE = 3;
+/** Factor on the run time of each endpoint, by index of its address. */
+const RUN_TIME_FACTORS: readonly number[] = [1, 1.7, 0.6, 1.7];
+/** Limit on additional workflows per batch. */
+const MAX_EXTRA_WORKFLOWS = 3;
 
-/** What a fleet under hard load is made with. */
+/** Options of a fleet under hard load. */
 export const HARD_LOAD_OPTIONS: {
   readonly config: Ports.AccessConfig;
   readonly hardLoad: Types.HardLoadSettings;
@@ -31,48 +32,50 @@
   },
 };
 
-/** Work that makes the load of a play hard. */
+/** Submits the additional work of one simulation. */
 export class HardLoadWork {
   readonly #fleet: fleets.TestFleet;
   readonly #random: randoms.SeededRandom;
   readonly #accepted: string[] = [];
-  /** Workflows of which every box has said that they were not taken. */
+  /** Workflows rejected by every box that was not suspended. */
   readonly #rejected: string[] = [];
-  #handedIn = 0;
+  #submittedCount = 0;
 
   constructor(fleet: fleets.TestFleet, seed: number) {
     this.#fleet = fleet;
     this.#random = new randoms.SeededRandom(seed);
   }
 
-  /** How much longer work takes on an endpoint. */
-  slownessOf(endpoint: string): number {
-    return SLOWNESS[this.#fleet.placeOf(endpoint) % SLOWNESS.length];
+  /** Factor on the run time of an endpoint. */
+  runTimeFactorOf(endpoint: string): number {
+    return RUN_TIME_FACTORS[
+      this.#fleet.placeOf(endpoint) % RUN_TIME_FACTORS.length
+    ];
   }
 
-  /** Workflows that some box has accepted. */
+  /** Workflows that a box has accepted. */
   get accepted(): readonly string[] {
     return this.#accepted;
   }
 
-  /** Hands some workflows in, at boxes that run. */
-  async handIn(): Promise<void> {
-    const count = this.#random.between(0, MOST_BESIDE);
-    for (let i = 0; i < count; i++) await this.#handInOne();
+  /** Submits a random number of workflows to boxes that are not suspended. */
+  async submitBatch(): Promise<void> {
+    const count = this.#random.between(0, MAX_EXTRA_WORKFLOWS);
+    for (let i = 0; i < count; i++) await this.#submitOne();
   }
 
-  /** Work that was said not to be taken, and ran all the same. */
+  /** Describes the workflows that were rejected by every box and ran all the same. */
   findViolations(): string[] {
     return this.#rejected
       .filter((id) =>
         this.#fleet.workers.runs.some(({ task }) => task.startsWith(`${id}.`))
       )
-      .map((id) => `${id} was rejected everywhere, and ran`);
+      .map((id) => `${id} was rejected by every box but ran`);
   }
 
-  async #handInOne(): Promise<void> {
+  async #submitOne(): Promise<void> {
     const random = this.#random;
-    const id = `b${String(this.#handedIn++).padStart(15, "0")}`;
+    const id = `b${String(this.#submittedCount++).padStart(15, "0")}`;
     const priority = random.between(0, 2);
     const options = {
       priority,
@@ -86,23 +89,23 @@
         }),
       ],
     };
-    let isTaken = false;
-    let isUnknown = false;
+    let isAccepted = false;
+    let isUncertain = false;
     for (const name of this.#fleet.nodes.keys()) {
       if (this.#fleet.clocks.get(name)?.isSuspended === true) continue;
       const error = await this.#fleet.submit(name, id, options)
         .then(() => null, (err: unknown) => err);
-      isTaken ||= error === null;
-      isUnknown ||= isPerhapsDone(error);
-      if (isTaken) break;
+      isAccepted ||= error === null;
+      isUncertain ||= hasUnknownOutcome(error);
+      if (isAccepted) break;
     }
-    if (isTaken) this.#accepted.push(id);
-    else if (!isUnknown) this.#rejected.push(id);
+    if (isAccepted) this.#accepted.push(id);
+    else if (!isUncertain) this.#rejected.push(id);
   }
 }
 
-/** Whether a box could not tell whether it has taken the work. */
-function isPerhapsDone(error: unknown): boolean {
+/** Whether the box of an error may have accepted the work. */
+function hasUnknownOutcome(error: unknown): boolean {
   return typeof error === "object" && error !== null &&
     "perhapsDone" in error && error.perhapsDone === true;
 }
--- a/packages/test-utils/src/import_circles.ts
+++ b/packages/test-utils/src/import_circles.ts
@@ -1,35 +1,37 @@
-/** Finds files of one package that import each other in a circle. */
+/** Finds import cycles between the files of a package. */
 import * as fs from "node:fs";
 import * as path from "node:path";
 
-/** `import type` counts as well: what knows each other's types has one job too many. */
+/**
+ * Matches type imports too: files that need each other's types are too tightly coupled.
+ */
 const IMPORT =
   /^(?:import|export)\b[^;"]*?\bfrom\s+"(\.[^"]+)"|^import\s+"(\.[^"]+)"/gm;
 
 /**
- * Circles among the source files under a folder: each is a list of the files, as
- * paths within it, of which every one leads to every other.
+ * Finds the import cycles between the source files under a folder. Each cycle is a
+ * sorted list of file paths within the folder, in which every file reaches every other.
  */
-export function findCircles(folder: string): readonly (readonly string[])[] {
+export function findCycles(folder: string): readonly (readonly string[])[] {
   const imports = new Map(
-    listSources(folder).map((file) => [file, importsOf(file)]),
+    listSourceFiles(folder).map((file) => [file, importsOf(file)]),
   );
   const reached = new Map(
-    [...imports.keys()].map((file) => [file, reachFrom(file, imports)]),
+    [...imports.keys()].map((file) => [file, findReachable(file, imports)]),
   );
-  const circles = new Map<string, readonly string[]>();
-  for (const [file, ahead] of reached) {
-    if (!ahead.has(file)) continue;
-    const members = [...ahead]
+  const cycles = new Map<string, readonly string[]>();
+  for (const [file, reachable] of reached) {
+    if (!reachable.has(file)) continue;
+    const members = [...reachable]
       .filter((other) => reached.get(other)?.has(file) === true)
       .map((other) => path.relative(folder, other))
       .sort();
-    circles.set(members.join(), members);
+    cycles.set(members.join(), members);
   }
-  return [...circles.values()];
+  return [...cycles.values()];
 }
 
-function listSources(folder: string): readonly string[] {
+function listSourceFiles(folder: string): readonly string[] {
   return fs.readdirSync(folder, { recursive: true, encoding: "utf8" })
     .filter((name) => name.endsWith(".ts"))
     .map((name) => path.join(folder, name));
@@ -37,23 +39,23 @@
 
 function importsOf(file: string): readonly string[] {
   const text = fs.readFileSync(file, "utf8");
-  return [...text.matchAll(IMPORT)].map(([, from, alone]) =>
-    path.resolve(path.dirname(file), from ?? alone)
+  return [...text.matchAll(IMPORT)].map(([, from, bare]) =>
+    path.resolve(path.dirname(file), from ?? bare)
   );
 }
 
-/** Files that a file imports, and those that these import. */
-function reachFrom(
+/** Files that a file imports directly or indirectly. */
+function findReachable(
   file: string,
   imports: ReadonlyMap<string, readonly string[]>,
 ): ReadonlySet<string> {
   const found = new Set<string>();
-  const open = [file];
-  for (let next = open.pop(); next !== undefined; next = open.pop()) {
-    for (const one of imports.get(next) ?? []) {
-      if (found.has(one)) continue;
-      found.add(one);
-      open.push(one);
+  const pending = [file];
+  for (let next = pending.pop(); next !== undefined; next = pending.pop()) {
+    for (const imported of imports.get(next) ?? []) {
+      if (found.has(imported)) continue;
+      found.add(imported);
+      pending.push(imported);
     }
   }
   return found;
--- a/packages/test-utils/src/import_circles_test.ts
+++ b/packages/test-utils/src/import_circles_test.ts
@@ -2,11 +2,11 @@
 import * as os from "node:os";
 import * as path from "node:path";
 import * as vitest from "vitest";
-import * as circles from "./import_circles.ts";
+import * as cycles from "./import_circles.ts";
 
 const ROOT = path.resolve(import.meta.dirname, "../../..");
 
-/** Folders with the sources of the packages. */
+/** Lists the source folders of the packages. */
 function listPackages(): readonly string[] {
   const packages = fs.readdirSync(path.join(ROOT, "packages"))
     .map((name) => `packages/${name}/src`);
@@ -14,7 +14,7 @@
     .filter((folder) => fs.existsSync(path.join(ROOT, folder)));
 }
 
-/** A package of these files; the folder is removed at the end of the test. */
+/** Writes a package to a temporary folder, which is removed after the test. */
 function writePackage(files: Readonly<Record<string, string>>): string {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "circles-"));
   vitest.onTestFinished(() => fs.rmSync(folder, { recursive: true }));
@@ -25,34 +25,37 @@
   return folder;
 }
 
-vitest.describe("files of one package", () => {
-  vitest.it("import each other in no circle", () => {
+vitest.describe("source files of a package", () => {
+  vitest.it("have no import cycle", () => {
     const found = listPackages().flatMap((folder) =>
-      circles.findCircles(path.join(ROOT, folder))
+      cycles.findCycles(path.join(ROOT, folder))
         .map((files) => `${folder}: ${files.join(", ")}`)
     );
     vitest.expect(found).toEqual([]);
   });
 });
 
-vitest.describe("the search for circles", () => {
-  vitest.it("finds one that goes over types, folders and lines", () => {
-    const folder = writePackage({
-      "one.ts": 'import type * as two from "./under/two.ts";\n',
-      "under/two.ts": 'export {\n  type A,\n  b,\n} from "../three.ts";\n',
-      "three.ts": '/** Doc. */\nimport "./one.ts";\n',
-      "beside.ts": 'import * as one from "./one.ts";\n',
-    });
-    vitest.expect(circles.findCircles(folder)).toEqual([
-      ["one.ts", "three.ts", "under/two.ts"],
-    ]);
-  });
+vitest.describe("findCycles", () => {
+  vitest.it(
+    "finds a cycle across type imports, folders and multi-line exports",
+    () => {
+      const folder = writePackage({
+        "one.ts": 'import type * as two from "./under/two.ts";\n',
+        "under/two.ts": 'export {\n  type A,\n  b,\n} from "../three.ts";\n',
+        "three.ts": '/** Doc. */\nimport "./one.ts";\n',
+        "beside.ts": 'import * as one from "./one.ts";\n',
+      });
+      vitest.expect(cycles.findCycles(folder)).toEqual([
+        ["one.ts", "three.ts", "under/two.ts"],
+      ]);
+    },
+  );
 
-  vitest.it("finds none where files only lead on", () => {
+  vitest.it("finds none in an import chain without a cycle", () => {
     const folder = writePackage({
       "one.ts": 'import * as two from "./two.ts";\n',
       "two.ts": '// import * as one from "./one.ts";\n',
     });
-    vitest.expect(circles.findCircles(folder)).toEqual([]);
+    vitest.expect(cycles.findCycles(folder)).toEqual([]);
   });
 });
--- a/packages/test-utils/src/kept_log.ts
+++ b/packages/test-utils/src/kept_log.ts
@@ -1,7 +1,7 @@
-/** A logger that keeps its sentences for a test. */
+/** Logger that records its messages for a test. */
 import * as Logger from "@cairngate/logger";
 
-/** Keeps all but debug lines, in order. */
+/** Records all messages except debug messages, in order. */
 export class KeptLog extends Logger.Logger {
   readonly sentences: string[];
 
--- a/packages/test-utils/src/pausable_clock.ts
+++ b/packages/test-utils/src/pausable_clock.ts
@@ -1,9 +1,9 @@
-/** The clock of one box, which a test can stop as SIGSTOP does. */
+/** Clock of one box that a test can pause, as SIGSTOP pauses a process. */
 import * as Ports from "@cairngate/ports";
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
 
-/** Shares the time of another clock, but wakes nobody while it is paused. */
+/** Follows another clock, but wakes no sleeper while it is paused. */
 export class PausableClock extends Ports.Clock {
   readonly #inner: Ports.Clock;
   #resumed: Deferred.Deferred<void> | null = null;
@@ -32,12 +32,12 @@
     );
   }
 
-  /** Stops the box. */
+  /** Pauses the box. */
   pause(): void {
     this.#resumed ??= Deferred.makeUnsafe<void>();
   }
 
-  /** Lets the box go on from where it was. */
+  /** Resumes the box. */
   resume(): void {
     const resumed = this.#resumed;
     this.#resumed = null;
--- a/packages/test-utils/src/play_kinds.ts
+++ b/packages/test-utils/src/play_kinds.ts
@@ -1,47 +1,53 @@
-/** The kinds of random plays, and seeds that are still red. */
-import type * as plays from "./random_play.ts";
+/** Kinds of random fault simulations, and the seeds that are known to fail. */
+import type * as simulations from "./random_play.ts";
 
-/** Kinds of plays, each with tests of its own. */
+/** Fault options by kind of simulation; each kind has its own tests. */
 export const PLAY_KINDS = {
   usual: {},
-  rooms: { changesRooms: true },
+  rooms: { changesCapacity: true },
   lapses: { cutsEndpoints: true, foreignEntries: true, crashesInGroups: true },
   suspensions: { suspends: true },
-  rebirths: { beginsAgain: true },
-  slowEnds: { endsTakeTime: true },
+  rebirths: { restartsEndpoints: true },
+  slowEnds: { delaysEnds: true },
   slowEndsAndCuts: {
-    endsTakeTime: true,
+    delaysEnds: true,
     cutsEndpoints: true,
     foreignEntries: true,
-    beginsAgain: true,
+    restartsEndpoints: true,
   },
-  hardLoad: { underHardLoad: true },
+  hardLoad: { hasHardLoad: true },
   hardLoadAndCuts: {
-    underHardLoad: true,
+    hasHardLoad: true,
     cutsEndpoints: true,
-    endsTakeTime: true,
+    delaysEnds: true,
     suspends: true,
   },
-  rebirthsAndCuts: { beginsAgain: true, cutsEndpoints: true, suspends: true },
-} satisfies Record<string, plays.PlayKinds>;
+  rebirthsAndCuts: {
+    restartsEndpoints: true,
+    cutsEndpoints: true,
+    suspends: true,
+  },
+} satisfies Record<string, simulations.FaultOptions>;
 
-/** A play that is red. */
-export interface RedPlay {
+/** A simulation that is known to fail. */
+export interface UnresolvedFailure {
   readonly name: keyof typeof PLAY_KINDS;
   readonly seed: number;
-  readonly kinds: plays.PlayKinds;
+  readonly kinds: simulations.FaultOptions;
 }
 
 /**
- * Plays that are still red; left out of the usual tests. Each of them belongs into a test
- * of its cause, which KNOWN-RED.txt lists.
+ * Simulations that are known to fail and that the usual tests skip. A test of its
+ * cause, listed in KNOWN-RED.txt, has to cover each of them.
  */
-export const RED_PLAYS: readonly RedPlay[] = [
+export const UNRESOLVED_FAILURES: readonly UnresolvedFailure[] = [
   { name: "rebirthsAndCuts", seed: 6042, kinds: PLAY_KINDS.rebirthsAndCuts },
   { name: "rebirthsAndCuts", seed: 6099, kinds: PLAY_KINDS.rebirthsAndCuts },
 ];
 
-/** Whether a play is red. */
+/** Whether a simulation is known to fail. */
 export function isRed(name: keyof typeof PLAY_KINDS, seed: number): boolean {
-  return RED_PLAYS.some((one) => one.name === name && one.seed === seed);
+  return UNRESOLVED_FAILURES.some((one) =>
+    one.name === name && one.seed === seed
+  );
 }
--- a/packages/test-utils/src/random_cuts.ts
+++ b/packages/test-utils/src/random_cuts.ts
@@ -1,56 +1,59 @@
-/** Endpoints that are cut off at random while their entries lapse and return. */
+/** Random cuts of endpoints whose list entries are removed and return. */
 import * as StandIns from "@cairngate/stand-ins";
-import * as cutting from "./endpoint_cuts.ts";
+import * as endpointCuts from "./endpoint_cuts.ts";
 import * as randoms from "./seeded_random.ts";
 import type * as fleets from "./test_fleet.ts";
 
-/** Share of the changes in which an endpoint is cut off, 0 to 1: five in a play. */
+/** Share of the changes that cut off endpoints, 0 to 1: five in a simulation. */
 const CUT_SHARE = 0.4;
-/** Share of the cuts that strike two endpoints at once, 0 to 1: one in a play. */
+/** Share of the cuts that hit two endpoints, 0 to 1: one in a simulation. */
 const PAIR_SHARE = 0.25;
-/** Length of a cut, in ms: from a hiccup to twice the longest lease, 6 s. */
-const LENGTH_MS = { least: 1000, most: 12_000 };
-/** Most time by which an entry returns before or after its endpoint, in ms. */
-const OFF_MS = 2000;
+/** Duration of a cut, in ms: up to twice the longest lease, 6 s. */
+const CUT_MS = { min: 1000, max: 12_000 };
+/** Longest time by which an entry returns before or after its endpoint, in ms. */
+const MAX_ENTRY_OFFSET_MS = 2000;
 
-/** Cuts of one play; each endpoint lives on. */
+/** Random cuts of one simulation; the endpoints keep running. */
 export class RandomCuts {
   readonly #fleet: fleets.TestFleet;
   readonly #random: randoms.SeededRandom;
-  readonly #cuts: cutting.EndpointCuts;
+  readonly #cuts: endpointCuts.EndpointCuts;
 
   constructor(fleet: fleets.TestFleet, seed: number) {
     this.#fleet = fleet;
     this.#random = new randoms.SeededRandom(seed);
-    this.#cuts = new cutting.EndpointCuts(fleet);
+    this.#cuts = new endpointCuts.EndpointCuts(fleet);
   }
 
-  /** Cuts none, one or two endpoints off. */
+  /** Cuts off no, one or two endpoints. */
   change(): void {
     if (this.#random.next() >= CUT_SHARE) return;
     const count = this.#random.next() < PAIR_SHARE ? 2 : 1;
-    const lives = this.#fleet.workers.listLives();
-    for (let i = 0; i < count && lives.length > 0; i++) {
-      this.#cuts.begin(this.#random.choose(lives), this.#draw());
+    const ids = this.#fleet.workers.listLives();
+    for (let i = 0; i < count && ids.length > 0; i++) {
+      this.#cuts.begin(this.#random.choose(ids), this.#drawShape());
     }
   }
 
-  /** What becomes of orders to an endpoint; null while it is not cut off. */
-  fateOf(id: string): StandIns.OrderFate | null {
+  /** Outcome of orders to an endpoint; null while orders reach it. */
+  outcomeOf(id: string): StandIns.OrderFate | null {
     return this.#cuts.fateOf(id);
   }
 
-  /** All are reached and listed again. */
+  /** Ends all cuts and lists the endpoints again. */
   endAll(): void {
     this.#cuts.endAll();
   }
 
-  #draw(): cutting.CutShape {
+  #drawShape(): endpointCuts.CutShape {
     const { Lost, Silent } = StandIns.OrderFate;
-    const healsMs = this.#random.between(LENGTH_MS.least, LENGTH_MS.most);
+    const healsMs = this.#random.between(CUT_MS.min, CUT_MS.max);
     const entryGoesMs = this.#random.between(0, healsMs);
-    const offMs = this.#random.between(-OFF_MS, OFF_MS);
-    const entryBackMs = Math.max(entryGoesMs, healsMs + offMs);
+    const offsetMs = this.#random.between(
+      -MAX_ENTRY_OFFSET_MS,
+      MAX_ENTRY_OFFSET_MS,
+    );
+    const entryBackMs = Math.max(entryGoesMs, healsMs + offsetMs);
     const fate = this.#random.choose([Lost, Silent] as const);
     return { fate, healsMs, entryGoesMs, entryBackMs };
   }
--- a/packages/test-utils/src/random_lapses.ts
+++ b/packages/test-utils/src/random_lapses.ts
@@ -1,70 +1,74 @@
-/** Entries that do not tell which endpoints live: all kinds of them in one play. */
+/** Faults of the endpoint list: its entries do not match the running endpoints. */
 import type * as StandIns from "@cairngate/stand-ins";
-import * as foreigners from "./foreign_entries.ts";
+import * as foreign from "./foreign_entries.ts";
 import * as groups from "./group_crashes.ts";
-import * as cutting from "./random_cuts.ts";
+import * as randomCuts from "./random_cuts.ts";
 import type * as fleets from "./test_fleet.ts";
 
-/** Which of them a play has. */
-export interface LapseKinds {
-  /** Endpoints are cut off while their entries lapse, and live on. */
+/** Faults of the list in a simulation. */
+export interface ListingFaultOptions {
+  /** Endpoints are cut off and their entries removed while they keep running. */
   readonly cutsEndpoints?: boolean;
-  /** Other writers make entries that name no life. */
+  /** Another writer adds entries that belong to no incarnation of an endpoint. */
   readonly foreignEntries?: boolean;
-  /** Endpoints end in groups; their entries outlast them. */
+  /** Endpoints crash in groups, and their entries outlast them. */
   readonly crashesInGroups?: boolean;
 }
 
-/** Whole steps from the seed, so that each kind draws numbers of its own. */
-const SEED_STEPS = { cuts: 1_000_003, entries: 2_000_003, groups: 3_000_017 };
+/** Offsets from the seed, so that each fault has its own random numbers. */
+const SEED_OFFSETS = { cuts: 1_000_003, entries: 2_000_003, groups: 3_000_017 };
 
 /**
- * Time of an order on its way, in ms, the least that a network takes. An answer in
- * the same turn as its question comes before whatever the coordinator does next in
- * that turn, as no endpoint's can.
+ * Transit time of an order, in ms: the minimum of a network. Without it, an answer
+ * comes in the same turn as its request, before the coordinator's next step in that
+ * turn, which no real endpoint can do.
  */
-const WAY_MS = 1;
+const ORDER_DELAY_MS = 1;
 
-/** The lapses of one play. */
-export class RandomLapses {
-  readonly #cuts: cutting.RandomCuts | null;
-  readonly #entries: foreigners.ForeignEntries | null;
+/** The list faults of one simulation. */
+export class ListingFaults {
+  readonly #cuts: randomCuts.RandomCuts | null;
+  readonly #entries: foreign.ForeignEntries | null;
   readonly #groups: groups.GroupCrashes | null;
 
-  constructor(fleet: fleets.TestFleet, seed: number, kinds: LapseKinds) {
-    const { cutsEndpoints, foreignEntries, crashesInGroups } = kinds;
+  constructor(
+    fleet: fleets.TestFleet,
+    seed: number,
+    options: ListingFaultOptions,
+  ) {
+    const { cutsEndpoints, foreignEntries, crashesInGroups } = options;
     const hasAny = cutsEndpoints || foreignEntries || crashesInGroups;
-    if (hasAny) fleet.workers.wayMs = WAY_MS;
+    if (hasAny) fleet.workers.wayMs = ORDER_DELAY_MS;
     this.#cuts = cutsEndpoints
-      ? new cutting.RandomCuts(fleet, seed + SEED_STEPS.cuts)
+      ? new randomCuts.RandomCuts(fleet, seed + SEED_OFFSETS.cuts)
       : null;
     this.#entries = foreignEntries
-      ? new foreigners.ForeignEntries(fleet, seed + SEED_STEPS.entries)
+      ? new foreign.ForeignEntries(fleet, seed + SEED_OFFSETS.entries)
       : null;
     this.#groups = crashesInGroups
-      ? new groups.GroupCrashes(fleet, seed + SEED_STEPS.groups)
+      ? new groups.GroupCrashes(fleet, seed + SEED_OFFSETS.groups)
       : null;
   }
 
-  /** Each kind may change something. */
+  /** Gives each fault the chance to change something. */
   change(): void {
     this.#cuts?.change();
     this.#entries?.change();
     this.#groups?.change();
   }
 
-  /** What becomes of orders to an endpoint; null where no lapse decides it. */
-  fateOf(id: string): StandIns.OrderFate | null {
-    return this.#cuts?.fateOf(id) ?? null;
+  /** Outcome of orders to an endpoint; null while these faults do not affect them. */
+  outcomeOf(id: string): StandIns.OrderFate | null {
+    return this.#cuts?.outcomeOf(id) ?? null;
   }
 
-  /** Nothing lapses any more; endpoints that live write their entries on. */
+  /** Ends cuts and foreign entries; the heartbeats of endpoints go on. */
   endAll(): void {
     this.#cuts?.endAll();
     this.#entries?.endAll();
   }
 
-  /** The play is over. */
+  /** Stops the heartbeats at the end of the simulation. */
   stop(): void {
     this.#groups?.end();
   }
