--- a/packages/test-utils/src/random_play.ts
+++ b/packages/test-utils/src/random_play.ts
@@ -1,54 +1,53 @@
 /**
- * Random faults over several nodes: kills, outages of the store for one node or
- * all, or of some partitions, cut links, lost answers, connections that turn
- * silent, orders that are lost, unanswered or late, failing runs, endpoints that
- * crash, that fail all they start and are not heard then, tasks that crash their
- * endpoints, data centres that are evacuated, and entries that do not tell which
- * endpoints live.
+ * Random faults over several boxes: killed boxes, outages of the store for one box, all
+ * boxes or some partitions, cut links, lost answers, connections that turn silent,
+ * orders that are lost, unanswered or late, failing runs, endpoints that crash or that
+ * fail every run and are then unreachable, tasks that crash their endpoints, evacuated
+ * data centres, and list entries that do not match the running endpoints.
  */
 import type * as Logger from "@cairngate/logger";
 import type * as Ports from "@cairngate/ports";
 import * as StandIns from "@cairngate/stand-ins";
 import * as TableClient from "@cairngate/table-client";
 import * as Workflow from "@cairngate/workflow";
-import * as roomChanges from "./changing_rooms.ts";
+import * as capacityChanges from "./changing_rooms.ts";
 import * as evacuated from "./evacuations.ts";
-import * as greys from "./grey_endpoints.ts";
+import * as greyEndpoints from "./grey_endpoints.ts";
 import * as hardLoads from "./hard_load_work.ts";
-import * as lapsing from "./random_lapses.ts";
-import * as reborn from "./rebirths.ts";
+import * as listings from "./random_lapses.ts";
+import * as endpointRestarts from "./rebirths.ts";
 import * as checks from "./run_checks.ts";
 import * as randoms from "./seeded_random.ts";
-import * as stands from "./standstill_check.ts";
-import * as suspended from "./suspensions.ts";
+import * as standstill from "./standstill_check.ts";
+import * as boxSuspensions from "./suspensions.ts";
 import * as fleets from "./test_fleet.ts";
 
-/** Rounds of a play; each hands a workflow in and breaks one to three things. */
+/** Rounds of a simulation; each submits a workflow and injects one to three faults. */
 const ROUNDS = 12;
-/** Time after each fault, and of mended peace, in ms: less than a takeover takes. */
-const ROUND_MS = 900;
+/** Time after each fault and after each repair, in ms: shorter than a takeover. */
+const PHASE_MS = 900;
 /** Times from the start of a crashing task to its crash, in ms. */
-const CRASH_AFTER_MS: readonly number[] = [0, 10, 400, 1500];
-/** Share of the workflows whose tasks crash their endpoints. */
+const CRASH_DELAYS_MS: readonly number[] = [0, 10, 400, 1500];
+/** Share of the workflows whose tasks crash their endpoints, 0 to 1. */
 const CRASHER_SHARE = 0.15;
-/** Shares of the orders that go astray in a round. */
-const ORDER_SHARES: readonly number[] = [0, 0.1, 0.6];
-const END_LIMIT_MS = 120_000;
+/** Shares of the orders in a round that are lost, unanswered or late, 0 to 1. */
+const ORDER_FAULT_SHARES: readonly number[] = [0, 0.1, 0.6];
+const END_TIMEOUT_MS = 120_000;
 
-/** Breaks one thing. */
-async function breakSomething(
+/** Injects one random fault. */
+async function injectFault(
   fleet: fleets.TestFleet,
   random: randoms.SeededRandom,
-  grey: greys.GreyEndpoints,
+  grey: greyEndpoints.GreyEndpoints,
 ): Promise<void> {
   const names = [...fleet.nodes.keys()];
   const name = random.choose(names);
   switch (random.between(0, 11)) {
     case 0: {
-      const victim = fleet.coordinator() ?? name;
-      if (!fleet.nodes.has(victim)) return;
-      await fleet.kill(victim);
-      fleet.startNode(`${victim}+`);
+      const target = fleet.coordinator() ?? name;
+      if (!fleet.nodes.has(target)) return;
+      await fleet.kill(target);
+      fleet.startNode(`${target}+`);
       return;
     }
     case 1:
@@ -75,8 +74,8 @@
     case 3:
       return fleet.faultsOf(name).set({ loseAnswers: 0.4 });
     case 4: {
-      const isAway = () => random.next() < 0.35;
-      const downPartitions = TableClient.Keys.PARTITIONS.filter(isAway);
+      const isDown = () => random.next() < 0.35;
+      const downPartitions = TableClient.Keys.PARTITIONS.filter(isDown);
       for (const each of names) fleet.faultsOf(each).set({ downPartitions });
       return;
     }
@@ -85,7 +84,7 @@
   }
 }
 
-function mendNodes(fleet: fleets.TestFleet): void {
+function repairBoxes(fleet: fleets.TestFleet): void {
   fleet.links.passes = () => true;
   for (const name of fleet.nodes.keys()) {
     fleet.faultsOf(name).set({
@@ -98,29 +97,29 @@
   }
 }
 
-/** Lets some orders go astray. */
-function breakOrders(
+/** Makes a share of the orders lost, unanswered or late. */
+function disruptOrders(
   fleet: fleets.TestFleet,
   random: randoms.SeededRandom,
   share: number,
-  fateOf: (endpoint: string) => StandIns.OrderFate | null,
+  outcomeOf: (endpoint: string) => StandIns.OrderFate | null,
 ): void {
-  const fates = [
+  const outcomes = [
     StandIns.OrderFate.Lost,
     StandIns.OrderFate.AnswerLost,
     StandIns.OrderFate.Late,
   ];
   fleet.workers.carry = (endpoint) => {
-    const fate = fateOf(endpoint);
-    if (fate !== null) return fate;
+    const outcome = outcomeOf(endpoint);
+    if (outcome !== null) return outcome;
     return random.next() < share
-      ? random.choose(fates)
+      ? random.choose(outcomes)
       : StandIns.OrderFate.Carried;
   };
 }
 
-/** Hands in somewhere; a refusal is tried again at other nodes. */
-async function submitSomewhere(
+/** Submits a workflow to the first box that accepts it; returns whether one did. */
+async function submitToAnyBox(
   fleet: fleets.TestFleet,
   random: randoms.SeededRandom,
   id: string,
@@ -131,7 +130,7 @@
     fleets.buildStep({ count: gang, gang: true, after: [0] }),
   ];
   for (const name of fleet.nodes.keys()) {
-    // A call there would last as long as the box stands still.
+    // A call to a suspended box would block until it resumes.
     if (fleet.clocks.get(name)?.isSuspended === true) continue;
     const priority = random.between(0, 2);
     const done = await fleet.submit(name, id, { steps, priority })
@@ -144,132 +143,141 @@
 /** Accelerators of the endpoints. */
 const SIZES: readonly number[] = [2, 2, 1, 1];
 
-/** Kinds of faults beside the usual ones. */
-export interface PlayKinds extends lapsing.LapseKinds {
-  readonly changesRooms?: boolean;
-  /** Logger of each box, for those who trace a seed. */
+/** Additional faults of a simulation. */
+export interface FaultOptions extends listings.ListingFaultOptions {
+  readonly changesCapacity?: boolean;
+  /** Logger of each box, to trace a seed. */
   readonly logOf?: (node: string, clock: Ports.Clock) => Logger.Logger;
   readonly suspends?: boolean;
   readonly evacuates?: boolean;
-  /** Data centres that are evacuated lose power at times, and come back cold. */
+  /** Data centres lose power at random and return cold; needs `evacuates`. */
   readonly losesPower?: boolean;
-  /** Stops, and the ends of a gang's other members, take their time. */
-  readonly endsTakeTime?: boolean;
-  /** Endpoints that crash begin again, mostly under the ids that they had. */
-  readonly beginsAgain?: boolean;
-  /** Uneven teams hand in more than endpoints of uneven speeds hold. */
-  readonly underHardLoad?: boolean;
+  /** Stops, and the ends of a gang's other members, are delayed. */
+  readonly delaysEnds?: boolean;
+  /** Crashed endpoints restart, mostly under the same id. */
+  readonly restartsEndpoints?: boolean;
+  /** Teams of uneven size submit more work than endpoints of uneven speed can hold. */
+  readonly hasHardLoad?: boolean;
 }
 
-/** Longest time between the first end of a gang and that of another member, in ms. */
-const FOLLOWS_MS = 400;
+/** Longest time from the first end in a gang to that of another member, in ms. */
+const MAX_GANG_END_DELAY_MS = 400;
 
-/** Runs are there for a while after they were told to end. */
-function slowEnds({ workers }: fleets.TestFleet, seed: number): void {
+/** Delays the ends of stopped runs and of the other members of a gang. */
+function delayEnds({ workers }: fleets.TestFleet, seed: number): void {
   const random = new randoms.SeededRandom(seed);
   workers.stopTakesMs = () => random.between(0, fleets.FLEET_BOUNDS.stopMs);
-  workers.gangFollowsMs = () => random.between(0, FOLLOWS_MS);
+  workers.gangFollowsMs = () => random.between(0, MAX_GANG_END_DELAY_MS);
 }
 
-/** Endpoints of each size stand in both data centres. */
+/** Places endpoints of each size in both data centres. */
 const dataCentreOf = (place: number) => place % 2 === 0 ? "dc-1" : "dc-2";
 
-/** Plays one seed; returns what broke a promise, in words. */
+/** Simulates one seed; returns a message for each violated guarantee. */
 export async function playRandomFaults(
   seed: number,
-  kinds: PlayKinds = {},
+  options: FaultOptions = {},
 ): Promise<string[]> {
   const fleet = new fleets.TestFleet({
     seed,
     workers: SIZES,
     dataCentreOf,
-    ...(kinds.logOf === undefined ? {} : { logOf: kinds.logOf }),
-    ...(kinds.underHardLoad ? hardLoads.HARD_LOAD_OPTIONS : {}),
+    ...(options.logOf === undefined ? {} : { logOf: options.logOf }),
+    ...(options.hasHardLoad ? hardLoads.HARD_LOAD_OPTIONS : {}),
   });
-  const hardLoad = kinds.underHardLoad
+  const hardLoad = options.hasHardLoad
     ? new hardLoads.HardLoadWork(fleet, seed)
     : null;
-  const rooms = kinds.changesRooms
-    ? new roomChanges.ChangingRooms(fleet, { seed, sizes: SIZES })
+  const capacities = options.changesCapacity
+    ? new capacityChanges.CapacityChanges(fleet, { seed, sizes: SIZES })
     : null;
-  const suspensions = kinds.suspends
-    ? new suspended.Suspensions(fleet, seed)
+  const suspensions = options.suspends
+    ? new boxSuspensions.Suspensions(fleet, seed)
     : null;
-  const evacuations = kinds.evacuates
+  const evacuations = options.evacuates
     ? new evacuated.Evacuations(fleet, {
       seed,
       dataCentres: ["dc-1", "dc-2"],
-      losesPower: kinds.losesPower ?? false,
+      losesPower: options.losesPower ?? false,
     })
     : null;
-  const rebirths = kinds.beginsAgain ? new reborn.Rebirths(fleet, seed) : null;
+  const restarts = options.restartsEndpoints
+    ? new endpointRestarts.EndpointRestarts(fleet, seed)
+    : null;
   const random = new randoms.SeededRandom(seed);
-  const grey = new greys.GreyEndpoints(fleet);
-  const lapses = new lapsing.RandomLapses(fleet, seed, kinds);
-  const fateOf = (endpoint: string) =>
-    grey.isSilent(endpoint) ? StandIns.OrderFate.Lost : lapses.fateOf(endpoint);
+  const grey = new greyEndpoints.GreyEndpoints(fleet);
+  const listingFaults = new listings.ListingFaults(fleet, seed, options);
+  const outcomeOf = (endpoint: string) =>
+    grey.isSilent(endpoint)
+      ? StandIns.OrderFate.Lost
+      : listingFaults.outcomeOf(endpoint);
   fleet.workers.behave = (task, endpoint) => ({
     runMs: grey.has(endpoint)
-      ? greys.GREY_FAILS_MS
-      : random.between(300, 2500) * (hardLoad?.slownessOf(endpoint) ?? 1),
+      ? greyEndpoints.GREY_FAILS_MS
+      : random.between(300, 2500) * (hardLoad?.runTimeFactorOf(endpoint) ?? 1),
     fails: grey.has(endpoint) || random.next() < 0.02,
     ...(task.startsWith(checks.CRASHER)
-      ? { runMs: END_LIMIT_MS, crashesAfterMs: random.choose(CRASH_AFTER_MS) }
+      ? {
+        runMs: END_TIMEOUT_MS,
+        crashesAfterMs: random.choose(CRASH_DELAYS_MS),
+      }
       : {}),
   });
-  if (kinds.endsTakeTime) slowEnds(fleet, seed);
-  // What one of two others shows is not what both show.
-  const gang = kinds.endsTakeTime ? 3 : 2;
+  if (options.delaysEnds) delayEnds(fleet, seed);
+  // With three members, the two others may end at different times.
+  const gang = options.delaysEnds ? 3 : 2;
   await fleet.start();
   const accepted: string[] = [];
   for (let round = 0; round < ROUNDS; round++) {
     const kind = random.next() < CRASHER_SHARE ? checks.CRASHER : "a";
     const id = `${kind}${String(round).padStart(15, "0")}`;
-    if (await submitSomewhere(fleet, random, id, gang)) accepted.push(id);
-    await hardLoad?.handIn();
-    breakOrders(fleet, random, random.choose(ORDER_SHARES), fateOf);
-    rooms?.change();
+    if (await submitToAnyBox(fleet, random, id, gang)) accepted.push(id);
+    await hardLoad?.submitBatch();
+    disruptOrders(fleet, random, random.choose(ORDER_FAULT_SHARES), outcomeOf);
+    capacities?.change();
     suspensions?.next();
     evacuations?.change();
     const faults = random.between(1, 3);
     for (let i = 0; i < faults; i++) {
-      lapses.change();
-      rebirths?.change();
-      await breakSomething(fleet, random, grey);
-      await fleet.clock.advance(ROUND_MS);
+      listingFaults.change();
+      restarts?.change();
+      await injectFault(fleet, random, grey);
+      await fleet.clock.advance(PHASE_MS);
     }
-    mendNodes(fleet);
+    repairBoxes(fleet);
     grey.clear();
-    await fleet.clock.advance(ROUND_MS);
+    await fleet.clock.advance(PHASE_MS);
   }
   fleet.workers.carry = () => StandIns.OrderFate.Carried;
-  rooms?.restore();
+  capacities?.restore();
   suspensions?.end();
   evacuations?.endAll();
-  lapses.endAll();
+  listingFaults.endAll();
   accepted.push(...hardLoad?.accepted ?? []);
   const isOver = (id: string) => {
     const state = fleet.state(id);
     return state !== null && Workflow.isFinal(state);
   };
-  const standstills = new stands.StandstillCheck(fleet);
+  const standstills = new standstill.StandstillCheck(fleet);
   const ended = await fleet.until(() => {
-    standstills.look(accepted);
+    standstills.check(accepted);
     return accepted.every(isOver);
-  }, END_LIMIT_MS);
+  }, END_TIMEOUT_MS);
   const violations = checks.findBrokenRuns(fleet);
-  violations.push(...rooms?.findViolations() ?? []);
+  violations.push(...capacities?.findViolations() ?? []);
   violations.push(...evacuations?.findViolations() ?? []);
   violations.push(...hardLoad?.findViolations() ?? []);
   violations.push(
     ...accepted.flatMap((id) => checks.checkFailed(fleet, id)),
   );
-  violations.push(...standstills.found);
+  violations.push(...standstills.violations);
   if (!ended) {
-    violations.push(`not ended: ${accepted.filter((id) => !isOver(id))}`);
+    violations.push(
+      `workflows that did not end: ${accepted.filter((id) => !isOver(id))}`,
+    );
   }
-  lapses.stop();
-  rebirths?.end();
+  listingFaults.stop();
+  restarts?.end();
   await fleet.stop();
   return violations;
 }
--- a/packages/test-utils/src/rebirths.ts
+++ b/packages/test-utils/src/rebirths.ts
@@ -1,7 +1,7 @@
 /**
- * Endpoints that begin again under the ids that they had: soon or late after their
- * end, with the former entry kept, gone or written once more when the new life is
- * there, and with a time of day that may have been set back.
+ * Restarts of crashed endpoints, mostly under the same id: soon or late after the
+ * crash, with the earlier list entry kept, removed, or written again after the restart,
+ * and with a wall clock that may have been set back.
  */
 import type * as Ports from "@cairngate/ports";
 import type * as StandIns from "@cairngate/stand-ins";
@@ -10,110 +10,112 @@
 import * as randoms from "./seeded_random.ts";
 import type * as fleets from "./test_fleet.ts";
 
-/** Share of the ends after which the id is kept. */
+/** Share of the crashes after which the endpoint keeps its id, 0 to 1. */
 const KEEPS_ID_SHARE = 0.75;
-/** Shares of what becomes of the former entry; else it stays until it is replaced. */
-const ENTRY_GONE_SHARE = 0.3;
-/** The same for a former entry that is written again after the new one. */
-const ENTRY_LATE_SHARE = 0.3;
-/** Times after which another life is there, in ms. */
-const BACK_MS: readonly number[] = [50, 300, 1000, 3000, 8000, 20_000];
+/** Share of the crashes after which the earlier entry expires, 0 to 1. */
+const ENTRY_REMOVED_SHARE = 0.3;
+/** Share of the crashes after which it overwrites the entry of a kept id, 0 to 1. */
+const ENTRY_REWRITTEN_SHARE = 0.3;
+/** Times from a crash to the next incarnation, in ms. */
+const RETURN_DELAYS_MS: readonly number[] = [50, 300, 1000, 3000, 8000, 20_000];
 /**
- * The same where the id is another one, at least, in ms: the quickest endpoints of the
- * users' records take 0.5 s, and the product relies on 0.3 s.
+ * Shortest time to an incarnation with another id, in ms: the quickest endpoints
+ * recorded by users take 0.5 s, and the scheduler relies on 0.3 s.
  */
-const LEAST_OTHER_ID_MS = 300;
-/** Time between the birth and the late entry of the former life, in ms, at most. */
-const LATE_MS = 1500;
-/** Share of the lives whose time of day was set back, and by how much, in ms. */
-const SET_BACK_SHARE = 0.2;
-const SET_BACK_MS = 60_000;
+const MIN_NEW_ID_RETURN_MS = 300;
+/** Longest time from a restart to the rewrite of the earlier entry, in ms. */
+const MAX_REWRITE_DELAY_MS = 1500;
+/** Share of the incarnations whose wall clock was set back, 0 to 1. */
+const CLOCK_SET_BACK_SHARE = 0.2;
+const MAX_CLOCK_SET_BACK_MS = 60_000;
 /** Time between two heartbeats of an endpoint, in ms. */
-const BEAT_MS = 500;
-/** An entry lapses after three heartbeats of silence, by the operators' page. */
-const LAPSES_MS = 3 * BEAT_MS;
-/** Share of the changes in which a group of a third ends. */
-const GROUP_SHARE = 0.25;
+const HEARTBEAT_MS = 500;
+/** Operators specify that an entry expires after three missed heartbeats. */
+const ENTRY_EXPIRY_MS = 3 * HEARTBEAT_MS;
+/** Share of the changes in which a third of the endpoints crash, 0 to 1. */
+const GROUP_CRASH_SHARE = 0.25;
 
-/** The endpoints of one play, and their heartbeats. */
-export class Rebirths {
+/** Restarts the endpoints of one simulation and sends their heartbeats. */
+export class EndpointRestarts {
   readonly #fleet: fleets.TestFleet;
   readonly #random: randoms.SeededRandom;
-  readonly #beats: Fiber.Fiber<unknown>;
+  readonly #heartbeats: Fiber.Fiber<unknown>;
 
   constructor(fleet: fleets.TestFleet, seed: number) {
     this.#fleet = fleet;
     this.#random = new randoms.SeededRandom(seed);
-    fleet.workers.birthOf = () => this.#drawBirth();
-    fleet.workers.onCrash = (spec) => this.#afterCrash(spec);
+    fleet.workers.birthOf = () => this.#drawBirthMs();
+    fleet.workers.onCrash = (spec) => this.#scheduleReturn(spec);
     const beat = Effect.sync(() => fleet.beat());
-    const wait = fleet.clock.sleep(BEAT_MS);
-    this.#beats = Effect.runFork(Effect.forever(Effect.andThen(wait, beat)));
+    const wait = fleet.clock.sleep(HEARTBEAT_MS);
+    this.#heartbeats = Effect.runFork(
+      Effect.forever(Effect.andThen(wait, beat)),
+    );
   }
 
-  /** A group ends at one moment, or none does. */
+  /** Crashes a group of endpoints at once, or none. */
   change(): void {
-    if (this.#random.next() >= GROUP_SHARE) return;
-    const lives = this.#fleet.workers.listLives();
-    for (let left = Math.ceil(lives.length / 3); left > 0; left--) {
-      const [id] = lives.splice(this.#random.between(0, lives.length - 1), 1);
+    if (this.#random.next() >= GROUP_CRASH_SHARE) return;
+    const ids = this.#fleet.workers.listLives();
+    for (let left = Math.ceil(ids.length / 3); left > 0; left--) {
+      const [id] = ids.splice(this.#random.between(0, ids.length - 1), 1);
       this.#fleet.workers.crash(id);
     }
   }
 
-  /** No endpoint writes its entry again. */
+  /** Stops the heartbeats. */
   end(): void {
-    Effect.runFork(Fiber.interrupt(this.#beats));
+    Effect.runFork(Fiber.interrupt(this.#heartbeats));
   }
 
-  #drawBirth(): number {
-    const isSetBack = this.#random.next() < SET_BACK_SHARE;
-    const byMs = isSetBack ? this.#random.between(1, SET_BACK_MS) : 0;
+  #drawBirthMs(): number {
+    const isSetBack = this.#random.next() < CLOCK_SET_BACK_SHARE;
+    const byMs = isSetBack ? this.#random.between(1, MAX_CLOCK_SET_BACK_MS) : 0;
     return this.#fleet.clock.wallMs() - byMs;
   }
 
-  #afterCrash(spec: StandIns.TaskWorkerSpec): void {
-    const backMs = this.#random.choose(BACK_MS);
+  #scheduleReturn(spec: StandIns.TaskWorkerSpec): void {
+    const backMs = this.#random.choose(RETURN_DELAYS_MS);
     const keepsId = this.#random.next() < KEEPS_ID_SHARE;
     const entry = this.#random.next();
-    const lateMs = this.#random.between(0, LATE_MS);
-    const former = this.#fleet.entryOf(spec.id);
-    if (entry < ENTRY_GONE_SHARE) {
-      this.#after(LAPSES_MS, () => this.#lapse(spec.id));
+    const lateMs = this.#random.between(0, MAX_REWRITE_DELAY_MS);
+    const earlier = this.#fleet.entryOf(spec.id);
+    if (entry < ENTRY_REMOVED_SHARE) {
+      this.#schedule(ENTRY_EXPIRY_MS, () => this.#expire(spec.id));
     }
-    if (!keepsId) return this.#bringBack(spec, backMs);
-    this.#after(backMs, () => {
+    if (!keepsId) return this.#returnUnderNewId(spec, backMs);
+    this.#schedule(backMs, () => {
       this.#fleet.beginAgain(spec);
-      const isLate = entry >= ENTRY_GONE_SHARE &&
-        entry < ENTRY_GONE_SHARE + ENTRY_LATE_SHARE;
-      if (isLate) this.#after(lateMs, () => this.#writeAgain(former));
+      const isLate = entry >= ENTRY_REMOVED_SHARE &&
+        entry < ENTRY_REMOVED_SHARE + ENTRY_REWRITTEN_SHARE;
+      if (isLate) this.#schedule(lateMs, () => this.#rewrite(earlier));
     });
   }
 
-  /** Another id at the address; the former entry goes when it would have lapsed. */
-  #bringBack(spec: StandIns.TaskWorkerSpec, drawnMs: number): void {
-    const backMs = Math.max(drawnMs, LEAST_OTHER_ID_MS);
-    this.#after(backMs, () => {
-      this.#fleet.entryOutlastsMs = Math.max(0, LAPSES_MS - backMs);
+  /** Restarts under another id at the address; the earlier entry expires on time. */
+  #returnUnderNewId(spec: StandIns.TaskWorkerSpec, returnMs: number): void {
+    const backMs = Math.max(returnMs, MIN_NEW_ID_RETURN_MS);
+    this.#schedule(backMs, () => {
+      this.#fleet.entryOutlastsMs = Math.max(0, ENTRY_EXPIRY_MS - backMs);
       this.#fleet.bringBack(spec);
     });
   }
 
-  #lapse(id: string): void {
+  #expire(id: string): void {
     if (!this.#fleet.workers.listLives().includes(id)) this.#fleet.unlist(id);
   }
 
-  /** What the former life wrote takes effect only now. */
-  #writeAgain(former: Ports.EndpointListing | null): void {
-    const isListed = former !== null &&
-      this.#fleet.entryOf(former.id) !== null;
-    if (isListed) this.#fleet.writeEntry(former);
+  /** Applies a delayed write of the earlier incarnation. */
+  #rewrite(earlier: Ports.EndpointListing | null): void {
+    const isListed = earlier !== null &&
+      this.#fleet.entryOf(earlier.id) !== null;
+    if (isListed) this.#fleet.writeEntry(earlier);
   }
 
-  #after(ms: number, act: () => void): void {
+  #schedule(ms: number, action: () => void): void {
     const later = Effect.andThen(
       this.#fleet.clock.sleep(ms),
-      Effect.sync(act),
+      Effect.sync(action),
     );
     Effect.runFork(later);
   }
--- a/packages/test-utils/src/room_check.ts
+++ b/packages/test-utils/src/room_check.ts
@@ -1,26 +1,28 @@
-/** Runs on endpoints that held more than they have room for, seen from outside. */
+/** Checks that no endpoint runs more tasks than it has accelerators. */
 import type * as fleets from "./test_fleet.ts";
 
 /**
- * Starts that brought an endpoint over its room. A run that is being stopped holds
- * its room until it has ended.
+ * Describes the starts that exceeded the capacity of an endpoint. A run that is being
+ * stopped occupies its accelerator until it has ended.
  *
- * @param sizes accelerators of the endpoints, by the place of their address
+ * @param sizes accelerators of the endpoints, by index of their address
  */
-export function findOverfull(
+export function findOverloaded(
   fleet: fleets.TestFleet,
   sizes: readonly number[],
 ): string[] {
   fleet.workers.settle();
   const { runs } = fleet.workers;
-  return runs.flatMap(({ task, run, worker, startedAtMs }, at) => {
-    const held = runs.filter((note, i) =>
-      i <= at && note.worker === worker &&
+  return runs.flatMap(({ task, run, worker, startedAtMs }, index) => {
+    const concurrent = runs.filter((note, i) =>
+      i <= index && note.worker === worker &&
       (note.endedAtMs ?? Number.POSITIVE_INFINITY) > startedAtMs
     );
-    const room = sizes[fleet.placeOf(worker)];
-    return held.length > room
-      ? [`${task} run ${run}: ${held.length} on ${worker}, room ${room}`]
+    const capacity = sizes[fleet.placeOf(worker)];
+    return concurrent.length > capacity
+      ? [
+        `${task} run ${run}: ${concurrent.length} on ${worker}, capacity ${capacity}`,
+      ]
       : [];
   });
 }
--- a/packages/test-utils/src/run_checks.ts
+++ b/packages/test-utils/src/run_checks.ts
@@ -1,9 +1,9 @@
-/** What must never happen to runs, whatever fails. */
+/** Checks of the guarantees on runs, which hold under any faults. */
 import type * as StandIns from "@cairngate/stand-ins";
 import * as Workflow from "@cairngate/workflow";
 import type * as fleets from "./test_fleet.ts";
 
-/** Runs that break a promise, in words. */
+/** Describes the runs that violate a guarantee. */
 export function findBrokenRuns(fleet: fleets.TestFleet): string[] {
   fleet.workers.settle();
   const byTask = new Map<string, StandIns.TaskRunNote[]>();
@@ -13,13 +13,13 @@
   return [...byTask.values()].flatMap(checkRuns);
 }
 
-/** Failed runs after which nothing of a task starts; the queues say so. */
-const ATTEMPTS = 3;
-/** Crashes under a task after which its starts are counted, by the users' rule. */
-const CRASHES = 3;
-/** Starts after that crash that the users' rule allows; a third one breaks it. */
-const STARTS_LEFT = 2;
-/** Workflows whose tasks crash their endpoints begin so. */
+/** Failed runs after which a task is not started again, as set in the queues. */
+const MAX_ATTEMPTS = 3;
+/** Crashes under a task after which users limit its further starts. */
+const MAX_CRASHES = 3;
+/** Starts that users allow after that crash. */
+const MAX_STARTS_AFTER_CRASHES = 2;
+/** Id prefix of the workflows whose tasks crash their endpoints. */
 export const CRASHER = "c";
 
 function checkRuns(runs: readonly StandIns.TaskRunNote[]): string[] {
@@ -29,42 +29,44 @@
       if (first === second || second.startedAtMs < first.startedAtMs) continue;
       const endedAtMs = first.endedAtMs ?? Number.POSITIVE_INFINITY;
       const pair = `${first.task} runs ${first.run} and ${second.run}`;
-      if (second.startedAtMs < endedAtMs) found.push(`${pair} at once`);
-      if (isNotedDone(first)) found.push(`${pair}: the first was done`);
+      if (second.startedAtMs < endedAtMs) found.push(`${pair} overlapped`);
+      if (isRecordedDone(first)) found.push(`${pair}: the first had completed`);
     }
   }
   return found;
 }
 
-/** No start after as many failed ends as are allowed, if they were noted. */
+/** Finds starts after the last allowed failure was acknowledged. */
 function checkAttempts(runs: readonly StandIns.TaskRunNote[]): string[] {
-  const failed = runs.filter((note) => note.how === "failed" && isNoted(note))
+  const failed = runs.filter((note) =>
+    note.how === "failed" && isAcknowledged(note)
+  )
     .sort((a, b) => (a.endedAtMs ?? 0) - (b.endedAtMs ?? 0));
-  const last = failed[ATTEMPTS - 1];
+  const last = failed[MAX_ATTEMPTS - 1];
   if (last === undefined) return [];
   const late = runs.filter((note) => note.startedAtMs > (last.endedAtMs ?? 0));
-  return late.map(({ task, run }) => `${task} run ${run} after its attempts`);
+  return late.map(({ task, run }) => `${task} run ${run} exceeds its attempts`);
 }
 
-/** A task that crashes its endpoints is given up. */
+/** Finds a task that keeps starting although it crashes its endpoints. */
 function checkCrashes(runs: readonly StandIns.TaskRunNote[]): string[] {
   const [{ task }] = runs;
   if (!task.startsWith(CRASHER)) return [];
   const crashes = runs.filter(({ how }) => how === "crashed")
     .map(({ endedAtMs }) => endedAtMs ?? 0).sort((a, b) => a - b);
-  if (crashes.length < CRASHES) return [];
+  if (crashes.length < MAX_CRASHES) return [];
   const late = runs.filter(({ startedAtMs }) =>
-    startedAtMs > crashes[CRASHES - 1]
+    startedAtMs > crashes[MAX_CRASHES - 1]
   );
-  return late.length > STARTS_LEFT
-    ? [`${task}: ${late.length} starts after its third crash`]
+  return late.length > MAX_STARTS_AFTER_CRASHES
+    ? [`${task}: ${late.length} starts after the third crash`]
     : [];
 }
 
-/** Crashes under a task after which the operators' rules let it be given up. */
-const CRASHES_TO_GIVE_UP = 2;
+/** Crashes of its endpoints after which operators allow giving up a task. */
+const MIN_CRASHES_TO_GIVE_UP = 2;
 
-/** A workflow that failed has a task that failed or crashed too often. */
+/** Checks that a failed workflow has a task that failed or crashed too often. */
 export function checkFailed(fleet: fleets.TestFleet, id: string): string[] {
   if (fleet.state(id) !== Workflow.WorkflowState.Failed) return [];
   const runs = fleet.workers.runs.filter(({ task }) =>
@@ -73,10 +75,10 @@
   const countCrashes = (task: string) =>
     runs.filter((note) => note.task === task && note.how === "crashed").length;
   const hasCause = runs.some(({ task }) =>
-    countFailedRuns(fleet, task) >= ATTEMPTS ||
-    countCrashes(task) >= CRASHES_TO_GIVE_UP
+    countFailedRuns(fleet, task) >= MAX_ATTEMPTS ||
+    countCrashes(task) >= MIN_CRASHES_TO_GIVE_UP
   );
-  return hasCause ? [] : [`${id} failed without a cause`];
+  return hasCause ? [] : [`${id} failed without too many failures or crashes`];
 }
 
 /**
@@ -92,22 +94,24 @@
 }
 
 /**
- * The same for a workflow of one gang: a run of it counts as one failure, whichever
- * of its members failed.
+ * Checks the same for a workflow of one gang: a run counts as one failure, whichever of
+ * its members failed.
  */
 export function checkFailedGang(fleet: fleets.TestFleet, id: string): string[] {
   const failed = fleet.workers.runs.filter(({ task, how }) =>
     task.startsWith(`${id}.`) && how === "failed"
   );
   const failedRuns = new Set(failed.map(({ run }) => run));
-  return failedRuns.size >= ATTEMPTS ? [] : checkFailed(fleet, id);
+  return failedRuns.size >= MAX_ATTEMPTS ? [] : checkFailed(fleet, id);
 }
 
-function isNoted(note: StandIns.TaskRunNote): boolean {
+function isAcknowledged(note: StandIns.TaskRunNote): boolean {
   return note.acknowledgedAtMs !== null && !note.hasLapsedMeanwhile;
 }
 
-/** An end that is noted stands, unless the lease ran out before it was. */
-function isNotedDone(note: StandIns.TaskRunNote): boolean {
-  return note.how === "done" && isNoted(note);
+/**
+ * An acknowledged end is final, unless the lease expired before it was acknowledged.
+ */
+function isRecordedDone(note: StandIns.TaskRunNote): boolean {
+  return note.how === "done" && isAcknowledged(note);
 }
--- a/packages/test-utils/src/seeded_random.ts
+++ b/packages/test-utils/src/seeded_random.ts
@@ -1,9 +1,9 @@
-/** Random numbers that repeat for a seed. */
+/** Deterministic random numbers. */
 import * as Ports from "@cairngate/ports";
 import * as Float from "pure-rand/distribution/uniformFloat64";
 import * as Xoroshiro from "pure-rand/generator/xoroshiro128plus";
 
-/** Random source for tests. */
+/** Random source that repeats its sequence for a seed. */
 export class SeededRandom extends Ports.RandomSource {
   readonly #generator: ReturnType<typeof Xoroshiro.xoroshiro128plus>;
   #ids = 0;
@@ -21,12 +21,12 @@
     return `id-${this.#ids++}-${Math.floor(this.next() * 1e9)}`;
   }
 
-  /** A whole number from `first` to `last`. */
+  /** Draws an integer from `first` to `last`, both included. */
   between(first: number, last: number): number {
     return first + Math.floor(this.next() * (last - first + 1));
   }
 
-  /** One of some things. */
+  /** Draws an element of a list that is not empty. */
   choose<T>(from: readonly T[]): T {
     return from[this.between(0, from.length - 1)];
   }
--- a/packages/test-utils/src/silent_proxy.ts
+++ b/packages/test-utils/src/silent_proxy.ts
@@ -1,43 +1,43 @@
 /**
- * A proxy on loopback whose open connections can be made silent for good, while
- * new ones work. Nothing is reset: neither side learns of it.
+ * A loopback proxy whose open connections can be silenced for good, while new ones
+ * work. Nothing is reset, so neither side gets an error.
  */
 import * as net from "node:net";
 
-/** Which bytes are swallowed. */
-export type SilentWay = "both" | "to-server" | "to-client";
+/** Direction in which bytes are dropped. */
+export type SilentTraffic = "both" | "to-server" | "to-client";
 
 /** One connection through the proxy. */
-interface Pair {
+interface SocketPair {
   readonly client: net.Socket;
   readonly server: net.Socket;
-  /** Bytes that are swallowed; null where all pass. */
-  silent: SilentWay | null;
+  /** Direction in which bytes are dropped; null while all pass. */
+  silent: SilentTraffic | null;
 }
 
-/** Passes connections on to one server. */
+/** Forwards connections to one server. */
 export class SilentProxy {
-  readonly #pairs = new Set<Pair>();
+  readonly #pairs = new Set<SocketPair>();
   readonly #listener: net.Server;
   #opened = 0;
-  /** Bytes that were swallowed on their way to the server. */
-  swallowedBytes = 0;
+  /** Bytes to the server that were dropped. */
+  droppedBytes = 0;
 
-  /** @param target where the server listens, as host:port */
+  /** @param target address of the server, as host:port */
   constructor(target: string) {
     const { hostname: host, port } = new URL(`http://${target}`);
     this.#listener = net.createServer((client) => {
       this.#opened++;
-      this.#join(client, net.connect({ host, port: Number(port) }));
+      this.#connect(client, net.connect({ host, port: Number(port) }));
     });
   }
 
-  /** Connections that were opened so far. */
+  /** Number of connections opened so far. */
   get opened(): number {
     return this.#opened;
   }
 
-  /** Opens the proxy; returns its address. */
+  /** Starts the proxy; returns its address as host:port. */
   start(): Promise<string> {
     return new Promise((resolve) => {
       this.#listener.listen(0, "127.0.0.1", () => {
@@ -47,13 +47,13 @@
     });
   }
 
-  /** Makes all connections that are open now silent; returns how many. */
-  silence(way: SilentWay = "both"): number {
-    for (const pair of this.#pairs) pair.silent = way;
+  /** Silences all open connections; returns their number. */
+  silence(traffic: SilentTraffic = "both"): number {
+    for (const pair of this.#pairs) pair.silent = traffic;
     return this.#pairs.size;
   }
 
-  /** Ends everything. */
+  /** Closes the proxy and all of its connections. */
   stop(): void {
     this.#listener.close();
     for (const { client, server } of this.#pairs) {
@@ -62,32 +62,35 @@
     }
   }
 
-  #join(client: net.Socket, server: net.Socket): void {
-    const pair: Pair = { client, server, silent: null };
+  #connect(client: net.Socket, server: net.Socket): void {
+    const pair: SocketPair = { client, server, silent: null };
     this.#pairs.add(pair);
     client.on("data", (bytes) => {
-      if (swallows(pair, "to-server")) this.swallowedBytes += bytes.length;
+      if (isSilent(pair, "to-server")) this.droppedBytes += bytes.length;
       else server.write(bytes);
     });
     server.on("data", (bytes) => {
-      if (!swallows(pair, "to-client")) client.write(bytes);
+      if (!isSilent(pair, "to-client")) client.write(bytes);
     });
-    const forget = () => {
+    const removeIfClosed = () => {
       if (client.destroyed && server.destroyed) this.#pairs.delete(pair);
     };
-    // A silent connection does not tell that the other side has gone either.
+    // A silent connection does not forward the close of the other side either.
     client.on("close", () => {
-      if (!swallows(pair, "to-server")) server.destroy();
-      forget();
+      if (!isSilent(pair, "to-server")) server.destroy();
+      removeIfClosed();
     });
     server.on("close", () => {
-      if (!swallows(pair, "to-client")) client.destroy();
-      forget();
+      if (!isSilent(pair, "to-client")) client.destroy();
+      removeIfClosed();
     });
     for (const socket of [client, server]) socket.on("error", () => {});
   }
 }
 
-function swallows({ silent }: Pair, way: SilentWay): boolean {
-  return silent === "both" || silent === way;
+function isSilent(
+  { silent }: SocketPair,
+  traffic: SilentTraffic,
+): boolean {
+  return silent === "both" || silent === traffic;
 }
--- a/packages/test-utils/src/slow_ends.ts
+++ b/packages/test-utils/src/slow_ends.ts
@@ -1,37 +1,37 @@
 /**
- * Endpoints as slow as those of users: a stop is answered at once and ends its run
- * later, and the members of a gang end one after another.
+ * Simulates endpoints that end runs as slowly as those of users: a stop is answered at
+ * once and ends its run later, and the members of a gang end one after another.
  */
 import * as randoms from "./seeded_random.ts";
 import * as fleets from "./test_fleet.ts";
 
-/** Most time by which a member of a gang ends after the first one, in ms. */
-const MOST_FOLLOWS_MS = 1000;
-/** Time between two moments at which what has come about is taken in, in ms. */
+/** Longest time from the first end in a gang to that of another member, in ms. */
+const MAX_GANG_END_DELAY_MS = 1000;
+/** Time between two updates of the endpoints, in ms. */
 const STEP_MS = 20;
 
-/** The slow ends of one play, and where runs are about to end. */
+/** Delays the ends of runs in one simulation and tracks the pending ones. */
 export class SlowEnds {
   readonly #fleet: fleets.TestFleet;
-  /** Our times of the ends that are on their way, by task. */
+  /** Times of the pending ends on the clock of the simulation, by task. */
   readonly #endsAtMs = new Map<string, number>();
 
   constructor(fleet: fleets.TestFleet, seed: number) {
     this.#fleet = fleet;
     const random = new randoms.SeededRandom(seed);
-    const draw = (task: string, mostMs: number) => {
-      const takesMs = random.between(0, mostMs);
-      this.#endsAtMs.set(task, fleet.clock.monotonicMs() + takesMs);
-      return takesMs;
+    const draw = (task: string, maxMs: number) => {
+      const delayMs = random.between(0, maxMs);
+      this.#endsAtMs.set(task, fleet.clock.monotonicMs() + delayMs);
+      return delayMs;
     };
     const { stopMs } = fleets.FLEET_BOUNDS;
     fleet.workers.stopTakesMs = (task) => draw(task, stopMs);
-    fleet.workers.gangFollowsMs = (task) => draw(task, MOST_FOLLOWS_MS);
+    fleet.workers.gangFollowsMs = (task) => draw(task, MAX_GANG_END_DELAY_MS);
   }
 
   /**
-   * Endpoints with a run that is being stopped, or will follow the first end of its
-   * gang.
+   * Endpoints with a run that is being stopped or that ends because another member of
+   * its gang has ended.
    */
   get endpoints(): string[] {
     const { clock, workers } = this.#fleet;
@@ -46,19 +46,19 @@
   }
 
   /**
-   * Moves time on in small steps. Ends come about at endpoints whether or not anybody
-   * asks them; taken in late, one would make others end at times that are past.
+   * Advances the time in small steps and updates the endpoints after each. Updated
+   * late, an end would make the other members of its gang end at times that are past.
    */
-  async advance(ms: number, isEnough: () => boolean = () => false) {
-    for (let passedMs = 0; passedMs < ms; passedMs += STEP_MS) {
-      if (isEnough()) return;
-      await this.#fleet.clock.advance(Math.min(STEP_MS, ms - passedMs));
+  async advance(ms: number, isDone: () => boolean = () => false) {
+    for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += STEP_MS) {
+      if (isDone()) return;
+      await this.#fleet.clock.advance(Math.min(STEP_MS, ms - elapsedMs));
       this.#fleet.workers.settle();
     }
   }
 
-  /** Waits for such an end, for some time. */
-  async awaitOne(limitMs: number): Promise<void> {
-    await this.advance(limitMs, () => this.endpoints.length > 0);
+  /** Waits until a run is about to end, or until the timeout. */
+  async awaitEnd(timeoutMs: number): Promise<void> {
+    await this.advance(timeoutMs, () => this.endpoints.length > 0);
   }
 }
--- a/packages/test-utils/src/slow_faults.ts
+++ b/packages/test-utils/src/slow_faults.ts
@@ -1,4 +1,4 @@
-/** What strikes in the middle of a stop, or between two: one thing at a time. */
+/** Faults that are injected during a stop or between stops, one at a time. */
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
 import * as cuts from "./brief_cuts.ts";
@@ -7,19 +7,19 @@
 import type * as slowEnds from "./slow_ends.ts";
 import type * as fleets from "./test_fleet.ts";
 
-/** Each of them, as often as it is drawn. */
+/** Kinds of faults. */
 enum Fault {
-  /** The coordinator ends; another box takes over. */
+  /** The coordinator is killed and another box takes over. */
   Takeover,
   /** A caller cancels a workflow. */
   Cancel,
-  /** A data centre is evacuated, or taken back. */
+  /** A data centre is evacuated or returned to use. */
   Evacuation,
-  /** Some endpoints are cut off for a moment. */
+  /** Some endpoints are cut off for a short time. */
   CutOff,
   /** Connections to all endpoints, or to most, are reset at once. */
   Reset,
-  /** An endpoint ends. */
+  /** An endpoint crashes. */
   Crash,
 }
 
@@ -28,36 +28,36 @@
   ...[Fault.CutOff, Fault.CutOff, Fault.CutOff],
   ...[Fault.Reset, Fault.Reset, Fault.Reset, Fault.Crash],
 ];
-/** Ends that an endpoint brings about for reasons of its own. */
-const OWN_ENDS: readonly Ports.EndKind[] = ["failed", "alone", "alone"];
-/** Shares of the endpoints whose connections a reset strikes, 0 to 1. */
+/** Kinds of ends that an endpoint causes without an order. */
+const SPONTANEOUS_ENDS: readonly Ports.EndKind[] = ["failed", "alone", "alone"];
+/** Shares of the endpoints whose connections a reset affects, 0 to 1. */
 const RESET_SHARES: readonly number[] = [0.5, 1];
-/** Orders on their way for which a reset waits, and how long it does, in ms. */
-const ORDERS_TO_STRIKE = 2;
-/** Longest wait for orders that are on their way, in ms, and its steps. */
-const AWAIT_ORDERS_MS = 300;
+/** Number of orders in flight for which a reset waits. */
+const MIN_ORDERS_IN_FLIGHT = 2;
+/** Longest wait for orders in flight, in ms. */
+const ORDERS_TIMEOUT_MS = 300;
 const ORDERS_STEP_MS = 2;
 const HOST = "jobs.example";
 const KEY = "key-of-hana";
 
-/** A workflow that was handed in. */
-export interface HandedIn {
+/** A submitted workflow. */
+export interface SubmittedWorkflow {
   readonly id: string;
   readonly priority: number;
 }
 
-/** What the faults of a play work with. */
+/** Options of SlowFaults. */
 export interface SlowFaultsOptions {
   readonly fleet: fleets.TestFleet;
   readonly seed: number;
   readonly cuts: cuts.BriefCuts;
   readonly evacuations: evacuated.Evacuations;
   readonly ends: slowEnds.SlowEnds;
-  /** Workflows that may be cancelled. */
-  readonly open: () => readonly HandedIn[];
+  /** Returns the workflows that may be cancelled. */
+  readonly open: () => readonly SubmittedWorkflow[];
 }
 
-/** Draws and does them. */
+/** Injects the random faults of one simulation. */
 export class SlowFaults {
   readonly #options: SlowFaultsOptions;
   readonly #random: randoms.SeededRandom;
@@ -67,8 +67,8 @@
     this.#random = new randoms.SeededRandom(options.seed);
   }
 
-  /** One of them strikes. */
-  async strike(): Promise<void> {
+  /** Injects one random fault. */
+  async inject(): Promise<void> {
     const { fleet, cuts, evacuations, ends } = this.#options;
     switch (this.#random.choose(FAULTS)) {
       case Fault.Takeover:
@@ -78,24 +78,24 @@
       case Fault.Evacuation:
         return evacuations.change();
       case Fault.CutOff:
-        return cuts.strike(ends.endpoints);
+        return cuts.inject(ends.endpoints);
       case Fault.Reset:
         return await this.#reset();
       case Fault.Crash: {
-        const lives = fleet.workers.listLives();
-        if (lives.length > 0) fleet.workers.crash(this.#random.choose(lives));
+        const ids = fleet.workers.listLives();
+        if (ids.length > 0) fleet.workers.crash(this.#random.choose(ids));
       }
     }
   }
 
-  /** A run ends by itself, so that its gang breaks. */
+  /** Ends a random run without an order, which breaks its gang. */
   breakGang(): void {
     const { workers } = this.#options.fleet;
     workers.settle();
     const running = workers.runs.filter(({ how }) => how === null);
     if (running.length === 0) return;
     const { task } = this.#random.choose(running);
-    workers.endNow(task, this.#random.choose(OWN_ENDS));
+    workers.endNow(task, this.#random.choose(SPONTANEOUS_ENDS));
   }
 
   async #replaceCoordinator(): Promise<void> {
@@ -106,7 +106,7 @@
     fleet.startNode(`${coordinator}+`);
   }
 
-  /** Nobody waits for the answer: time moves on with the play. */
+  /** Does not wait for the answer: the simulation advances the time. */
   #cancel(): void {
     const { fleet, open } = this.#options;
     const candidates = open();
@@ -122,17 +122,17 @@
     Effect.runFork(Effect.ignoreCause(call));
   }
 
-  /** While several orders are on their way, as those to a gang leave together. */
+  /** Resets connections while several orders are in flight, such as those to a gang. */
   async #reset(): Promise<void> {
     const share = this.#random.choose(RESET_SHARES);
     const { clock, workers } = this.#options.fleet;
-    for (let ms = 0; ms < AWAIT_ORDERS_MS; ms += ORDERS_STEP_MS) {
-      if (workers.ways.leftCount >= ORDERS_TO_STRIKE) break;
+    for (let ms = 0; ms < ORDERS_TIMEOUT_MS; ms += ORDERS_STEP_MS) {
+      if (workers.ways.leftCount >= MIN_ORDERS_IN_FLIGHT) break;
       await clock.advance(ORDERS_STEP_MS);
     }
-    const struck = new Set(
+    const resetIds = new Set(
       workers.listLives().filter(() => this.#random.next() < share),
     );
-    workers.ways.reset((endpoint) => struck.has(endpoint));
+    workers.ways.reset((endpoint) => resetIds.has(endpoint));
   }
 }
--- a/packages/test-utils/src/standstill_check.ts
+++ b/packages/test-utils/src/standstill_check.ts
@@ -1,77 +1,77 @@
 /**
- * Work that could run and does not, seen from outside: by the endpoints that live, by
- * what they run and have told, never by what the coordinator believes.
+ * Checks for work that could run but does not. Uses only the state of the endpoints and
+ * what they run and report, never the state of the coordinator.
  */
 import type * as StandIns from "@cairngate/stand-ins";
 import * as Workflow from "@cairngate/workflow";
 import type * as fleets from "./test_fleet.ts";
 
-/** Users allow work to stand for this time, in ms, while there is room. */
-const MOST_STANDING_MS = 3000;
+/** Longest time that users accept idle work while there is capacity, in ms. */
+const MAX_IDLE_MS = 3000;
 /**
- * What a box has to notice first, in ms: a holder that is gone (2 s), or an endpoint
- * whose lease has to run out, as its last faults may have come just before.
+ * Time that a box needs to detect the last faults, in ms, which may have occurred just
+ * before: a coordinator that is gone (2 s), or an endpoint whose lease has to expire.
  */
-const NOTICE_MS = 9000;
-/** Crashes after which users' rules leave no start that is safe. */
-const MOST_CRASHES = 3;
+const DETECTION_MS = 9000;
+/** Crashes of its endpoints after which no further start of a task is required. */
+const MAX_CRASHES = 3;
 
-/** Watches the work of one play once its faults are over. */
+/** Checks the work of one simulation once its faults are over. */
 export class StandstillCheck {
   readonly #fleet: fleets.TestFleet;
-  /** Since when nothing runs of a workflow that has not ended. */
+  /** Start of the idle time of each unfinished workflow without a run. */
   readonly #idleSinceMs = new Map<string, number>();
-  readonly #found = new Set<string>();
+  readonly #violations = new Set<string>();
 
   constructor(fleet: fleets.TestFleet) {
     this.#fleet = fleet;
   }
 
-  /** Looks once; to be called again and again while the clock moves. */
-  look(accepted: readonly string[]): void {
+  /** Checks the workflows once; to be called repeatedly while the clock advances. */
+  check(accepted: readonly string[]): void {
     this.#fleet.workers.settle();
     const nowMs = this.#fleet.clock.monotonicMs();
-    const isRoomy = this.#isRoomy();
+    const hasCapacity = this.#hasCapacity();
     for (const id of accepted) {
-      if (!isRoomy || !this.#stands(id)) {
+      if (!hasCapacity || !this.#isIdle(id)) {
         this.#idleSinceMs.delete(id);
         continue;
       }
       const sinceMs = this.#idleSinceMs.get(id) ?? nowMs;
       this.#idleSinceMs.set(id, sinceMs);
-      if (nowMs - sinceMs <= MOST_STANDING_MS + NOTICE_MS) continue;
-      this.#found.add(`${id} could run and does not`);
+      if (nowMs - sinceMs <= MAX_IDLE_MS + DETECTION_MS) continue;
+      this.#violations.add(`${id} could run but does not`);
     }
   }
 
-  /** What was found, in words. */
-  get found(): string[] {
-    return [...this.#found];
+  /** Descriptions of the workflows that were idle for too long. */
+  get violations(): string[] {
+    return [...this.#violations];
   }
 
-  /** Under half of the accelerators of all that live are in use. */
-  #isRoomy(): boolean {
+  /** Whether less than half of the accelerators of the running endpoints are in use. */
+  #hasCapacity(): boolean {
     const { workers } = this.#fleet;
-    const lives = new Set(workers.listLives());
+    const aliveIds = new Set(workers.listLives());
     const running = workers.runs.filter((run) =>
-      run.endedAtMs === null && lives.has(run.worker)
+      run.endedAtMs === null && aliveIds.has(run.worker)
     );
     return running.length * 2 < workers.acceleratorsAlive;
   }
 
-  #stands(id: string): boolean {
+  #isIdle(id: string): boolean {
     const state = this.#fleet.state(id);
     if (state !== null && Workflow.isFinal(state)) return false;
     const runs = this.#fleet.workers.runs.filter(({ task }) =>
       task.startsWith(`${id}.`)
     );
-    const isHeld = countMost(runs, "crashed") >= MOST_CRASHES;
-    return !isHeld && runs.every(({ endedAtMs }) => endedAtMs !== null);
+    const isGivenUp = maxPerTask(runs, "crashed") >= MAX_CRASHES;
+    return !isGivenUp && runs.every(({ endedAtMs }) => endedAtMs !== null);
   }
 }
 
-/** The most ends of one kind that any task has. */
-function countMost(
+/** Highest number of ends of a kind that a task has. */
+function maxPerTask(
   runs: readonly StandIns.TaskRunNote[],
   kind: string,
 ): number {
--- a/packages/test-utils/src/suspendable_clock.ts
+++ b/packages/test-utils/src/suspendable_clock.ts
@@ -1,19 +1,19 @@
-/** The clock of one box that can be suspended: its steady clock stands then. */
+/** Clock of one box that can be suspended, which stops its monotonic clock. */
 import * as Ports from "@cairngate/ports";
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
 
-/** Less than this, in ms, is what adding and taking away times leaves over. */
+/** Rounding error of sums of times, in ms. */
 const ROUNDING_MS = 0.001;
 
-/** Follows another clock, but for the times in which the box is suspended. */
+/** Follows another clock except while the box is suspended. */
 export class SuspendableClock extends Ports.Clock {
   readonly #inner: Ports.Clock;
-  /** Time that the steady clock did not count, in ms. */
-  #stoodMs = 0;
+  /** Total time of past suspensions, in ms. */
+  #suspendedMs = 0;
   #suspendedAtMs: number | null = null;
   #resumed = Deferred.makeUnsafe<void>();
-  /** How far the time of day is ahead, in ms; tests set it. */
+  /** Offset of the wall clock, in ms; tests set it. */
   wallAheadMs = 0;
 
   constructor(inner: Ports.Clock) {
@@ -21,16 +21,17 @@
     this.#inner = inner;
   }
 
-  /** The time of day counts a suspension. */
+  /** Wall-clock time, which advances during a suspension. */
   override wallMs(): number {
     return this.#inner.wallMs() + this.wallAheadMs;
   }
 
   override monotonicMs(): number {
-    return (this.#suspendedAtMs ?? this.#inner.monotonicMs()) - this.#stoodMs;
+    return (this.#suspendedAtMs ?? this.#inner.monotonicMs()) -
+      this.#suspendedMs;
   }
 
-  /** Timers follow the steady clock. */
+  /** Sleeps by the monotonic clock. */
   override sleep(ms: number): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       const untilMs = this.monotonicMs() + ms;
@@ -43,29 +44,29 @@
     });
   }
 
-  /** Whether the box stands still. */
+  /** Whether the box is suspended. */
   get isSuspended(): boolean {
     return this.#suspendedAtMs !== null;
   }
 
-  /** Waits while the box is suspended: what arrives then is read later. */
+  /** Waits while the box is suspended, so that it reads messages only afterwards. */
   awaitRunning(): Effect.Effect<void> {
     return Effect.suspend(() =>
       this.isSuspended ? Deferred.await(this.#resumed) : Effect.void
     );
   }
 
-  /** The box stands still from now on. */
+  /** Suspends the box. */
   suspend(): void {
     if (this.isSuspended) return;
     this.#resumed = Deferred.makeUnsafe<void>();
     this.#suspendedAtMs = this.#inner.monotonicMs();
   }
 
-  /** The box goes on; it has not noticed the time between. */
+  /** Resumes the box; its monotonic clock skips the suspension. */
   resume(): void {
     if (this.#suspendedAtMs === null) return;
-    this.#stoodMs += this.#inner.monotonicMs() - this.#suspendedAtMs;
+    this.#suspendedMs += this.#inner.monotonicMs() - this.#suspendedAtMs;
     this.#suspendedAtMs = null;
     Deferred.doneUnsafe(this.#resumed, Effect.void);
   }
--- a/packages/test-utils/src/suspensions.ts
+++ b/packages/test-utils/src/suspensions.ts
@@ -1,13 +1,13 @@
-/** Boxes that are suspended one after another. */
+/** Random suspensions of boxes. */
 import * as randoms from "./seeded_random.ts";
 import type * as fleets from "./test_fleet.ts";
 
-/** Shortest and longest time for which a box stands still, in ms. */
+/** Shortest and longest suspension, in ms. */
 const SUSPENDED_MS: readonly [number, number] = [1000, 10_000];
-/** How far the time of day steps on some of them, in ms. */
+/** Offsets of the wall clock of a suspended box, in ms. */
 const WALL_STEPS_MS: readonly number[] = [0, 0, -2000, 2000];
 
-/** Boxes that stand still, the coordinator first, with their steady clocks. */
+/** Suspends boxes with their monotonic clocks, mostly the coordinator. */
 export class Suspensions {
   readonly #fleet: fleets.TestFleet;
   readonly #random: randoms.SeededRandom;
@@ -18,24 +18,24 @@
     this.#random = new randoms.SeededRandom(seed + 0.25);
   }
 
-  /** One box stands still from now on; others go on when their time is over. */
+  /** Resumes the boxes that are due and suspends one. */
   next(): void {
     this.#resumeDue();
     const names = [...this.#fleet.nodes.keys()];
     const coordinator = this.#fleet.coordinator();
-    const isKnown = coordinator !== null && names.includes(coordinator);
-    const name = isKnown && this.#random.next() < 0.7
+    const isCoordinatorUp = coordinator !== null && names.includes(coordinator);
+    const name = isCoordinatorUp && this.#random.next() < 0.7
       ? coordinator
       : this.#random.choose(names);
     const clock = this.#fleet.clocks.get(name);
     if (clock === undefined) return;
-    const lastsMs = this.#random.between(...SUSPENDED_MS);
-    this.#untilMs.set(name, this.#fleet.clock.monotonicMs() + lastsMs);
+    const durationMs = this.#random.between(...SUSPENDED_MS);
+    this.#untilMs.set(name, this.#fleet.clock.monotonicMs() + durationMs);
     clock.wallAheadMs = this.#random.choose(WALL_STEPS_MS);
     clock.suspend();
   }
 
-  /** All boxes go on. */
+  /** Resumes all boxes. */
   end(): void {
     for (const clock of this.#fleet.clocks.values()) clock.resume();
   }
--- a/packages/test-utils/src/test_cluster.ts
+++ b/packages/test-utils/src/test_cluster.ts
@@ -1,4 +1,4 @@
-/** Several boxes of one process on fakes and a clock that the test moves. */
+/** Several in-process boxes on fakes and a clock under the control of the test. */
 import * as Box from "@cairngate/box";
 import * as Logger from "@cairngate/logger";
 import * as Metrics from "@cairngate/metrics";
@@ -29,7 +29,7 @@
 };
 const READY_MS = 10_000;
 
-/** Boxes, workers and platform of one test. */
+/** Boxes, endpoints and platform of one test. */
 export class TestCluster {
   readonly clock = new clocks.FakeClock();
   readonly random: randoms.SeededRandom;
@@ -43,7 +43,7 @@
   readonly cfg: Types.DeploymentConfig;
   readonly boxes = new Map<string, Box.Box>();
   readonly clocks = new Map<string, pausable.PausableClock>();
-  /** Each box's own way to the workers, so that it can be cut alone. */
+  /** Connection of each box to the endpoints, so that each can be cut separately. */
   readonly links = new Map<string, faulty.FaultyWorkers>();
   readonly #objects: StandIns.MemoryObjectStore;
 
@@ -66,7 +66,7 @@
     for (const name of names) this.createBox(name);
   }
 
-  /** Starts all boxes, applies the deployment and waits for an owner. */
+  /** Starts all boxes, applies the deployment and waits until the cell is settled. */
   async start(): Promise<void> {
     for (const box of this.boxes.values()) {
       await Effect.runPromise(box.start());
@@ -81,12 +81,12 @@
     await this.clock.advanceUntil(() => this.isSettled(), READY_MS);
   }
 
-  /** A box by name. */
+  /** Returns a box by name. */
   box(name: string): Box.Box {
     return this.boxes.get(name)!;
   }
 
-  /** Name of the box that owns the cell; null where none does. */
+  /** Name of the box that owns the cell in the highest epoch; null if none does. */
   owner(): string | null {
     let best: { name: string; epoch: number } | null = null;
     for (const [name, box] of this.boxes) {
@@ -99,26 +99,26 @@
     return best?.name ?? null;
   }
 
-  /** Whether the cell has an owner with all workers sealed. */
+  /** Whether all boxes are ready and the owner of the cell has fenced all endpoints. */
   isSettled(): boolean {
     const owner = this.owner();
     if (owner === null) return false;
     const [cell] = this.box(owner).dump().cells;
-    const isEverywhere = [...this.boxes.values()].every((b) => b.isReady);
-    return isEverywhere && cell.workers.every((worker) => worker.sealed);
+    const isEveryBoxReady = [...this.boxes.values()].every((b) => b.isReady);
+    return isEveryBoxReady && cell.workers.every((worker) => worker.sealed);
   }
 
-  /** Runs work to its end while time moves; fails with its failure. */
+  /** Runs an effect to its end while the time advances; rejects if it fails. */
   async run<A, E>(
     work: Effect.Effect<A, E>,
-    limitMs = 60_000,
+    timeoutMs = 60_000,
   ): Promise<A> {
     const pending = this.begin(work);
-    await this.clock.advanceUntil(() => pending.isOver(), limitMs);
+    await this.clock.advanceUntil(() => pending.isOver(), timeoutMs);
     return await pending.value;
   }
 
-  /** Begins work; time has to be moved for it to end. */
+  /** Starts an effect without advancing the time. */
   begin<A, E>(
     work: Effect.Effect<A, E>,
   ): { value: Promise<A>; isOver: () => boolean } {
@@ -128,7 +128,7 @@
     return { value, isOver: () => over };
   }
 
-  /** The process of a box dies: nothing of it goes on. */
+  /** Kills the process of a box. */
   async kill(name: string): Promise<void> {
     this.hub.attach(name, null);
     this.links.get(name)!.rule = () => faulty.Loss.Order;
@@ -136,12 +136,12 @@
     this.boxes.delete(name);
   }
 
-  /** Starts a box again under its name, as after a crash. */
+  /** Restarts a box under its name, as after a crash. */
   async restart(name: string): Promise<void> {
     await Effect.runPromise(this.createBox(name).start());
   }
 
-  /** Creates a box that is not yet started. */
+  /** Creates a box without starting it. */
   createBox(name: string): Box.Box {
     const workers = new faulty.FaultyWorkers(this.reach);
     const clock = new pausable.PausableClock(this.clock);
@@ -183,7 +183,7 @@
     });
   }
 
-  /** Counts over what truly ran. */
+  /** Summarizes what the endpoints ran. */
   summary(): StandIns.LedgerSummary {
     return StandIns.summarizeLedger(this.ledger.entries);
   }
--- a/packages/test-utils/src/test_fleet.ts
+++ b/packages/test-utils/src/test_fleet.ts
@@ -1,4 +1,4 @@
-/** Several nodes for workflows on fakes and a clock that the test moves. */
+/** Several in-process boxes for workflows on fakes and a test-controlled clock. */
 import * as Logger from "@cairngate/logger";
 import * as Metrics from "@cairngate/metrics";
 import * as Ports from "@cairngate/ports";
@@ -13,7 +13,7 @@
 import * as suspendables from "./suspendable_clock.ts";
 import * as randoms from "./seeded_random.ts";
 
-/** Bounds that the tests play with. */
+/** Bounds of the boxes in tests. */
 export const FLEET_BOUNDS = {
   longestLeaseMs: 6000,
   stopMs: 500,
@@ -27,12 +27,12 @@
 const WRITES_PER_SECOND = 500;
 const ROW_BYTES = 65_536;
 const CONFIG_IN_FORCE_MS = 2000;
-/** Time within which nothing starts any more in an evacuated data centre, in ms. */
+/** Time after which nothing starts in an evacuated data centre any more, in ms. */
 export const EVACUATION_IN_FORCE_MS = 5000;
-/** A crashed endpoint is back after this time, in ms, at the same address. */
+/** Time after which a crashed endpoint returns at the same address, in ms. */
 export const CRASH_BACK_MS = 3000;
 
-/** A configuration with one queue for each priority, 0 to 2. */
+/** Builds a configuration with one queue for each priority, 0 to 2. */
 export function buildAccess(
   guarantees: Readonly<Record<string, number>> = { hana: 4 },
   version = 1,
@@ -57,7 +57,7 @@
   return { version, queues, tenants, maxBodyBytes: 100_000 };
 }
 
-/** A step of one task on one accelerator. */
+/** Builds a step of one task on one accelerator; `changes` override the defaults. */
 export function buildStep(
   changes: Partial<Workflow.StepSpec> = {},
 ): Workflow.StepSpec {
@@ -70,62 +70,62 @@
   });
 }
 
-interface FleetNode {
+interface FleetBox {
   readonly node: Node.WorkflowNode;
   readonly faults: StandIns.FaultSwitch;
 }
 
-/** Nodes, workers and store of one test. */
+/** Boxes, endpoints and store of one test. */
 export class TestFleet {
   readonly clock = new clocks.FakeClock();
   readonly random: randoms.SeededRandom;
-  /** Faults of the store for all nodes. */
+  /** Faults of the store for all boxes. */
   readonly faults: StandIns.FaultSwitch;
   readonly table: StandIns.MemoryTable;
   readonly workers: StandIns.MemoryTaskWorkers;
-  /** Links between the nodes. */
+  /** Links between the boxes. */
   readonly links = new peers.FakePeerHub(this.clock);
-  readonly nodes = new Map<string, FleetNode>();
-  /** Clock of each node. */
+  readonly nodes = new Map<string, FleetBox>();
+  /** Clock of each box. */
   readonly clocks = new Map<string, suspendables.SuspendableClock>();
   readonly #config: Ports.AccessConfig;
-  /** Time for which an endpoint is cold that comes back after a crash, in ms. */
+  /** Time for which an endpoint is cold after a crash, in ms. */
   coldAfterCrashMs = 0;
-  /** Time after which a crashed endpoint is back, in ms. */
+  /** Time after which a crashed endpoint returns, in ms. */
   crashBackMs = CRASH_BACK_MS;
-  /** Whether a crashed endpoint begins again under the id that it had. */
+  /** Whether a crashed endpoint restarts under the same id. */
   keepsIds = false;
-  /** Time for which the entry of a crashed endpoint outlasts its return, in ms. */
+  /** Time from the return of an endpoint to the removal of its earlier entry, in ms. */
   entryOutlastsMs = 0;
-  /** Data centre of the endpoint at a place. */
+  /** Data centre of the endpoint at an index. */
   readonly dataCentreOf: (place: number) => string;
   readonly #coresOf: (name: string) => number;
   readonly #advisor: Ports.Advisor | null;
   readonly #bounds: typeof FLEET_BOUNDS;
   readonly #hardLoad: Types.HardLoadSettings;
-  /** Place of each endpoint's address. */
+  /** Index of each endpoint's address. */
   readonly #placeOf = new Map<string, number>();
   readonly #logOf: (node: string, clock: Ports.Clock) => Logger.Logger;
   #writes = 0;
-  #lives = 0;
+  #restarts = 0;
 
-  /** @param options.workers accelerators of each worker, four to a rack */
+  /** @param options.workers accelerators of each endpoint, four to a rack */
   constructor(
     options: {
       nodes?: number;
       workers?: readonly number[];
       seed?: number;
       config?: Ports.AccessConfig;
-      /** Processor of each node, in cores. */
+      /** Processor cores of each box; defaults to 1. */
       cores?: (name: string) => number;
       advisor?: (clock: Ports.Clock) => Ports.Advisor;
       /** Longest lease of an endpoint, in ms. */
       longestLeaseMs?: number;
-      /** Features for hard load; left out: none. */
+      /** Features for hard load; defaults to none. */
       hardLoad?: Types.HardLoadSettings;
-      /** Data centre of the endpoint at each place; left out: one for all. */
+      /** Data centre of the endpoint at each index; defaults to one for all. */
       dataCentreOf?: (place: number) => string;
-      /** Logger of each node; silent where it is left out. */
+      /** Logger of each box; defaults to a silent one. */
       logOf?: (node: string, clock: Ports.Clock) => Logger.Logger;
     } = {},
   ) {
@@ -160,24 +160,24 @@
     for (let i = 1; i <= count; i++) this.addNode(`node-${i}`);
   }
 
-  /** Starts all nodes and waits until one coordinates. */
+  /** Starts all boxes and waits for a coordinator. */
   async start(): Promise<void> {
     for (const { node } of this.nodes.values()) Effect.runSync(node.start());
     await this.until(() => this.coordinator() !== null);
     await this.clock.advance(200);
   }
 
-  /** Ends all nodes. */
+  /** Stops all boxes. */
   async stop(): Promise<void> {
     for (const name of [...this.nodes.keys()]) await this.kill(name);
   }
 
-  /** Makes a node and starts it. */
+  /** Creates and starts a box. */
   startNode(name: string): void {
     Effect.runSync(this.addNode(name).start());
   }
 
-  /** Makes a node; it has to be started. */
+  /** Creates a box without starting it. */
   addNode(name: string): Node.WorkflowNode {
     const faults = new StandIns.FaultSwitch(this.clock, this.random);
     const clock = new suspendables.SuspendableClock(this.clock);
@@ -194,7 +194,7 @@
     const node = new Node.WorkflowNode({
       node: name,
       peersAddress: name,
-      peers: this.links.linksOf(name),
+      peers: this.links.peersOf(name),
       clock,
       random: this.random,
       table: new StandIns.FaultyTable(this.table, faults),
@@ -221,24 +221,24 @@
     return node;
   }
 
-  /** The node of this name. */
+  /** Returns a box by name. */
   node(name: string): Node.WorkflowNode {
     return this.#get(name).node;
   }
 
-  /** Faults of the store for one node. */
+  /** Faults of the store for one box. */
   faultsOf(name: string): StandIns.FaultSwitch {
     return this.#get(name).faults;
   }
 
-  /** All open connections of all boxes turn silent; new ones work. */
+  /** Makes all open connections of all boxes silent; new ones work. */
   silenceOpen(): void {
     for (const { faults } of this.nodes.values()) faults.connections.silence();
     this.workers.silenceOpen();
     this.links.silenceOpen();
   }
 
-  /** Name of the node that coordinates; null while there is none. */
+  /** Name of the coordinator; null while there is none. */
   coordinator(): string | null {
     const [row] = this.table.rowsUnder("election/coordinator");
     const holder = (row?.value as { holder: string } | undefined)?.holder;
@@ -251,16 +251,16 @@
     return (row?.value as { token: number } | undefined)?.token ?? 0;
   }
 
-  /** Ends a node at once. */
+  /** Kills a box at once. */
   async kill(name: string): Promise<void> {
     const stopped = Effect.runPromise(this.#get(name).node.stop());
-    // What ends its fibers would wait for as long as it is suspended.
+    // While suspended, the box would never finish stopping its fibers.
     this.clocks.get(name)?.resume();
     await stopped;
     this.nodes.delete(name);
   }
 
-  /** Lists a worker in the store. */
+  /** Lists an endpoint in the store. */
   list(
     spec: StandIns.TaskWorkerSpec,
     index: number,
@@ -289,42 +289,44 @@
     this.writeEntry(listing);
   }
 
-  /** Writes an entry of the list as it is, whoever lives at its address. */
+  /** Writes a list entry unchanged, whichever incarnation runs at its address. */
   writeEntry(listing: Ports.EndpointListing): void {
     this.write(`${WORKERS_PREFIX}${listing.id}`, listing);
   }
 
-  /** The entry of this id; null while it is not listed. */
+  /** Returns the list entry of an id; null while it is not listed. */
   entryOf(id: string): Ports.EndpointListing | null {
     const key = `${WORKERS_PREFIX}${id}`;
     const row = this.table.rowsUnder(key).find((one) => one.key === key);
     return (row?.value as Ports.EndpointListing | undefined) ?? null;
   }
 
-  /** A new life of a crashed endpoint begins at the same address. */
-  bringBack(former: StandIns.TaskWorkerSpec): void {
-    const base = former.id.split("~")[0];
-    const id = `${base}~${++this.#lives}`;
-    const spec = { ...former, id };
-    this.workers.replace(former.id, spec);
-    if (this.entryOutlastsMs === 0) this.unlist(former.id);
+  /** Restarts a crashed endpoint under a new id at the same address. */
+  bringBack(earlier: StandIns.TaskWorkerSpec): void {
+    const base = earlier.id.split("~")[0];
+    const id = `${base}~${++this.#restarts}`;
+    const spec = { ...earlier, id };
+    this.workers.replace(earlier.id, spec);
+    if (this.entryOutlastsMs === 0) this.unlist(earlier.id);
     else {
-      const unlist = Effect.sync(() => this.unlist(former.id));
+      const unlist = Effect.sync(() => this.unlist(earlier.id));
       const later = this.clock.sleep(this.entryOutlastsMs);
       Effect.runFork(Effect.andThen(later, unlist));
     }
     const coldForMs = this.coldAfterCrashMs;
-    this.list(spec, this.placeOf(former.id), { coldForMs });
+    this.list(spec, this.placeOf(earlier.id), { coldForMs });
   }
 
-  /** A new life begins under the same id; its entry takes the former one's place. */
+  /**
+   * Restarts a crashed endpoint under the same id; its entry replaces the earlier one.
+   */
   beginAgain(spec: StandIns.TaskWorkerSpec): void {
     this.workers.beginAgain(spec);
     const coldForMs = this.coldAfterCrashMs;
     this.list(spec, this.placeOf(spec.id), { coldForMs });
   }
 
-  /** Each endpoint that lives writes its entry again, as with each heartbeat. */
+  /** Sends a heartbeat of each running endpoint, which rewrites its entry. */
   beat(): void {
     for (const row of this.table.rowsUnder(WORKERS_PREFIX)) {
       const listing = row.value as Ports.EndpointListing;
@@ -335,32 +337,32 @@
     }
   }
 
-  /** Number of an endpoint's address. */
+  /** Index of an endpoint's address; throws if the id was never listed. */
   placeOf(id: string): number {
     const place = this.#placeOf.get(id);
-    if (place === undefined) throw new RangeError(`no endpoint ${id}`);
+    if (place === undefined) throw new RangeError(`unlisted endpoint ${id}`);
     return place;
   }
 
-  /** Takes a worker off the list. */
+  /** Removes an endpoint from the list. */
   unlist(id: string): void {
     this.write(`${WORKERS_PREFIX}${id}`, null);
   }
 
-  /** Puts a configuration in force. */
+  /** Writes a configuration, which puts it in force. */
   applyConfig(config: Ports.AccessConfig): void {
     const kind = Ports.OperatorEntryKind.Config;
     this.write(`${OPERATOR_PREFIX}config`, { kind, config });
   }
 
-  /** The operator lets nothing more start in a data centre. */
+  /** Evacuates a data centre as the operator does. */
   evacuate(dataCentre: string): void {
     const kind = Ports.OperatorEntryKind.Evacuation;
     const key = `${OPERATOR_PREFIX}evacuate/${dataCentre}`;
     this.write(key, { kind, dataCentre });
   }
 
-  /** The operator takes a data centre back into use. */
+  /** Returns an evacuated data centre to use. */
   takeBack(dataCentre: string): void {
     this.write(`${OPERATOR_PREFIX}evacuate/${dataCentre}`, null);
   }
@@ -372,7 +374,7 @@
     Effect.runSync(this.table.transact({ writeId, conditions: [], writes }));
   }
 
-  /** Hands a workflow in at a node. */
+  /** Submits a workflow through a box. */
   async submit(
     name: string,
     id: string,
@@ -402,7 +404,7 @@
     );
   }
 
-  /** Asks a node for the state of a workflow, as its caller does. */
+  /** Requests the state of a workflow from a box, as its caller does. */
   async ask(
     name: string,
     id: string,
@@ -412,14 +414,14 @@
     return await this.run(this.node(name).submissions.state(allowed, id));
   }
 
-  /** State of a workflow, as the store has it. */
+  /** State of a workflow in the store; null if there is none. */
   state(id: string): Workflow.WorkflowState | null {
     const [row] = this.table.rowsUnder("progress:")
       .filter(({ key }) => key.endsWith(`/${id}`));
     return (row?.value as Workflow.ProgressRecord | undefined)?.state ?? null;
   }
 
-  /** Runs an effect while the clock moves. */
+  /** Runs an effect to its end while the clock advances. */
   async run<A, E>(effect: Effect.Effect<A, E>): Promise<A> {
     let settled = false;
     const result = Effect.runPromise(effect).finally(() => {
@@ -431,9 +433,9 @@
     return await result;
   }
 
-  /** Moves the clock until something holds; false if it never does. */
-  until(holds: () => boolean, limitMs = 20_000): Promise<boolean> {
-    return this.clock.advanceUntil(holds, limitMs);
+  /** Advances the clock until a condition holds; returns false on timeout. */
+  until(holds: () => boolean, timeoutMs = 20_000): Promise<boolean> {
+    return this.clock.advanceUntil(holds, timeoutMs);
   }
 
   #allow(
@@ -450,9 +452,9 @@
     );
   }
 
-  #get(name: string): FleetNode {
-    const found = this.nodes.get(name);
-    if (found === undefined) throw new RangeError(`no node ${name}`);
-    return found;
+  #get(name: string): FleetBox {
+    const fleetBox = this.nodes.get(name);
+    if (fleetBox === undefined) throw new RangeError(`no box named ${name}`);
+    return fleetBox;
   }
 }
