--- a/packages/bench/src/simulate.ts
+++ b/packages/bench/src/simulate.ts
@@ -5,7 +5,7 @@
 import * as perf from "node:perf_hooks";
 import process from "node:process";
 import TinyQueue from "tinyqueue";
-import * as readings from "./readings.ts";
+import * as statistics from "./run_statistics.ts";
 import type * as traces from "./traces.ts";
 
 /** Time to write a checkpoint and stop, in milliseconds. */
@@ -33,7 +33,7 @@
 }
 
 /** Statistics of one scheduler on one trace. */
-export type PolicyResult = readings.Summary;
+export type PolicyResult = statistics.Summary;
 
 enum EventKind {
   Arrive,
@@ -72,7 +72,7 @@
   readonly #events = new TinyQueue<SimEvent>([], (a, b) => a.atMs - b.atMs);
   readonly #jobs = new Map<string, SimJob>();
   readonly #space: Placement.BuddySpace;
-  readonly #statistics: readings.RunStatistics;
+  readonly #statistics: statistics.RunStatistics;
   #nowMs = 0;
   #peakMb = 0;
   #rounds = 0;
@@ -80,7 +80,7 @@
   constructor(options: SimulationOptions) {
     this.#options = options;
     this.#space = new Placement.BuddySpace(options.layout.racks.length);
-    this.#statistics = new readings.RunStatistics(this.#space, options.jobs);
+    this.#statistics = new statistics.RunStatistics(this.#space, options.jobs);
     options.layout.workers.forEach((worker, index) => {
       const presentMask = worker === undefined
         ? 0
--- a/packages/box/src/answers_test.ts
+++ b/packages/box/src/answers_test.ts
@@ -46,7 +46,7 @@
     expect(found).toMatchObject({
       outcome: { kind: "done", result: { request: "r" } },
     });
-    expect(cluster.summary().doubled).toEqual([]);
+    expect(cluster.summary().repeatedStarts).toEqual([]);
   });
 
   test("is unknown if it can't be fetched, and the work runs once", async () => {
@@ -64,7 +64,7 @@
     expect(found).toMatchObject({ outcome: { kind: "unknown" } });
     await cluster.clock.advance(30_000);
     expect(cluster.summary().startedJobs).toBe(1);
-    expect(cluster.summary().doubled).toEqual([]);
+    expect(cluster.summary().repeatedStarts).toEqual([]);
   });
 
   test("is not-run if the order never arrived, and the work does not run", async () => {
@@ -130,7 +130,7 @@
       deadlineSeconds: 8,
     }));
     await cluster.clock.advance(1000);
-    const [held] = cluster.ledger.entries;
+    const [held] = cluster.runLog.entries;
     const worker = cluster.workers.get("w0")!;
     worker.setLeaving(true);
     const fence = { cell: "cell", epoch: 1 };
@@ -154,7 +154,7 @@
       cluster.box("box_1").entry.status(record.job.id, 40),
     );
     expect(ended.state).toBe(Types.JobState.Unknown);
-    expect(cluster.summary().doubled).toEqual([]);
+    expect(cluster.summary().repeatedStarts).toEqual([]);
   });
 
   test("is no proof that a scan did not run", async () => {
@@ -168,7 +168,7 @@
     for (const worker of cluster.workers.values()) worker.restart();
     await cluster.clock.advance(40_000);
     expect(await pending.value).toMatchObject({ outcome: { kind: "unknown" } });
-    expect(cluster.summary().doubled).toEqual([]);
+    expect(cluster.summary().repeatedStarts).toEqual([]);
   });
 });
 
@@ -204,9 +204,9 @@
     const kind = Types.PeerKind.Enqueue as const;
     const { owners } = cluster.box("box_2");
     await cluster.run(
-      Effect.ignore(owners.ask("cell", { kind, cell: "cell" }, 1000)),
+      Effect.ignore(owners.request("cell", { kind, cell: "cell" }, 1000)),
     );
     await cluster.clock.advance(10_000);
-    expect(cluster.summary().doubled).toEqual([]);
+    expect(cluster.summary().repeatedStarts).toEqual([]);
   });
 });
--- a/packages/box/src/box.ts
+++ b/packages/box/src/box.ts
@@ -147,14 +147,18 @@
   cellStatus(cell: string) {
     const kind = Types.PeerKind.CellStatus as const;
     const req = { kind, cell };
-    return this.owners.ask<Types.CellStatus>(cell, req, PEER_TIMEOUT_MS * 2);
+    return this.owners.request<Types.CellStatus>(
+      cell,
+      req,
+      PEER_TIMEOUT_MS * 2,
+    );
   }
 
   /** Requests the explanation of a job; null if its owner does not have it. */
   explain(cell: string, jobId: string) {
     const kind = Types.PeerKind.Explain as const;
     const req = { kind, cell, jobId };
-    return this.owners.ask<Types.Explanation | null>(
+    return this.owners.request<Types.Explanation | null>(
       cell,
       req,
       PEER_TIMEOUT_MS * 2,
--- a/packages/box/src/config_test.ts
+++ b/packages/box/src/config_test.ts
@@ -141,7 +141,7 @@
       );
       expect(ended.state).toBe(Types.JobState.Done);
     }
-    const starts = cluster.ledger.entries.filter((e) => e.event === "started");
+    const starts = cluster.runLog.entries.filter((e) => e.event === "started");
     expect(starts.map((e) => e.worker).sort()).toEqual(["w0", "w0", "w1"]);
   });
 });
--- a/packages/box/src/gangs_test.ts
+++ b/packages/box/src/gangs_test.ts
@@ -39,8 +39,8 @@
     const ended = await awaitEnd(cluster, jobId);
     expect(ended.state).toBe(Types.JobState.Done);
     expect(refused).toBeGreaterThan(0);
-    expect(cluster.summary().partial).toEqual([]);
-    const starts = cluster.ledger.entries.filter((e) => e.event === "started");
+    expect(cluster.summary().partialGangs).toEqual([]);
+    const starts = cluster.runLog.entries.filter((e) => e.event === "started");
     expect(starts).toHaveLength(4);
   });
 
@@ -55,7 +55,7 @@
     const jobId = await submitGang(cluster, 500);
     const ended = await awaitEnd(cluster, jobId);
     expect(ended.state).toBe(Types.JobState.Done);
-    expect(cluster.summary().partial).toEqual([]);
+    expect(cluster.summary().partialGangs).toEqual([]);
   });
 
   test("that loses a worker is stopped in full and runs again", async () => {
@@ -66,8 +66,8 @@
     cluster.workers.get("w0")!.restart();
     const ended = await awaitEnd(cluster, jobId);
     expect(ended.state).toBe(Types.JobState.Done);
-    expect(cluster.summary().partial).toEqual([]);
-    const stopped = cluster.ledger.entries.filter((e) => e.event === "stopped");
+    expect(cluster.summary().partialGangs).toEqual([]);
+    const stopped = cluster.runLog.entries.filter((e) => e.event === "stopped");
     // The two members on the other worker did not continue alone.
     expect(stopped.filter((e) => e.worker === "w1")).toHaveLength(2);
   });
@@ -111,10 +111,10 @@
       cluster.begin(cluster.submit("box_2", { service: "diagnose", input }));
     }
     await cluster.clock.advance(10_000);
-    const late = cluster.ledger.entries.filter((e) =>
+    const late = cluster.runLog.entries.filter((e) =>
       e.worker === "w0" && e.atMs >= fromMs
     );
     expect(late).toEqual([]);
-    expect(cluster.ledger.entries.length).toBeGreaterThan(0);
+    expect(cluster.runLog.entries.length).toBeGreaterThan(0);
   });
 });
--- a/packages/box/src/incidents_test.ts
+++ b/packages/box/src/incidents_test.ts
@@ -47,7 +47,7 @@
       });
     }
     expect(cluster.summary().startedJobs).toBe(1);
-    expect(cluster.summary().doubled).toEqual([]);
+    expect(cluster.summary().repeatedStarts).toEqual([]);
   });
 
   test("a gang survives the failure of the owner that accepted it", async () => {
@@ -70,7 +70,7 @@
       cluster.box(survivor).entry.status(record.job.id, 60),
     );
     expect(ended.state).toBe(Types.JobState.Done);
-    const starts = cluster.ledger.entries.filter((e) => e.event === "started");
+    const starts = cluster.runLog.entries.filter((e) => e.event === "started");
     // The new owner adopted the running gang and did not restart it.
     expect(starts).toHaveLength(4);
   });
--- a/packages/box/src/owner_router.ts
+++ b/packages/box/src/owner_router.ts
@@ -28,7 +28,7 @@
     this.#local = options.local;
   }
 
-  override ask<A>(
+  override request<A>(
     cell: string,
     req: Types.PeerRequest,
     timeoutMs: number,
--- a/packages/box/src/random_faults_test.ts
+++ b/packages/box/src/random_faults_test.ts
@@ -56,10 +56,10 @@
   async check(): Promise<void> {
     const { cluster, outcomes } = this;
     const summary = cluster.summary();
-    expect(summary.doubled).toEqual([]);
-    expect(summary.partial).toEqual([]);
+    expect(summary.repeatedStarts).toEqual([]);
+    expect(summary.partialGangs).toEqual([]);
     const started = new Set(
-      cluster.ledger.entries.filter((e) => e.event === "started")
+      cluster.runLog.entries.filter((e) => e.event === "started")
         .map((e) => e.jobId),
     );
     for (const { kind, result, request, jobId } of outcomes) {
@@ -75,7 +75,7 @@
         ended.state,
       );
     }
-    expect(cluster.summary().doubled).toEqual([]);
+    expect(cluster.summary().repeatedStarts).toEqual([]);
   }
 
   /** Makes each box lose a share of its orders to workers and their answers. */
--- a/packages/box/src/store_outage_test.ts
+++ b/packages/box/src/store_outage_test.ts
@@ -62,7 +62,7 @@
     );
     expect(ended.state).toBe(Types.JobState.Done);
     expect(cluster.summary().startedJobs).toBe(1);
-    const starts = cluster.ledger.entries.filter((e) => e.event === "started");
+    const starts = cluster.runLog.entries.filter((e) => e.event === "started");
     expect(starts).toHaveLength(1);
   });
 
@@ -84,7 +84,7 @@
       cluster.box(survivor).entry.status(record.job.id, 40),
     );
     expect(ended.state).toBe(Types.JobState.Done);
-    expect(cluster.summary().doubled).toEqual([]);
+    expect(cluster.summary().repeatedStarts).toEqual([]);
   });
 });
 
@@ -109,7 +109,7 @@
       );
       expect(ended.state).toBe(Types.JobState.Done);
     }
-    expect(cluster.summary().doubled).toEqual([]);
+    expect(cluster.summary().repeatedStarts).toEqual([]);
     expect(cluster.summary().startedJobs).toBe(10);
   });
 });
--- a/packages/box/src/takeover_test.ts
+++ b/packages/box/src/takeover_test.ts
@@ -23,7 +23,7 @@
       }),
     );
     expect(answer).toMatchObject({ outcome: { kind: "done" } });
-    const [start] = cluster.ledger.entries;
+    const [start] = cluster.runLog.entries;
     expect(start.atMs - startMs).toBeLessThanOrEqual(MAX_URGENT_START_MS);
   });
 
@@ -42,7 +42,7 @@
     expect(await short.value).toMatchObject({
       outcome: { kind: "done", result: { request: "mine" } },
     });
-    expect(cluster.summary().doubled).toEqual([]);
+    expect(cluster.summary().repeatedStarts).toEqual([]);
     expect(cluster.summary().startedJobs).toBe(1);
   });
 
@@ -59,7 +59,7 @@
       input: { runMs: 1000 },
     }));
     await cluster.clock.advance(1000);
-    const held = cluster.ledger.entries.filter((e) => e.event === "held");
+    const held = cluster.runLog.entries.filter((e) => e.event === "held");
     expect(held).toHaveLength(4);
     await cluster.kill(owner);
     const { record } = accepted as { record: Types.JobRecord };
@@ -68,8 +68,8 @@
       cluster.box(survivor).entry.status(record.job.id, 40),
     );
     expect(ended.state).toBe(Types.JobState.Done);
-    expect(cluster.summary().partial).toEqual([]);
-    expect(cluster.summary().doubled).toEqual([]);
+    expect(cluster.summary().partialGangs).toEqual([]);
+    expect(cluster.summary().repeatedStarts).toEqual([]);
   });
 });
 
@@ -106,7 +106,7 @@
       cluster.box(other).entry.status(record.job.id, 40),
     );
     expect(ended.state).toBe(Types.JobState.Done);
-    expect(cluster.summary().doubled).toEqual([]);
+    expect(cluster.summary().repeatedStarts).toEqual([]);
   });
 });
 
--- a/packages/coordinator/src/load/share_reporter_test.ts
+++ b/packages/coordinator/src/load/share_reporter_test.ts
@@ -16,7 +16,7 @@
 }
 
 function build() {
-  const log = new TestUtils.KeptLog();
+  const log = new TestUtils.RecordingLog();
   const metrics = new Metrics.Metrics();
   return {
     log,
@@ -30,7 +30,7 @@
     const { log, shares } = build();
     const above = sharesOf(ShareLevel.Above);
     for (let ms = 0; ms <= 75_000; ms += 1000) shares.update(above, ms);
-    vitest.expect(log.sentences).toEqual([
+    vitest.expect(log.messages).toEqual([
       "Team large has been above its share for 10000 ms: it has had 60.0% of " +
       "the fleet and is entitled to 40.0%; beyond its guarantee, other teams go first.",
       "Team large has been above its share for 70000 ms: it has had 60.0% of " +
@@ -45,7 +45,7 @@
       const level = isAbove ? ShareLevel.Above : ShareLevel.Within;
       shares.update(sharesOf(level), ms);
     }
-    vitest.expect(log.sentences).toEqual([]);
+    vitest.expect(log.messages).toEqual([]);
   });
 
   vitest.it("logs four teams at a time", () => {
@@ -54,7 +54,7 @@
     const above = sharesOf(ShareLevel.Above, teams);
     shares.update(above, 0);
     shares.update(above, 10_000);
-    vitest.expect(log.sentences.length).toBe(4);
+    vitest.expect(log.messages.length).toBe(4);
   });
 
   vitest.it("sets a gauge per team, 0 for one that is gone", () => {
--- a/packages/coordinator/src/sessions/premature_ends_test.ts
+++ b/packages/coordinator/src/sessions/premature_ends_test.ts
@@ -16,7 +16,7 @@
 /** A run that was sent, and the detection for its endpoint. */
 function createFixture() {
   const clock = new TestUtils.FakeClock();
-  const log = new TestUtils.KeptLog();
+  const log = new TestUtils.RecordingLog();
   const workflow = new Workflow.Workflow({
     id: "w",
     tenant: "hana",
@@ -37,7 +37,7 @@
     metrics,
     endpoint: ENDPOINT,
   });
-  return { clock, assignment, ends, metrics, sentences: log.sentences };
+  return { clock, assignment, ends, metrics, messages: log.messages };
 }
 
 /** An answer that reports the run as held or as ended. */
@@ -58,12 +58,12 @@
   vitest.it(
     "is logged once, with its evidence, when it is reported",
     async () => {
-      const { clock, assignment, ends, metrics, sentences } = createFixture();
+      const { clock, assignment, ends, metrics, messages } = createFixture();
       ends.noteEnd(assignment, ENDED_FIRST);
       await clock.advance(300);
       ends.checkView(viewOf({ held: true }));
       ends.checkView(viewOf({ held: true }));
-      vitest.expect(sentences).toEqual([
+      vitest.expect(messages).toEqual([
         "Run 1 of w.0.0.0 was presumed ended 300 ms ago (ended-first), but " +
         "endpoint i-1 still holds it.",
       ]);
@@ -74,20 +74,20 @@
   );
 
   vitest.it("is logged when its end is reported later", () => {
-    const { assignment, ends, sentences } = createFixture();
+    const { assignment, ends, messages } = createFixture();
     ends.noteEnd(assignment, ENDED_FIRST);
     ends.checkView(viewOf({ ended: true }));
-    vitest.expect(sentences).toEqual([
+    vitest.expect(messages).toEqual([
       "Run 1 of w.0.0.0 was presumed ended 0 ms ago (ended-first), but " +
       "endpoint i-1 reports it as broken.",
     ]);
   });
 
   vitest.it("is not logged if its endpoint reported the end", () => {
-    const { assignment, ends, sentences } = createFixture();
+    const { assignment, ends, messages } = createFixture();
     const how = Workflow.RunEnd.GangBroken;
     ends.noteEnd(assignment, { how, checkpoint: "", cause: null });
     ends.checkView(viewOf({ ended: true }));
-    vitest.expect(sentences).toEqual([]);
+    vitest.expect(messages).toEqual([]);
   });
 });
--- a/packages/daemon/src/embedded_platform.ts
+++ b/packages/daemon/src/embedded_platform.ts
@@ -37,12 +37,12 @@
     const clock = new Adapters.SystemClock();
     const random = new Adapters.SystemRandom();
     const faults = new StandIns.FaultSwitch(clock, random);
-    const ledger = new StandIns.RunLedger();
+    const runLog = new StandIns.RunLog();
     const liveList = new StandIns.MemoryLiveList(faults);
-    const workers = new StandIns.MemoryWorkers();
+    const workers = new StandIns.MemoryEndpoints();
     for (const spec of cfg.racks.flatMap((rack) => rack.workers)) {
-      const options = { ...spec, clock, random, ledger };
-      workers.add(spec.endpoint, new StandIns.StandInWorker(options));
+      const options = { ...spec, clock, random, runLog };
+      workers.add(spec.endpoint, new StandIns.StandInEndpoint(options));
       liveList.set({ ...spec, leaving: false });
     }
     return withSystemTime(new Metrics.Metrics(), {
--- a/packages/drill/src/compare_direct.ts
+++ b/packages/drill/src/compare_direct.ts
@@ -41,7 +41,7 @@
   const cluster = new LocalCluster.LocalCluster({
     boxes: options.boxes,
     deployment: "compare",
-    text,
+    deploymentText: text,
     cells: ["cell_0"],
     firstPort: FIRST_PORT,
   });
@@ -53,7 +53,7 @@
       const box = i % options.boxes + 1;
       const body = makeJob(i);
       const reply = await cluster.client.post(
-        cluster.callers(box),
+        cluster.callersAddress(box),
         "/v1/jobs",
         body,
       );
@@ -65,8 +65,8 @@
       const worker = `127.0.0.1:${FIRST_WORKER_PORT + i % WORKERS}`;
       await cluster.client.post(worker, "/v1/run", makeOrder(i));
     });
-    const ledger = await readLedger(cluster);
-    const starts = ledger.filter((e) => e.jobId.startsWith("cell_0."));
+    const runLog = await readRunLog(cluster);
+    const starts = runLog.filter((e) => e.jobId.startsWith("cell_0."));
     const jobs = new Set(starts.map((e) => e.jobId)).size;
     const doubled = starts.length - jobs;
     const { jobs: total } = options;
@@ -83,10 +83,10 @@
   }
 }
 
-async function readLedger(
+async function readRunLog(
   cluster: LocalCluster.LocalCluster,
 ): Promise<{ event: string; jobId: string }[]> {
-  const reply = await cluster.client.get(cluster.platform, "/ledger");
+  const reply = await cluster.client.get(cluster.platformAddress, "/ledger");
   const entries = Object.values(reply.body) as {
     event: string;
     jobId: string;
--- a/packages/drill/src/faults.ts
+++ b/packages/drill/src/faults.ts
@@ -2,7 +2,7 @@
 import type * as LocalCluster from "@cairngate/local-cluster";
 import type * as Rand from "pure-rand/types/RandomGenerator";
 import * as timers from "node:timers/promises";
-import * as dice from "./dice.ts";
+import * as choices from "./seeded_choice.ts";
 import type * as loads from "./load.ts";
 
 /** A kill or pause of the cell's owner. */
@@ -75,7 +75,7 @@
     const remaining = this.#createFaults();
     const order: Fault[] = [];
     while (remaining.length > 0) {
-      const next = dice.choose(this.#random, remaining);
+      const next = choices.choose(this.#random, remaining);
       remaining.splice(remaining.indexOf(next), 1);
       order.push(next);
     }
@@ -106,8 +106,8 @@
 
   async #killOther(): Promise<void> {
     const owner = await this.#cluster.owner(CELL);
-    const others = this.#cluster.running().filter((box) => box !== owner);
-    await this.#kill(dice.choose(this.#random, others));
+    const others = this.#cluster.runningBoxes().filter((box) => box !== owner);
+    await this.#kill(choices.choose(this.#random, others));
   }
 
   async #kill(box: number): Promise<void> {
@@ -170,13 +170,13 @@
   }
 
   async #raceApplies(): Promise<void> {
-    const [a, b] = this.#cluster.running();
+    const [a, b] = this.#cluster.runningBoxes();
     const current = await this.#cluster.client.get(
-      this.#cluster.operators(a),
+      this.#cluster.operatorsAddress(a),
       "/v1/config",
     );
     const version = Number(current.body["version"] ?? 0);
-    const { text } = this.#cluster.options;
+    const { deploymentText: text } = this.#cluster.options;
     const startMs = Date.now();
     const replies = await Promise.all([
       this.#cluster.apply(a, `${text}# by ${a}, after ${version}\n`, version),
@@ -187,7 +187,7 @@
       if (reply.status === 409) this.log.conflicts++;
     }
     if (!replies.some((reply) => reply.status === 200)) return;
-    const boxes = this.#cluster.running();
+    const boxes = this.#cluster.runningBoxes();
     await Promise.all(
       boxes.map((box) => this.#awaitVersion(box, version + 1, startMs)),
     );
@@ -202,7 +202,7 @@
     version: number,
     startMs: number,
   ): Promise<void> {
-    const address = this.#cluster.operators(box);
+    const address = this.#cluster.operatorsAddress(box);
     while (Date.now() - startMs < IN_FORCE_TIMEOUT_MS) {
       const reply = await this.#cluster.client.get(address, "/v1/config");
       if (Number(reply.body["version"] ?? 0) >= version) break;
@@ -213,7 +213,7 @@
 
   /** Shuts down and restarts every box in turn. */
   async #rollingStop(): Promise<void> {
-    for (const box of [...this.#cluster.running()]) {
+    for (const box of [...this.#cluster.runningBoxes()]) {
       this.#load.stopping.add(box);
       const ended = this.#cluster.awaitExit(box);
       this.#cluster.signal(box, "SIGTERM");
@@ -230,7 +230,7 @@
   async #awaitServing(box: number): Promise<void> {
     const deadlineMs = Date.now() + 15_000;
     while (Date.now() < deadlineMs) {
-      const address = this.#cluster.operators(box);
+      const address = this.#cluster.operatorsAddress(box);
       const reply = await this.#cluster.client.get(address, "/readyz");
       if (reply.status === 200) break;
       await timers.setTimeout(50);
@@ -240,7 +240,7 @@
 
   /** Returns the worker of the latest run; a fault on an idle one tests nothing. */
   async #chooseBusyWorker(): Promise<string> {
-    const { platform, client } = this.#cluster;
+    const { platformAddress: platform, client } = this.#cluster;
     const reply = await client.get(platform, "/ledger");
     const entries = Object.values(reply.body) as { worker: string }[];
     return entries.at(-1)?.worker ?? "worker_0";
@@ -251,7 +251,7 @@
   }
 
   #control(action: string, body: unknown) {
-    const { platform, client } = this.#cluster;
+    const { platformAddress: platform, client } = this.#cluster;
     return client.post(platform, `/control/${action}`, body);
   }
 }
--- a/packages/drill/src/load.ts
+++ b/packages/drill/src/load.ts
@@ -2,7 +2,7 @@
 import type * as LocalCluster from "@cairngate/local-cluster";
 import type * as Rand from "pure-rand/types/RandomGenerator";
 import * as timers from "node:timers/promises";
-import * as dice from "./dice.ts";
+import * as choices from "./seeded_choice.ts";
 
 /** Counts and job ids from the answers to all callers. */
 export interface LoadRecord {
@@ -101,7 +101,7 @@
   async #submitLong(): Promise<void> {
     const i = this.#next++;
     const isUnrepeatable = i % 4 === 0;
-    const gang = dice.choose(this.#random, [1, 2, 4, 8]);
+    const gang = choices.choose(this.#random, [1, 2, 4, 8]);
     const body = {
       team: this.#chooseTeam(),
       service: isUnrepeatable ? "once" : "rebuild",
@@ -124,12 +124,14 @@
   async #send(
     body: unknown,
     headers: Readonly<Record<string, string>>,
-  ): Promise<LocalCluster.JobReply | null> {
-    const boxes = this.#cluster.running().filter((b) => !this.excluded.has(b));
+  ): Promise<LocalCluster.ClusterReply | null> {
+    const boxes = this.#cluster.runningBoxes().filter((b) =>
+      !this.excluded.has(b)
+    );
     if (boxes.length === 0) return null;
-    const box = dice.choose(this.#random, boxes);
+    const box = choices.choose(this.#random, boxes);
     this.record.submitted++;
-    const address = this.#cluster.callers(box);
+    const address = this.#cluster.callersAddress(box);
     const { client } = this.#cluster;
     const reply = await client.post(address, "/v1/jobs", body, headers);
     const isCut = reply.status === 0 && !reply.neverSent;
@@ -137,7 +139,7 @@
     return reply;
   }
 
-  #recordReply(reply: LocalCluster.JobReply | null, request: string): void {
+  #recordReply(reply: LocalCluster.ClusterReply | null, request: string): void {
     if (reply === null || reply.status === 0) return;
     const outcome = reply.body["outcome"];
     if (reply.status === 200) {
@@ -153,6 +155,6 @@
   }
 
   #chooseTeam(): string {
-    return dice.choose(this.#random, ["team_0", "team_1"]);
+    return choices.choose(this.#random, ["team_0", "team_1"]);
   }
 }
--- a/packages/drill/src/run_drill.ts
+++ b/packages/drill/src/run_drill.ts
@@ -53,7 +53,7 @@
     watch.stop();
     await watching;
     const longEnded = await awaitLongJobs(cluster, load.record.longIds);
-    const ledger = await readLedger(cluster);
+    const runLog = await readRunLog(cluster);
     const seconds = (Date.now() - startMs) / 1000;
     return makeReport({
       options,
@@ -61,7 +61,7 @@
       load: load.record,
       log: injector.log,
       longEnded,
-      ledger,
+      runLog,
       reversals: watch.reversals,
     });
   } finally {
@@ -80,7 +80,7 @@
   return new LocalCluster.LocalCluster({
     boxes: options.boxes,
     deployment: "drill",
-    text,
+    deploymentText: text,
     cells: ["cell_0"],
     firstPort: options.port,
     logFolder: options.logFolder,
@@ -93,9 +93,9 @@
   ids: readonly string[],
 ): Promise<Record<string, number>> {
   const ended: Record<string, number> = {};
-  const [box] = cluster.running();
+  const [box] = cluster.runningBoxes();
   await Promise.all(ids.map(async (id) => {
-    const reply = await cluster.client.call(cluster.callers(box), {
+    const reply = await cluster.client.call(cluster.callersAddress(box), {
       method: "GET",
       path: `/v1/jobs/${id}`,
       headers: { prefer: `wait=${LONG_WAIT_S}` },
@@ -108,11 +108,11 @@
   return ended;
 }
 
-async function readLedger(
+async function readRunLog(
   cluster: LocalCluster.LocalCluster,
-): Promise<StandIns.LedgerEntry[]> {
-  const reply = await cluster.client.get(cluster.platform, "/ledger");
-  return Object.values(reply.body) as StandIns.LedgerEntry[];
+): Promise<StandIns.ExecutionEntry[]> {
+  const reply = await cluster.client.get(cluster.platformAddress, "/ledger");
+  return Object.values(reply.body) as StandIns.ExecutionEntry[];
 }
 
 interface ReportParts {
@@ -121,21 +121,21 @@
   readonly load: loads.LoadRecord;
   readonly log: faults.FaultLog;
   readonly longEnded: Readonly<Record<string, number>>;
-  readonly ledger: readonly StandIns.LedgerEntry[];
+  readonly runLog: readonly StandIns.ExecutionEntry[];
   readonly reversals: number;
 }
 
 function makeReport(parts: ReportParts): reports.DrillReport {
-  const { load, log, ledger } = parts;
-  const summary = StandIns.summarizeLedger(ledger);
+  const { load, log, runLog } = parts;
+  const summary = StandIns.summarizeRunLog(runLog);
   const started = new Set(
-    ledger.filter((e) => e.event === StandIns.LedgerEvent.Started)
+    runLog.filter((e) => e.event === StandIns.ExecutionEvent.Started)
       .map((e) => e.jobId),
   );
   const lost = Object.entries(parts.longEnded)
     .filter(([state]) => state.startsWith("lost"))
     .reduce((sum, [, count]) => sum + count, 0);
-  const urgent = urgentStarts(ledger);
+  const urgent = urgentStarts(runLog);
   return {
     seed: parts.options.seed,
     seconds: Math.round(parts.seconds),
@@ -149,9 +149,9 @@
     longEnded: parts.longEnded,
     forbidden: {
       wrongAnswers: load.wrongAnswers,
-      doubledUnrepeatable: summary.doubled.length,
+      doubledUnrepeatable: summary.repeatedStarts.length,
       notRunButRan: load.notRunIds.filter((id) => started.has(id)).length,
-      partialGangs: summary.partial.length,
+      partialGangs: summary.partialGangs.length,
       lostJobs: lost,
       configReversals: parts.reversals,
       cutRequests: load.cutRequests,
@@ -159,7 +159,7 @@
     urgentGapKillMs: longestGap(urgent, eventsOf(log, "kill")),
     urgentGapPauseMs: longestGap(urgent, eventsOf(log, "pause")),
     urgentGapAnyMs: longestGap(urgent, null),
-    leavingLastNewWorkMs: lastNewWork(ledger, log),
+    leavingLastNewWorkMs: lastNewWork(runLog, log),
     config: {
       applied: log.applied,
       conflicts: log.conflicts,
@@ -168,9 +168,9 @@
   };
 }
 
-function urgentStarts(ledger: readonly StandIns.LedgerEntry[]): number[] {
-  return ledger
-    .filter((e) => e.event === StandIns.LedgerEvent.Started && e.gang === 1)
+function urgentStarts(runLog: readonly StandIns.ExecutionEntry[]): number[] {
+  return runLog
+    .filter((e) => e.event === StandIns.ExecutionEvent.Started && e.gang === 1)
     .map((e) => e.atMs)
     .sort((a, b) => a - b);
 }
@@ -210,13 +210,13 @@
 
 /** Returns how long after being marked as leaving a worker last got new work, in ms. */
 function lastNewWork(
-  ledger: readonly StandIns.LedgerEntry[],
+  runLog: readonly StandIns.ExecutionEntry[],
   log: faults.FaultLog,
 ): number {
   let latest = 0;
   for (const { worker, atMs, untilMs } of log.leavingPeriods) {
-    for (const entry of ledger) {
-      if (entry.event !== StandIns.LedgerEvent.Held) continue;
+    for (const entry of runLog) {
+      if (entry.event !== StandIns.ExecutionEvent.Held) continue;
       if (entry.worker !== worker) continue;
       if (entry.atMs < atMs || entry.atMs > untilMs) continue;
       latest = Math.max(latest, entry.atMs - atMs);
--- a/packages/drill/src/version_watch.ts
+++ b/packages/drill/src/version_watch.ts
@@ -18,7 +18,9 @@
   /** Polls until `stop` is called. */
   async run(): Promise<void> {
     while (!this.#isStopped) {
-      await Promise.all(this.#cluster.running().map((box) => this.#poll(box)));
+      await Promise.all(
+        this.#cluster.runningBoxes().map((box) => this.#poll(box)),
+      );
       await timers.setTimeout(POLL_INTERVAL_MS);
     }
   }
@@ -30,7 +32,7 @@
 
   async #poll(box: number): Promise<void> {
     const pid = this.#cluster.pid(box);
-    const address = this.#cluster.operators(box);
+    const address = this.#cluster.operatorsAddress(box);
     const reply = await Promise.race([
       this.#cluster.client.get(address, "/v1/config"),
       timers.setTimeout(POLL_INTERVAL_MS * 2, null, { ref: false }),
--- a/packages/entry/src/ports.ts
+++ b/packages/entry/src/ports.ts
@@ -17,7 +17,7 @@
 /** Sends requests to the box that owns a cell, this one or another. */
 export abstract class OwnerDirectory {
   /** Sends a request to the owner and waits for its reply. */
-  abstract ask<A>(
+  abstract request<A>(
     cell: string,
     req: Types.PeerRequest,
     timeoutMs: number,
--- a/packages/entry/src/short_jobs.ts
+++ b/packages/entry/src/short_jobs.ts
@@ -148,7 +148,11 @@
         const { cell } = job;
         const req = { kind, cell, box, request, shape, waitMs };
         const reply = yield* Effect.result(
-          owners.ask<Types.Grant>(cell, req, waitMs + OWNER_REPLY_MARGIN_MS),
+          owners.request<Types.Grant>(
+            cell,
+            req,
+            waitMs + OWNER_REPLY_MARGIN_MS,
+          ),
         );
         if (reply._tag === "Success") return reply.success;
         why = reply.failure.message;
@@ -328,7 +332,7 @@
     const kind = Types.PeerKind.Released as const;
     const { attempt } = grant;
     const req = { kind, cell, jobId, attempt, ...ending };
-    return this.#ports.owners.ask<Types.ReleasedReply>(
+    return this.#ports.owners.request<Types.ReleasedReply>(
       cell,
       req,
       RELEASE_TIMEOUT_MS,
--- a/packages/entry/src/stored_jobs.ts
+++ b/packages/entry/src/stored_jobs.ts
@@ -76,7 +76,7 @@
       const cell = yield* parsing.cellOfJobId(jobId);
       const kind = Types.PeerKind.Cancel as const;
       const req = { kind, cell, jobId };
-      const record = yield* this.#ports.owners.ask<Types.JobRecord | null>(
+      const record = yield* this.#ports.owners.request<Types.JobRecord | null>(
         cell,
         req,
         CANCEL_TIMEOUT_MS,
@@ -94,7 +94,7 @@
   ): Effect.Effect<Types.JobRecord | null, Errors.StoreUnavailableError> {
     const kind = Types.PeerKind.JobStatus as const;
     const req = { kind, cell, jobId, waitMs };
-    const reply = this.#ports.owners.ask<Types.JobRecord | null>(
+    const reply = this.#ports.owners.request<Types.JobRecord | null>(
       cell,
       req,
       waitMs + OWNER_TIMEOUT_MS,
@@ -135,7 +135,7 @@
   /** Speeds up the queueing; without it the owner finds the row within seconds. */
   #notifyOwner(cell: string): Effect.Effect<void> {
     const kind = Types.PeerKind.Enqueue as const;
-    const notification = this.#ports.owners.ask(
+    const notification = this.#ports.owners.request(
       cell,
       { kind, cell },
       OWNER_TIMEOUT_MS,
--- a/packages/gateway/src/rejection_log_test.ts
+++ b/packages/gateway/src/rejection_log_test.ts
@@ -33,19 +33,19 @@
 vitest.describe("RejectionLog", () => {
   vitest.it("logs five per second, and how many more there were", async () => {
     const clock = new TestUtils.FakeClock();
-    const log = new TestUtils.KeptLog();
+    const log = new TestUtils.RecordingLog();
     const metrics = new Metrics.Metrics();
     const rejectionLog = new logs.RejectionLog({ clock, log, metrics });
     for (let i = 0; i < 7; i++) rejectionLog.add(buildDetails(`job-${i}`));
-    vitest.expect(log.sentences).toHaveLength(5);
-    vitest.expect(log.sentences[0]).toBe(
+    vitest.expect(log.messages).toHaveLength(5);
+    vitest.expect(log.messages[0]).toBe(
       "Workflow job-0 of team hana in queue-0 is rejected: too-late; it may be " +
         "submitted again in 2500 ms. It requests 3 x 2 (gang) accelerators; " +
         "expected free: not known, forecast 740 ms old.",
     );
     await clock.advance(1000);
     rejectionLog.add(buildDetails("job-7"));
-    vitest.expect(log.sentences[5])
+    vitest.expect(log.messages[5])
       .toMatch(/ 2 more rejections were not logged\.$/);
     const labels = { reason: REASON };
     vitest.expect(metrics.get("cairngate_rejected_total", labels)).toBe(8);
--- a/packages/local-cluster/mod.ts
+++ b/packages/local-cluster/mod.ts
@@ -1,5 +1,5 @@
 /** Runs boxes and stand-ins as local processes that talk over loopback. */
 export { type ClusterOptions, LocalCluster } from "./src/local_cluster.ts";
-export { ClusterClient, type JobReply } from "./src/cluster_client.ts";
-export { type DeploymentShape, makeDeployment } from "./src/make_deployment.ts";
-export { readMetrics } from "./src/read_metrics.ts";
+export { ClusterClient, type ClusterReply } from "./src/cluster_client.ts";
+export { type DeploymentSize, makeDeployment } from "./src/make_deployment.ts";
+export { parseMetrics } from "./src/parse_metrics.ts";
--- a/packages/local-cluster/src/cluster_client.ts
+++ b/packages/local-cluster/src/cluster_client.ts
@@ -3,7 +3,7 @@
 import * as Effect from "effect/Effect";
 
 /** HTTP reply; status 0 means that no answer was received. */
-export interface JobReply {
+export interface ClusterReply {
   readonly status: number;
   readonly body: Readonly<Record<string, unknown>>;
   /** True if the request was not sent, so that it can't have taken effect. */
@@ -25,7 +25,7 @@
   }
 
   /** Sends a request. Doesn't reject on a lost answer, but returns status 0. */
-  async call(address: string, req: HttpJson.HttpCall): Promise<JobReply> {
+  async call(address: string, req: HttpJson.HttpCall): Promise<ClusterReply> {
     const result = await Effect.runPromise(
       Effect.result(this.#caller.call(address, req)),
     );
@@ -40,7 +40,7 @@
   }
 
   /** Sends a GET request. */
-  get(address: string, path: string): Promise<JobReply> {
+  get(address: string, path: string): Promise<ClusterReply> {
     return this.call(address, { method: "GET", path });
   }
 
@@ -50,7 +50,7 @@
     path: string,
     body: unknown,
     headers: Readonly<Record<string, string>> = {},
-  ): Promise<JobReply> {
+  ): Promise<ClusterReply> {
     return this.call(address, { method: "POST", path, body, headers });
   }
 }
--- a/packages/local-cluster/src/local_cluster.ts
+++ b/packages/local-cluster/src/local_cluster.ts
@@ -15,7 +15,7 @@
   /** Name of the deployment. */
   readonly deployment: string;
   /** Text of the deployment file. */
-  readonly text: string;
+  readonly deploymentText: string;
   readonly cells: readonly string[];
   /** Port of the platform; the boxes use the ports after it, PORTS_PER_BOX each. */
   readonly firstPort: number;
@@ -46,22 +46,22 @@
   }
 
   /** Address of the stand-in platform. */
-  get platform(): string {
+  get platformAddress(): string {
     return `127.0.0.1:${this.options.firstPort}`;
   }
 
   /** Callers' address of a box. */
-  callers(box: number): string {
+  callersAddress(box: number): string {
     return this.#address(box, 1);
   }
 
   /** Operators' address of a box. */
-  operators(box: number): string {
+  operatorsAddress(box: number): string {
     return this.#address(box, 2);
   }
 
   /** Numbers of the boxes whose process is running. */
-  running(): number[] {
+  runningBoxes(): number[] {
     return [...this.#boxes.keys()];
   }
 
@@ -72,15 +72,19 @@
   async start(): Promise<void> {
     this.#folder = await fs.mkdtemp(path.join(os.tmpdir(), "cairngate-"));
     const file = path.join(this.#folder, "deployment.yaml");
-    await fs.writeFile(file, this.options.text);
-    const args = ["--deployment", file, "--platform", this.platform];
+    await fs.writeFile(file, this.options.deploymentText);
+    const args = ["--deployment", file, "--platform", this.platformAddress];
     this.#standIns = this.#spawn("stand-in-server", args, "stand-ins");
-    await this.#waitUntil(() => this.#isServing(this.platform, "/counts"));
+    await this.#waitUntil(() =>
+      this.#isServing(this.platformAddress, "/counts")
+    );
     for (let box = 1; box <= this.options.boxes; box++) {
       await this.startBox(box);
     }
-    await this.#waitUntil(() => this.#isServing(this.operators(1), "/healthz"));
-    await this.apply(1, this.options.text, 0);
+    await this.#waitUntil(() =>
+      this.#isServing(this.operatorsAddress(1), "/healthz")
+    );
+    await this.apply(1, this.options.deploymentText, 0);
     await this.awaitReady();
   }
 
@@ -89,10 +93,10 @@
     box: number,
     text: string,
     basedOn: number,
-  ): Promise<clients.JobReply> {
+  ): Promise<clients.ClusterReply> {
     const applyId = `apply-${basedOn}-${box}-${process.hrtime.bigint()}`;
     const body = { text, basedOn, applyId };
-    return this.client.post(this.operators(box), "/v1/config", body);
+    return this.client.post(this.operatorsAddress(box), "/v1/config", body);
   }
 
   /** Starts the process of a box. */
@@ -132,8 +136,11 @@
 
   /** Returns the number of the box that owns a cell; 0 if there is none. */
   async owner(cell: string): Promise<number> {
-    const [box] = this.running();
-    const reply = await this.client.get(this.operators(box), "/v1/status");
+    const [box] = this.runningBoxes();
+    const reply = await this.client.get(
+      this.operatorsAddress(box),
+      "/v1/status",
+    );
     const cells = (reply.body["cells"] ?? []) as {
       cell: string;
       owner: string;
@@ -144,9 +151,9 @@
 
   /** Waits until every box is ready and every cell's owner has fenced its workers. */
   async awaitReady(): Promise<void> {
-    for (const box of this.running()) {
+    for (const box of this.runningBoxes()) {
       await this.#waitUntil(() =>
-        this.#isServing(this.operators(box), "/readyz")
+        this.#isServing(this.operatorsAddress(box), "/readyz")
       );
     }
     await this.#waitUntil(() => this.#areWorkersSealed());
@@ -161,8 +168,11 @@
   }
 
   async #areWorkersSealed(): Promise<boolean> {
-    const [box] = this.running();
-    const reply = await this.client.get(this.operators(box), "/v1/status");
+    const [box] = this.runningBoxes();
+    const reply = await this.client.get(
+      this.operatorsAddress(box),
+      "/v1/status",
+    );
     const cells = (reply.body["cells"] ?? []) as {
       sealedWorkers: number;
       workers: number;
@@ -199,10 +209,10 @@
       box: `box_${box}`,
       dataCentre: `dc_${box % 3}`,
       deployment: this.options.deployment,
-      callersAddress: this.callers(box),
-      operatorsAddress: this.operators(box),
+      callersAddress: this.callersAddress(box),
+      operatorsAddress: this.operatorsAddress(box),
       peersAddress: this.#address(box, 3),
-      platformAddress: this.platform,
+      platformAddress: this.platformAddress,
       peers,
       ...this.options.extraSettings,
     };
--- a/packages/local-cluster/src/make_deployment.ts
+++ b/packages/local-cluster/src/make_deployment.ts
@@ -2,7 +2,7 @@
 import * as Yaml from "yaml";
 
 /** Name, size and ports of a generated deployment. */
-export interface DeploymentShape {
+export interface DeploymentSize {
   readonly name: string;
   readonly workers: number;
   readonly teams: number;
@@ -15,7 +15,7 @@
 const ACCELERATORS = 8;
 
 /** Returns the text of a deployment file with racks of 8 workers and four services. */
-export function makeDeployment(shape: DeploymentShape): string {
+export function makeDeployment(shape: DeploymentSize): string {
   const racks = makeRacks(shape);
   const cells = Array.from({ length: shape.cells }, (_, i) => ({
     name: `cell_${i}`,
@@ -32,7 +32,7 @@
   });
 }
 
-function makeRacks(shape: DeploymentShape) {
+function makeRacks(shape: DeploymentSize) {
   const count = Math.ceil(shape.workers / WORKERS_PER_RACK);
   return Array.from({ length: count }, (_, rack) => ({
     name: `rack_${rack}`,
@@ -51,7 +51,7 @@
   }));
 }
 
-function makeTeams(shape: DeploymentShape) {
+function makeTeams(shape: DeploymentSize) {
   const tiers = ["urgent", "urgent", "standard", "batch"];
   const total = shape.workers * ACCELERATORS;
   const perTeam = Math.floor(total / shape.teams / 2 / ACCELERATORS);
--- a/packages/local-cluster/src/read_metrics.ts
+++ b/packages/local-cluster/src/parse_metrics.ts
@@ -1,7 +1,7 @@
 /** Parser of the Prometheus text format. */
 
 /** Returns values by metric name, summed over labels; quantile lines are skipped. */
-export function readMetrics(text: string): Map<string, number> {
+export function parseMetrics(text: string): Map<string, number> {
   const values = new Map<string, number>();
   for (const line of text.split("\n")) {
     if (line === "" || line.startsWith("#")) continue;
--- a/packages/measure/src/probe.ts
+++ b/packages/measure/src/probe.ts
@@ -27,7 +27,7 @@
   options: { seconds: number; cell: string; during?: () => Promise<void> },
 ): Promise<ClusterUse> {
   const owner = await cluster.owner(options.cell);
-  const boxes = cluster.running();
+  const boxes = cluster.runningBoxes();
   const before = await Promise.all(boxes.map((b) => readBox(cluster, b)));
   const startMs = performance.now();
   const work = options.during?.() ?? Promise.resolve();
@@ -48,8 +48,11 @@
   cluster: LocalCluster.LocalCluster,
   box: number,
 ): Promise<Map<string, number>> {
-  const reply = await cluster.client.get(cluster.operators(box), "/metrics");
-  return LocalCluster.readMetrics(String(reply.body["text"]));
+  const reply = await cluster.client.get(
+    cluster.operatorsAddress(box),
+    "/metrics",
+  );
+  return LocalCluster.parseMetrics(String(reply.body["text"]));
 }
 
 function computeUse(
--- a/packages/measure/src/run_measurements.ts
+++ b/packages/measure/src/run_measurements.ts
@@ -109,7 +109,7 @@
   const cluster = new LocalCluster.LocalCluster({
     boxes: size.boxes,
     deployment: "measure",
-    text,
+    deploymentText: text,
     cells: [CELL],
     firstPort: FIRST_PORT,
     extraSettings: { times: size.times ?? TARGET_TIMES },
@@ -148,7 +148,7 @@
   const loop = async () => {
     while (started < count) {
       started++;
-      await cluster.client.post(cluster.callers(1), "/v1/jobs", body);
+      await cluster.client.post(cluster.callersAddress(1), "/v1/jobs", body);
     }
   };
   await Promise.all(Array.from({ length: 50 }, loop));
@@ -162,7 +162,7 @@
   return sendAtRate(
     rate,
     (i) =>
-      cluster.client.post(cluster.callers(i % 3 + 1), "/v1/jobs", {
+      cluster.client.post(cluster.callersAddress(i % 3 + 1), "/v1/jobs", {
         team: "team_0",
         service: "diagnose",
         input: { request: `r${i}` },
@@ -177,7 +177,7 @@
   return sendAtRate(
     rate,
     (i) =>
-      cluster.client.post(cluster.callers(i % 3 + 1), "/v1/jobs", {
+      cluster.client.post(cluster.callersAddress(i % 3 + 1), "/v1/jobs", {
         team: "team_2",
         service: "rebuild",
         input: { runMs: 200 },
@@ -207,8 +207,12 @@
   let longest = 0;
   for (let version = 1; version <= 5; version++) {
     const startMs = performance.now();
-    await cluster.apply(1, `${cluster.options.text}# ${version}\n`, version);
-    for (const box of cluster.running()) {
+    await cluster.apply(
+      1,
+      `${cluster.options.deploymentText}# ${version}\n`,
+      version,
+    );
+    for (const box of cluster.runningBoxes()) {
       await awaitVersion(cluster, box, version + 1);
     }
     longest = Math.max(longest, performance.now() - startMs);
@@ -222,7 +226,7 @@
   version: number,
 ): Promise<void> {
   for (let i = 0; i < 1000; i++) {
-    const address = cluster.operators(box);
+    const address = cluster.operatorsAddress(box);
     const reply = await cluster.client.get(address, "/v1/config");
     if (Number(reply.body["version"] ?? 0) >= version) return;
     await timers.setTimeout(5);
--- a/packages/stand-in-server/src/platform_routes.ts
+++ b/packages/stand-in-server/src/platform_routes.ts
@@ -15,8 +15,8 @@
   readonly objects: StandIns.MemoryObjectStore;
   readonly live: StandIns.MemoryLiveList;
   readonly faults: StandIns.FaultSwitch;
-  readonly workers: ReadonlyMap<string, StandIns.StandInWorker>;
-  readonly ledger: StandIns.RunLedger;
+  readonly workers: ReadonlyMap<string, StandIns.StandInEndpoint>;
+  readonly runLog: StandIns.RunLog;
 }
 
 const MAX_BODY_BYTES = 16_000_000;
@@ -63,7 +63,7 @@
     case "/v1/live":
       return readLive(services, req);
     case "/ledger":
-      return Effect.succeed(services.ledger.entries);
+      return Effect.succeed(services.runLog.entries);
     case "/counts":
       return Effect.succeed(services.table.counts);
     default:
--- a/packages/stand-in-server/src/serve_stand_ins.ts
+++ b/packages/stand-in-server/src/serve_stand_ins.ts
@@ -11,8 +11,8 @@
 
 /** The running servers of a deployment's stand-ins. */
 export interface StandInServer {
-  readonly workers: ReadonlyMap<string, StandIns.StandInWorker>;
-  readonly ledger: StandIns.RunLedger;
+  readonly workers: ReadonlyMap<string, StandIns.StandInEndpoint>;
+  readonly runLog: StandIns.RunLog;
   /** Closes all servers and their connections. */
   close(): void;
 }
@@ -27,14 +27,14 @@
   return Effect.gen(function* () {
     const clock = new Adapters.SystemClock();
     const random = new Adapters.SystemRandom();
-    const ledger = new StandIns.RunLedger();
+    const runLog = new StandIns.RunLog();
     const faults = new StandIns.FaultSwitch(clock, random);
     const live = new StandIns.MemoryLiveList(faults);
-    const workers = new Map<string, StandIns.StandInWorker>();
+    const workers = new Map<string, StandIns.StandInEndpoint>();
     const servers: http.Server[] = [];
     for (const spec of cfg.racks.flatMap((rack) => rack.workers)) {
-      const options = { ...spec, clock, random, ledger };
-      const worker = new StandIns.StandInWorker(options);
+      const options = { ...spec, clock, random, runLog };
+      const worker = new StandIns.StandInEndpoint(options);
       const { name, endpoint } = spec;
       workers.set(name, worker);
       live.set({ name, endpoint, leaving: false });
@@ -48,12 +48,12 @@
       live,
       faults,
       workers,
-      ledger,
+      runLog,
     }));
     yield* HttpJson.listen(platform, platformAddress);
     servers.push(platform);
     const close = () => servers.forEach(closeServer);
-    return { workers, ledger, close };
+    return { workers, runLog, close };
   });
 }
 
--- a/packages/stand-in-server/src/worker_routes.ts
+++ b/packages/stand-in-server/src/worker_routes.ts
@@ -16,7 +16,7 @@
 
 /** Creates the request handler for the orders of one worker. */
 export function createHandler(
-  worker: StandIns.StandInWorker,
+  worker: StandIns.StandInEndpoint,
 ): http.RequestListener {
   return (req, res) => {
     const handled = HttpJson.readJsonBody(req, MAX_BODY_BYTES).pipe(
@@ -31,7 +31,7 @@
 }
 
 function handleOrder(
-  worker: StandIns.StandInWorker,
+  worker: StandIns.StandInEndpoint,
   path: string,
   body: unknown,
 ): Effect.Effect<unknown, Errors.WorkerRefusedError | NoSuchRoute> {
@@ -44,7 +44,7 @@
 }
 
 function route(
-  worker: StandIns.StandInWorker,
+  worker: StandIns.StandInEndpoint,
   path: string,
   body: unknown,
 ): Reply | null {
--- a/packages/stand-ins/mod.ts
+++ b/packages/stand-ins/mod.ts
@@ -1,28 +1,28 @@
 /** In-memory stand-ins for the platform and its endpoints. */
 export { BusyProcessor } from "./src/busy_processor.ts";
-export { BusyTaskWorkers } from "./src/busy_task_workers.ts";
+export { BusyTaskEndpoints } from "./src/busy_task_workers.ts";
 export { FaultyTable } from "./src/faulty_table.ts";
 export { FaultSwitch, type StoreFaults } from "./src/fault_switch.ts";
 export {
-  type LedgerEntry,
-  LedgerEvent,
-  type LedgerSummary,
-  RunLedger,
-  summarizeLedger,
-} from "./src/run_ledger.ts";
+  type ExecutionEntry,
+  ExecutionEvent,
+  type ExecutionSummary,
+  RunLog,
+  summarizeRunLog,
+} from "./src/run_log.ts";
 export { MemoryLiveList } from "./src/memory_live_list.ts";
 export { MemoryObjectStore } from "./src/memory_object_store.ts";
 export { MemoryRowFeed } from "./src/memory_row_feed.ts";
-export { MemoryTaskWorkers } from "./src/memory_task_workers.ts";
+export { MemoryTaskEndpoints } from "./src/memory_task_workers.ts";
 export { MemoryTable, type TableChange } from "./src/memory_table.ts";
-export { MemoryWorkers } from "./src/memory_workers.ts";
+export { MemoryEndpoints } from "./src/memory_workers.ts";
 export {
   type CallConnection,
   OpenConnections,
 } from "./src/open_connections.ts";
-export { DeadAddress, OrderFate } from "./src/order_fate.ts";
-export { OrderTransit, type WayTimes } from "./src/order_ways.ts";
-export type { TaskRunNote } from "./src/run_note.ts";
-export { StandInWorker } from "./src/stand_in_worker.ts";
+export { DeadAddressOutcome, OrderOutcome } from "./src/order_outcome.ts";
+export { OrderTransit, type TransitTimes } from "./src/order_transit.ts";
+export type { TaskRunRecord } from "./src/run_record.ts";
+export { StandInEndpoint } from "./src/stand_in_worker.ts";
 export { doWork } from "./src/work.ts";
-export type { TaskWorkerSpec } from "./src/worker_life.ts";
+export type { TaskEndpointSpec } from "./src/incarnation.ts";
--- a/packages/stand-ins/src/busy_task_workers.ts
+++ b/packages/stand-ins/src/busy_task_workers.ts
@@ -4,7 +4,7 @@
 import type * as processors from "./busy_processor.ts";
 
 /** Forwards orders; each order and each answer needs processor time. */
-export class BusyTaskWorkers extends Ports.TaskEndpoints {
+export class BusyTaskEndpoints extends Ports.TaskEndpoints {
   readonly #inner: Ports.TaskEndpoints;
   readonly #processor: processors.BusyProcessor;
 
--- a/packages/stand-ins/src/fault_switch.ts
+++ b/packages/stand-ins/src/fault_switch.ts
@@ -57,7 +57,7 @@
   /** Number of writes that the box has sent, with any outcome. */
   writes = 0;
   /** Number of polls for changes that the box has sent, by prefix of the rows. */
-  readonly looks = new Map<string, number>();
+  readonly polls = new Map<string, number>();
   /** Number of scans whose rows are being transferred. */
   #activeScans = 0;
 
--- a/packages/stand-ins/src/held_task.ts
+++ b/packages/stand-ins/src/held_run.ts
@@ -1,6 +1,6 @@
 /** A run that a stand-in endpoint holds, and how it will end. */
 import type * as Ports from "@cairngate/ports";
-import type * as runNotes from "./run_note.ts";
+import type * as runRecords from "./run_record.ts";
 
 /** An end that was requested and is still to come. */
 export interface PendingEnd {
@@ -10,7 +10,7 @@
 
 /** One run. Mutable; owned by the incarnation that holds it. */
 export interface HeldRun {
-  readonly note: runNotes.TaskRunNote;
+  readonly record: runRecords.TaskRunRecord;
   readonly endsAtMs: number;
   readonly fails: boolean;
   /** Null while no end was requested. */
@@ -39,7 +39,7 @@
 
 /** Progress of a run, in percent. */
 export function percentOf(
-  { note: { startedAtMs }, endsAtMs }: HeldRun,
+  { record: { startedAtMs }, endsAtMs }: HeldRun,
   nowMs: number,
 ): number {
   const share = (nowMs - startedAtMs) / (endsAtMs - startedAtMs);
--- a/packages/stand-ins/src/worker_life.ts
+++ b/packages/stand-ins/src/incarnation.ts
@@ -1,18 +1,18 @@
 /** One incarnation of a stand-in endpoint: its runs and what it reports of them. */
 import * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
-import * as heldRuns from "./held_task.ts";
-import type * as runNotes from "./run_note.ts";
+import * as heldRuns from "./held_run.ts";
+import type * as runRecords from "./run_record.ts";
 
 /** A stand-in endpoint. */
-export interface TaskWorkerSpec {
+export interface TaskEndpointSpec {
   readonly id: string;
   readonly accelerators: number;
 }
 
 /** An incarnation. Mutable; owned by the endpoints of one test. */
 export interface Incarnation {
-  readonly spec: TaskWorkerSpec;
+  readonly spec: TaskEndpointSpec;
   /** Birth time that it reports, in ms; null if it reports none. */
   readonly bornMs: number | null;
   token: number;
@@ -24,14 +24,14 @@
   nextEndNumber: number;
   /** By task and run: the next run may start while an earlier one is still ending. */
   readonly held: Map<string, heldRuns.HeldRun>;
-  readonly ended: { number: number; note: runNotes.TaskRunNote }[];
+  readonly ended: { number: number; record: runRecords.TaskRunRecord }[];
   /** Highest number of a stopped or ended run, by task. */
   readonly lastOverRun: Map<string, number>;
 }
 
 /** Creates an incarnation without runs. */
 export function createIncarnation(
-  spec: TaskWorkerSpec,
+  spec: TaskEndpointSpec,
   bornMs: number | null,
 ): Incarnation {
   return {
@@ -86,10 +86,10 @@
 ): void {
   while (incarnation.ended.length > 0 && incarnation.ended[0].number <= upTo) {
     const [earliest] = incarnation.ended.splice(0, 1);
-    const { note } = earliest;
-    note.acknowledgedAtMs = nowMs;
-    note.hasLapsedMeanwhile =
-      incarnation.leaseExpiredAtMs > (note.endedAtMs ?? 0);
+    const { record } = earliest;
+    record.acknowledgedAtMs = nowMs;
+    record.wasLeaseExpired =
+      incarnation.leaseExpiredAtMs > (record.endedAtMs ?? 0);
   }
 }
 
@@ -104,23 +104,23 @@
     bornMs: incarnation.bornMs,
     toldEnds,
     held: [...incarnation.held.values()].map((held) => ({
-      task: held.note.task,
-      run: held.note.run,
+      task: held.record.task,
+      run: held.record.run,
       checkpoint: "",
       percent: heldRuns.percentOf(held, nowMs),
       reading: null,
     })),
-    ended: incarnation.ended.map(({ number, note }) => ({
+    ended: incarnation.ended.map(({ number, record }) => ({
       number,
-      task: note.task,
-      run: note.run,
-      how: reportedEndKind(note),
+      task: record.task,
+      run: record.run,
+      how: reportedEndKind(record),
       checkpoint: "",
     })),
   };
 }
 
 /** Reports a crash as an expired lease, as a crashed incarnation reports nothing. */
-function reportedEndKind({ how }: runNotes.TaskRunNote): Ports.EndKind {
+function reportedEndKind({ how }: runRecords.TaskRunRecord): Ports.EndKind {
   return how === null || how === "crashed" ? "lapsed" : how;
 }
--- a/packages/stand-ins/src/life_book.ts
+++ b/packages/stand-ins/src/incarnation_registry.ts
@@ -1,6 +1,6 @@
 /** Registry of the incarnations of endpoints and of their addresses. */
 import type * as Ports from "@cairngate/ports";
-import type * as incarnations from "./worker_life.ts";
+import type * as incarnations from "./incarnation.ts";
 
 /** Listener at the address of an order. */
 export enum Listener {
@@ -56,7 +56,7 @@
   }
 
   /** Removes the listener of an address. */
-  vacate(address: string): void {
+  removeListener(address: string): void {
     this.#atAddress.set(address, NO_LISTENER);
   }
 
--- a/packages/stand-ins/src/memory_row_feed.ts
+++ b/packages/stand-ins/src/memory_row_feed.ts
@@ -2,7 +2,7 @@
 import * as Errors from "@cairngate/errors";
 import * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
-import * as pages from "./cut_page.ts";
+import * as pages from "./select_page.ts";
 import type * as switches from "./fault_switch.ts";
 import type * as tables from "./memory_table.ts";
 
@@ -77,8 +77,8 @@
       }
     });
     return Effect.suspend(() => {
-      const { looks } = this.#faults;
-      looks.set(this.#prefix, (looks.get(this.#prefix) ?? 0) + 1);
+      const { polls } = this.#faults;
+      polls.set(this.#prefix, (polls.get(this.#prefix) ?? 0) + 1);
       return this.#unlessSilent(this.#faults.apply("scan", () => wait));
     });
   }
--- a/packages/stand-ins/src/memory_table.ts
+++ b/packages/stand-ins/src/memory_table.ts
@@ -4,7 +4,7 @@
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
 import type * as switches from "./fault_switch.ts";
-import * as pages from "./cut_page.ts";
+import * as pages from "./select_page.ts";
 import * as partitions from "./partition_of.ts";
 
 /** Change of one row; the row is null if it was removed. */
--- a/packages/stand-ins/src/memory_task_workers.ts
+++ b/packages/stand-ins/src/memory_task_workers.ts
@@ -5,14 +5,14 @@
 import * as Errors from "@cairngate/errors";
 import * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
-import * as registries from "./life_book.ts";
+import * as registries from "./incarnation_registry.ts";
 import * as connections from "./open_connections.ts";
-import * as deliveries from "./order_carrier.ts";
-import * as fates from "./order_fate.ts";
-import * as transits from "./order_ways.ts";
+import * as deliveries from "./order_delivery.ts";
+import * as outcomes from "./order_outcome.ts";
+import * as transits from "./order_transit.ts";
 import * as runEnds from "./run_ends.ts";
-import type * as runNotes from "./run_note.ts";
-import * as incarnations from "./worker_life.ts";
+import type * as runRecords from "./run_record.ts";
+import * as incarnations from "./incarnation.ts";
 
 /** How long a task runs and how it ends. */
 export interface TaskBehaviour {
@@ -29,7 +29,7 @@
 const POLL_STEP_MS = 50;
 
 /** All endpoints of a test. */
-export class MemoryTaskWorkers extends Ports.TaskEndpoints {
+export class MemoryTaskEndpoints extends Ports.TaskEndpoints {
   readonly #clock: Ports.Clock;
   readonly #registry = new registries.IncarnationRegistry();
   /** Connections to each endpoint, by id. */
@@ -37,35 +37,37 @@
   readonly #ends: runEnds.RunEnds;
   readonly #delivery: deliveries.OrderDelivery;
   /** All runs in the order of their starts. */
-  readonly runs: runNotes.TaskRunNote[] = [];
+  readonly runs: runRecords.TaskRunRecord[] = [];
   /** Outcome of orders to the address of an ended incarnation. */
-  atDeadAddress = fates.DeadAddress.Answers;
+  atDeadAddress = outcomes.DeadAddressOutcome.Answers;
   /** Transit time of each order, in ms; with 0, it is answered at once. */
-  wayMs = 0;
+  transitMs = 0;
   /** Transit of orders with variable times and connections that can be reset. */
-  readonly ways: transits.OrderTransit;
+  readonly transit: transits.OrderTransit;
   /** Whether an endpoint refuses starts beyond its accelerators. */
-  guardsRoom = true;
+  enforcesCapacity = true;
   /** Time from the answer to a stop to the end of the run, in ms. */
-  stopTakesMs: (task: string) => number = () => 0;
+  stopDelayMs: (task: string) => number = () => 0;
   /** Time from the first end in a gang to that of another member, in ms. */
-  gangFollowsMs: (task: string) => number = () => 0;
+  gangEndDelayMs: (task: string) => number = () => 0;
   /** Called after each crash; tests may start another incarnation. */
-  onCrash: (spec: incarnations.TaskWorkerSpec) => void = () => {};
+  onCrash: (spec: incarnations.TaskEndpointSpec) => void = () => {};
   /** Behaviour of a task on an endpoint; tests may replace it. */
   behave: (task: string, endpoint: string) => TaskBehaviour = () => ({
     runMs: 1000,
     fails: false,
   });
   /** Birth time that a new incarnation reports, in ms; null if it reports none. */
-  birthOf: () => number | null = () => this.#clock.wallMs();
+  createBirthMs: () => number | null = () => this.#clock.wallMs();
   /** Decides the outcome of an order; tests may replace it. */
-  carry: (endpoint: string, order: fates.OrderKind) => fates.OrderFate = () =>
-    fates.OrderFate.Carried;
+  decideOutcome: (
+    endpoint: string,
+    order: outcomes.OrderKind,
+  ) => outcomes.OrderOutcome = () => outcomes.OrderOutcome.Delivered;
 
   constructor(
     clock: Ports.Clock,
-    specs: readonly incarnations.TaskWorkerSpec[],
+    specs: readonly incarnations.TaskEndpointSpec[],
   ) {
     super();
     this.#clock = clock;
@@ -76,7 +78,7 @@
       rules: this,
       advance: (incarnation) => this.#ends.advance(incarnation),
     });
-    this.ways = new transits.OrderTransit(
+    this.transit = new transits.OrderTransit(
       clock,
       (id) => this.#registry.get(id),
     );
@@ -121,16 +123,16 @@
         yield* this.#clock.sleep(POLL_STEP_MS);
       }
     });
-    return this.ways.carry(endpoint.id, longPoll);
+    return this.transit.carry(endpoint.id, longPoll);
   }
 
   /** Makes all open connections silent; new ones work. */
-  silenceOpen(): void {
-    for (const id of this.listLives()) this.#connectionsTo(id).silence();
+  silenceConnections(): void {
+    for (const id of this.listRunning()) this.#connectionsTo(id).silence();
   }
 
   /** Updates all endpoints to the current time, including those that get no orders. */
-  settle(): void {
+  update(): void {
     for (const host of this.#registry.all) this.#ends.advance(host);
   }
 
@@ -150,13 +152,13 @@
   }
 
   /** Sum of the accelerators of all running endpoints. */
-  get acceleratorsAlive(): number {
+  get runningAccelerators(): number {
     return this.#registry.all
       .reduce((sum, { spec }) => sum + spec.accelerators, 0);
   }
 
   /** Returns the ids of all running endpoints. */
-  listLives(): string[] {
+  listRunning(): string[] {
     return this.#registry.all.map(({ spec }) => spec.id);
   }
 
@@ -171,12 +173,12 @@
   }
 
   /** Starts an empty incarnation under a new id in place of an ended one. */
-  replace(earlier: string, spec: incarnations.TaskWorkerSpec): void {
+  replace(earlier: string, spec: incarnations.TaskEndpointSpec): void {
     this.#registry.replace(earlier, this.#createIncarnation(spec));
   }
 
   /** Starts an empty incarnation under the id of an ended one. */
-  beginAgain(spec: incarnations.TaskWorkerSpec): void {
+  restart(spec: incarnations.TaskEndpointSpec): void {
     this.#registry.add(this.#createIncarnation(spec));
   }
 
@@ -186,24 +188,24 @@
   }
 
   /** Sets the listener of an address, which then also gets orders to other ids. */
-  livesAt(address: string, id: string): void {
+  setListener(address: string, id: string): void {
     this.#registry.setListener(address, id);
   }
 
   /** Removes the listener of an address. */
-  vacate(address: string): void {
-    this.#registry.vacate(address);
+  removeListener(address: string): void {
+    this.#registry.removeListener(address);
   }
 
   /** Returns the runs of a task in the order of their starts. */
-  runsOf(task: string): runNotes.TaskRunNote[] {
-    return this.runs.filter((note) => note.task === task);
+  runsOf(task: string): runRecords.TaskRunRecord[] {
+    return this.runs.filter((record) => record.task === task);
   }
 
   #createIncarnation(
-    spec: incarnations.TaskWorkerSpec,
+    spec: incarnations.TaskEndpointSpec,
   ): incarnations.Incarnation {
-    return incarnations.createIncarnation(spec, this.birthOf());
+    return incarnations.createIncarnation(spec, this.createBirthMs());
   }
 
   /**
@@ -217,7 +219,7 @@
     return Effect.suspend(() => {
       const connection = this.#connectionsTo(endpoint.id).begin();
       if (connection.isSilent) return Effect.never;
-      return this.ways.carry(endpoint.id, order);
+      return this.transit.carry(endpoint.id, order);
     });
   }
 
@@ -246,7 +248,7 @@
       order.leaseUntilMs,
     );
     if (incarnation.leaseUntilMs < nowMs) throw incarnations.refuse(id, Late);
-    if (this.guardsRoom && held.size >= accelerators) {
+    if (this.enforcesCapacity && held.size >= accelerators) {
       throw incarnations.refuse(id, NoCapacity);
     }
     this.#begin(incarnation, order);
@@ -274,7 +276,7 @@
     const nowMs = this.#clock.monotonicMs();
     const { runMs, fails, crashesAfterMs } = this.behave(task, worker);
     const { isExecutingLate } = this.#delivery;
-    const note: runNotes.TaskRunNote = {
+    const record: runRecords.TaskRunRecord = {
       task,
       run,
       worker,
@@ -282,33 +284,33 @@
       endedAtMs: null,
       how: null,
       acknowledgedAtMs: null,
-      hasLapsedMeanwhile: false,
+      wasLeaseExpired: false,
       wasLate: isExecutingLate,
       wasLateFirstCall: isExecutingLate && !incarnation.hasAnswered,
     };
-    this.runs.push(note);
+    this.runs.push(record);
     const endsAtMs = nowMs + runMs;
-    incarnation.held.set(incarnations.keyOf(note), {
-      note,
+    incarnation.held.set(incarnations.keyOf(record), {
+      record,
       endsAtMs,
       fails,
       ending: null,
     });
     if (crashesAfterMs !== undefined) {
-      this.#crashAfter(incarnation, note, crashesAfterMs);
+      this.#crashAfter(incarnation, record, crashesAfterMs);
     }
   }
 
   #crashAfter(
     incarnation: incarnations.Incarnation,
-    note: runNotes.TaskRunNote,
+    record: runRecords.TaskRunRecord,
     afterMs: number,
   ): void {
     const { id } = incarnation.spec;
     if (afterMs === 0) return this.crash(id);
     const crash = Effect.sync(() => {
       this.#ends.advance(incarnation);
-      if (note.endedAtMs === null) this.crash(id);
+      if (record.endedAtMs === null) this.crash(id);
     });
     Effect.runFork(Effect.andThen(this.#clock.sleep(afterMs), crash));
   }
--- a/packages/stand-ins/src/memory_workers.ts
+++ b/packages/stand-ins/src/memory_workers.ts
@@ -6,11 +6,11 @@
 import type * as workers from "./stand_in_worker.ts";
 
 /** Adapter of the `Workers` port that routes orders by address. */
-export class MemoryWorkers extends Ports.Workers {
-  readonly #byEndpoint = new Map<string, workers.StandInWorker>();
+export class MemoryEndpoints extends Ports.Workers {
+  readonly #byEndpoint = new Map<string, workers.StandInEndpoint>();
 
   /** Adds an endpoint under its address. */
-  add(endpoint: string, worker: workers.StandInWorker): void {
+  add(endpoint: string, worker: workers.StandInEndpoint): void {
     this.#byEndpoint.set(endpoint, worker);
   }
 
@@ -45,7 +45,7 @@
 
   #find(
     endpoint: string,
-  ): Effect.Effect<workers.StandInWorker, Errors.WorkerLostError> {
+  ): Effect.Effect<workers.StandInEndpoint, Errors.WorkerLostError> {
     const worker = this.#byEndpoint.get(endpoint);
     if (worker !== undefined) return Effect.succeed(worker);
     return Effect.fail(
--- a/packages/stand-ins/src/order_carrier.ts
+++ b/packages/stand-ins/src/order_delivery.ts
@@ -2,19 +2,22 @@
 import * as Errors from "@cairngate/errors";
 import type * as Ports from "@cairngate/ports";
 import * as Effect from "effect/Effect";
-import * as registries from "./life_book.ts";
-import * as fates from "./order_fate.ts";
-import * as incarnations from "./worker_life.ts";
+import * as registries from "./incarnation_registry.ts";
+import * as outcomes from "./order_outcome.ts";
+import * as incarnations from "./incarnation.ts";
 
 /** Transit time of a late order, in ms. */
 const LATE_MS = 2500;
 
 /** Rules for the outcomes of orders; tests may change them. */
 export interface OrderRules {
-  readonly carry: (endpoint: string, order: fates.OrderKind) => fates.OrderFate;
-  readonly atDeadAddress: fates.DeadAddress;
+  readonly decideOutcome: (
+    endpoint: string,
+    order: outcomes.OrderKind,
+  ) => outcomes.OrderOutcome;
+  readonly atDeadAddress: outcomes.DeadAddressOutcome;
   /** Transit time of each order, in ms; with 0, it is answered at once. */
-  readonly wayMs: number;
+  readonly transitMs: number;
 }
 
 /** Options of OrderDelivery. */
@@ -29,7 +32,7 @@
 /** An order and its effect on the incarnation that gets it. */
 export interface Order<A> {
   readonly endpoint: Ports.EndpointRef;
-  readonly kind: fates.OrderKind;
+  readonly kind: outcomes.OrderKind;
   readonly work: (incarnation: incarnations.Incarnation) => A;
 }
 
@@ -54,29 +57,29 @@
     const { clock, rules } = this.#options;
     const delivered = Effect.suspend(() => this.#deliverNow(order));
     return Effect.suspend(() =>
-      rules.wayMs === 0
+      rules.transitMs === 0
         ? delivered
-        : Effect.andThen(clock.sleep(rules.wayMs), delivered)
+        : Effect.andThen(clock.sleep(rules.transitMs), delivered)
     );
   }
 
   #deliverNow<A>(order: Order<A>): Delivery<A> {
     const { endpoint, kind } = order;
-    const { OrderFate } = fates;
-    const fate = this.#options.rules.carry(endpoint.id, kind);
-    const target = this.#options.registry.get(endpoint.id);
-    if (fate === OrderFate.Silent) return Effect.never;
+    const { OrderOutcome } = outcomes;
+    const how = this.#options.rules.decideOutcome(endpoint.id, kind);
+    const found = this.#options.registry.get(endpoint.id);
+    if (how === OrderOutcome.Silent) return Effect.never;
     const listener = this.#options.registry.listenerAt(endpoint);
     if (listener !== registries.Listener.Intended) {
       return this.#failDelivery(endpoint, listener);
     }
-    if (fate === OrderFate.Lost || target === undefined) return drop(endpoint);
-    if (fate === OrderFate.NoRoom) {
+    if (how === OrderOutcome.Lost || found === undefined) return drop(endpoint);
+    if (how === OrderOutcome.NoRoom) {
       const { NoCapacity } = Errors.OrderRefusal;
       return Effect.fail(incarnations.refuse(endpoint.id, NoCapacity));
     }
-    if (fate === OrderFate.Late) return this.#executeLate(order);
-    return this.#execute(order, target, fate === OrderFate.Carried);
+    if (how === OrderOutcome.Late) return this.#executeLate(order);
+    return this.#execute(order, found, how === OrderOutcome.Delivered);
   }
 
   #execute<A>(
@@ -119,7 +122,7 @@
     endpoint: Ports.EndpointRef,
     listener: registries.Listener,
   ): Effect.Effect<never, Ports.OrderError> {
-    const { Resets, Silent } = fates.DeadAddress;
+    const { Resets, Silent } = outcomes.DeadAddressOutcome;
     const { atDeadAddress } = this.#options.rules;
     if (atDeadAddress === Resets) return drop(endpoint, { cause: "reset" });
     if (listener === registries.Listener.Other) {
--- a/packages/stand-ins/src/order_fate.ts
+++ b/packages/stand-ins/src/order_outcome.ts
@@ -4,8 +4,8 @@
 export type OrderKind = "start" | "stop" | "renew";
 
 /** Outcome of an order. */
-export enum OrderFate {
-  Carried = "carried",
+export enum OrderOutcome {
+  Delivered = "carried",
   /** It never arrives. */
   Lost = "lost",
   /** It is executed, but its answer is lost. */
@@ -19,7 +19,7 @@
 }
 
 /** Outcome of orders to the address of an ended incarnation. */
-export enum DeadAddress {
+export enum DeadAddressOutcome {
   /** Connections are refused until another incarnation answers under its own id. */
   Answers = "answers",
   /** Connections are reset, even after another incarnation listens there. */
--- a/packages/stand-ins/src/order_ways.ts
+++ b/packages/stand-ins/src/order_transit.ts
@@ -11,16 +11,16 @@
 import * as Effect from "effect/Effect";
 
 /** Transit times of orders. */
-export interface WayTimes {
+export interface TransitTimes {
   /** Draws the time of an order to its endpoint, in ms. */
-  readonly thereMs: () => number;
+  readonly drawOutboundMs: () => number;
   /** Draws the time of its answer or refusal, in ms. */
-  readonly backMs: () => number;
+  readonly drawReturnMs: () => number;
   /**
    * Draws the time from a reset to the arrival of an order that had not arrived, in ms;
    * null if it never arrives.
    */
-  readonly afterResetMs: () => number | null;
+  readonly drawAfterResetMs: () => number | null;
 }
 
 /** An order in flight. */
@@ -39,7 +39,7 @@
   readonly #incarnationOf: (endpoint: string) => unknown;
   readonly #inFlight = new Set<InFlightOrder>();
   /** Null: orders and answers arrive at once, and resets do not affect them. */
-  times: WayTimes | null = null;
+  times: TransitTimes | null = null;
 
   /** @param incarnationOf returns the current incarnation of an endpoint */
   constructor(
@@ -51,7 +51,7 @@
   }
 
   /** Number of orders that were sent and have not arrived. */
-  get leftCount(): number {
+  get undeliveredCount(): number {
     return [...this.#inFlight].filter(({ hasArrived }) => !hasArrived).length;
   }
 
@@ -73,7 +73,7 @@
       const reset = Effect.andThen(
         Deferred.await(inFlight.reset),
         Effect.suspend(() =>
-          this.#failReset(inFlight, order, times.afterResetMs())
+          this.#failReset(inFlight, order, times.drawAfterResetMs())
         ),
       );
       return Effect.ensuring(
@@ -97,13 +97,13 @@
   #roundTrip<A>(
     inFlight: InFlightOrder,
     order: Effect.Effect<A, Ports.OrderError>,
-    times: WayTimes,
+    times: TransitTimes,
   ): Effect.Effect<A, Ports.OrderError> {
     return Effect.gen({ self: this }, function* () {
-      yield* this.#clock.sleep(times.thereMs());
+      yield* this.#clock.sleep(times.drawOutboundMs());
       inFlight.hasArrived = true;
       const answer = yield* Effect.result(order);
-      yield* this.#clock.sleep(times.backMs());
+      yield* this.#clock.sleep(times.drawReturnMs());
       return yield* Effect.fromResult(answer);
     });
   }
--- a/packages/stand-ins/src/order_ways_test.ts
+++ b/packages/stand-ins/src/order_transit_test.ts
@@ -12,10 +12,10 @@
 const THERE_MS = 20;
 
 /** Constant times; no order arrives after a reset. */
-const STEADY: StandIns.WayTimes = {
-  thereMs: () => THERE_MS,
-  backMs: () => 0,
-  afterResetMs: () => null,
+const STEADY: StandIns.TransitTimes = {
+  drawOutboundMs: () => THERE_MS,
+  drawReturnMs: () => 0,
+  drawAfterResetMs: () => null,
 };
 
 /** Returns the given times one after another, then 0. */
@@ -32,12 +32,12 @@
 /** One endpoint and the orders sent to it. */
 class Fixture {
   readonly clock = new TestUtils.FakeClock();
-  readonly workers = new StandIns.MemoryTaskWorkers(this.clock, [
+  readonly workers = new StandIns.MemoryTaskEndpoints(this.clock, [
     { id: ENDPOINT.id, accelerators: 2 },
   ]);
 
-  constructor(times: StandIns.WayTimes) {
-    this.workers.ways.times = times;
+  constructor(times: StandIns.TransitTimes) {
+    this.workers.transit.times = times;
     this.workers.behave = () => ({ runMs: LEASE_MS, fails: false });
   }
 
@@ -70,7 +70,7 @@
   }
 
   resetAll(): number {
-    return this.workers.ways.reset(() => true);
+    return this.workers.transit.reset(() => true);
   }
 
   #send(order: Effect.Effect<unknown, Ports.OrderError>): SentOrder {
@@ -113,9 +113,10 @@
   vitest.it("do not affect other endpoints or later orders", async () => {
     const fixture = new Fixture(STEADY);
     const start = fixture.start();
-    vitest.expect(fixture.workers.ways.reset((id) => id !== ENDPOINT.id)).toBe(
-      0,
-    );
+    vitest.expect(fixture.workers.transit.reset((id) => id !== ENDPOINT.id))
+      .toBe(
+        0,
+      );
     await fixture.clock.advance(THERE_MS);
     vitest.expect(start.answer).toBe("carried out");
     vitest.expect(fixture.resetAll()).toBe(0);
@@ -129,8 +130,12 @@
   vitest.it(
     "overtake one another: a poll misses a start",
     async () => {
-      const backMs = takeInTurn([50, 0]);
-      const fixture = new Fixture({ ...STEADY, thereMs: () => 0, backMs });
+      const drawReturnMs = takeInTurn([50, 0]);
+      const fixture = new Fixture({
+        ...STEADY,
+        drawOutboundMs: () => 0,
+        drawReturnMs,
+      });
       const renew = fixture.renew();
       await fixture.clock.advance(0);
       const start = fixture.start();
@@ -145,8 +150,12 @@
   vitest.it(
     "overtake one another: a poll shows a start early",
     async () => {
-      const backMs = takeInTurn([50, 0]);
-      const fixture = new Fixture({ ...STEADY, thereMs: () => 0, backMs });
+      const drawReturnMs = takeInTurn([50, 0]);
+      const fixture = new Fixture({
+        ...STEADY,
+        drawOutboundMs: () => 0,
+        drawReturnMs,
+      });
       const start = fixture.start();
       await fixture.clock.advance(0);
       const renew = fixture.renew();
@@ -159,7 +168,7 @@
   );
 
   vitest.it("delay refusals like other answers", async () => {
-    const fixture = new Fixture({ ...STEADY, backMs: () => 50 });
+    const fixture = new Fixture({ ...STEADY, drawReturnMs: () => 50 });
     const stop = fixture.stop();
     await fixture.clock.advance(THERE_MS);
     const start = fixture.start();
@@ -172,7 +181,7 @@
 });
 
 vitest.describe("an order that was sent before a reset", () => {
-  const times = { ...STEADY, afterResetMs: () => 200 };
+  const times = { ...STEADY, drawAfterResetMs: () => 200 };
 
   vitest.it("arrives after it", async () => {
     const fixture = new Fixture(times);
@@ -187,7 +196,7 @@
   });
 
   vitest.it("is executed once if it had arrived", async () => {
-    const fixture = new Fixture({ ...times, backMs: () => 50 });
+    const fixture = new Fixture({ ...times, drawReturnMs: () => 50 });
     const start = fixture.start();
     await fixture.clock.advance(THERE_MS);
     fixture.resetAll();
@@ -207,7 +216,7 @@
     await fixture.clock.advance(THERE_MS / 2);
     fixture.resetAll();
     fixture.workers.crash(ENDPOINT.id);
-    fixture.workers.beginAgain({ id: ENDPOINT.id, accelerators: 2 });
+    fixture.workers.restart({ id: ENDPOINT.id, accelerators: 2 });
     await fixture.clock.advance(1000);
     vitest.expect(fixture.workers.runs).toEqual([]);
   });
--- a/packages/stand-ins/src/run_ends.ts
+++ b/packages/stand-ins/src/run_ends.ts
@@ -2,17 +2,17 @@
  * Ends of the runs on stand-in endpoints: on their own, by order, or with their gang.
  */
 import type * as Ports from "@cairngate/ports";
-import * as heldRuns from "./held_task.ts";
-import type * as registries from "./life_book.ts";
-import type * as runNotes from "./run_note.ts";
-import * as incarnations from "./worker_life.ts";
+import * as heldRuns from "./held_run.ts";
+import type * as registries from "./incarnation_registry.ts";
+import type * as runRecords from "./run_record.ts";
+import * as incarnations from "./incarnation.ts";
 
 /** Delays of ends; tests may change them. */
 export interface EndTimes {
   /** Time from the answer to a stop to the end of the run, in ms. */
-  readonly stopTakesMs: (task: string) => number;
+  readonly stopDelayMs: (task: string) => number;
   /** Time from the first end in a gang to that of another member, in ms. */
-  readonly gangFollowsMs: (task: string) => number;
+  readonly gangEndDelayMs: (task: string) => number;
 }
 
 /** Options of RunEnds. */
@@ -61,7 +61,7 @@
 
   /** Stops a run, which ends after its delay. */
   stop(incarnation: incarnations.Incarnation, held: heldRuns.HeldRun): void {
-    const afterMs = this.#options.times.stopTakesMs(held.note.task);
+    const afterMs = this.#options.times.stopDelayMs(held.record.task);
     const fromMs = this.#nowMs();
     this.#endLater(incarnation, held, { how: "stopped", fromMs, afterMs });
   }
@@ -69,8 +69,8 @@
   /** Ends the runs of a task now, as an endpoint does without an order. */
   endNow(task: string, how: Ports.EndKind): void {
     for (const incarnation of this.#options.registry.all) {
-      const held = [...incarnation.held.values()].find(({ note }) =>
-        note.task === task
+      const held = [...incarnation.held.values()].find(({ record }) =>
+        record.task === task
       );
       if (held !== undefined) this.#end(incarnation, held, how);
     }
@@ -78,11 +78,11 @@
 
   /** Ends all runs of a crashed incarnation. */
   crash(incarnation: incarnations.Incarnation): void {
-    for (const { note } of incarnation.held.values()) {
-      note.endedAtMs = this.#nowMs();
-      note.how = "crashed";
+    for (const { record } of incarnation.held.values()) {
+      record.endedAtMs = this.#nowMs();
+      record.how = "crashed";
     }
-    for (const { note } of incarnation.held.values()) this.#endGang(note);
+    for (const { record } of incarnation.held.values()) this.#endGang(record);
     // A timer may still update this incarnation; its runs must not end twice.
     incarnation.held.clear();
   }
@@ -93,13 +93,13 @@
     how: Ports.EndKind,
     atMs = this.#nowMs(),
   ): void {
-    const { note } = held;
-    incarnation.held.delete(incarnations.keyOf(note));
-    incarnations.markOver(incarnation, note);
-    note.endedAtMs = atMs;
-    note.how = how;
-    incarnation.ended.push({ number: incarnation.nextEndNumber++, note });
-    this.#endGang(note);
+    const { record } = held;
+    incarnation.held.delete(incarnations.keyOf(record));
+    incarnations.markOver(incarnation, record);
+    record.endedAtMs = atMs;
+    record.how = how;
+    incarnation.ended.push({ number: incarnation.nextEndNumber++, record });
+    this.#endGang(record);
   }
 
   /** Ends a run after a delay, during which it keeps its accelerator. */
@@ -113,7 +113,7 @@
   }
 
   /** Ends the other members of a gang's run with the first one or soon after it. */
-  #endGang({ task, run, how, endedAtMs }: runNotes.TaskRunNote): void {
+  #endGang({ task, run, how, endedAtMs }: runRecords.TaskRunRecord): void {
     const others = this.#gangs.get(task) ?? [];
     const fromMs = endedAtMs ?? this.#nowMs();
     for (const other of others) {
@@ -124,7 +124,7 @@
         if (held === undefined) continue;
         if (how === "done") this.#end(incarnation, held, "done", fromMs);
         else {
-          const afterMs = this.#options.times.gangFollowsMs(other);
+          const afterMs = this.#options.times.gangEndDelayMs(other);
           this.#endLater(incarnation, held, { how: "broken", fromMs, afterMs });
         }
       }
--- a/packages/stand-ins/src/run_ledger.ts
+++ b/packages/stand-ins/src/run_log.ts
@@ -1,7 +1,7 @@
 /** Log of what the endpoints ran. */
 
 /** Step of a task. */
-export enum LedgerEvent {
+export enum ExecutionEvent {
   Held = "held",
   Started = "started",
   Finished = "finished",
@@ -9,8 +9,8 @@
 }
 
 /** One step of one task on one endpoint. */
-export interface LedgerEntry {
-  readonly event: LedgerEvent;
+export interface ExecutionEntry {
+  readonly event: ExecutionEvent;
   readonly worker: string;
   readonly jobId: string;
   readonly attempt: string;
@@ -20,41 +20,41 @@
   readonly atMs: number;
 }
 
-/** Summary of a ledger. */
-export interface LedgerSummary {
+/** Summary of a run log. */
+export interface ExecutionSummary {
   /** Unrepeatable jobs that started more than once. */
-  readonly doubled: readonly string[];
+  readonly repeatedStarts: readonly string[];
   /** Gang attempts in which a member finished while another never started. */
-  readonly partial: readonly string[];
+  readonly partialGangs: readonly string[];
   readonly startedJobs: number;
 }
 
 /** Records every step in order. */
-export class RunLedger {
-  readonly entries: LedgerEntry[] = [];
+export class RunLog {
+  readonly entries: ExecutionEntry[] = [];
 
   /** Adds a step. */
-  add(entry: LedgerEntry): void {
+  add(entry: ExecutionEntry): void {
     this.entries.push(entry);
   }
 }
 
-/** Finds violations in a ledger and counts the started jobs. */
-export function summarizeLedger(
-  entries: readonly LedgerEntry[],
-): LedgerSummary {
+/** Finds violations in a run log and counts the started jobs. */
+export function summarizeRunLog(
+  entries: readonly ExecutionEntry[],
+): ExecutionSummary {
   return {
-    doubled: findRepeatedStarts(entries),
-    partial: findPartialGangs(entries),
+    repeatedStarts: findRepeatedStarts(entries),
+    partialGangs: findPartialGangs(entries),
     startedJobs: new Set(startsOf(entries).map((e) => e.jobId)).size,
   };
 }
 
-function startsOf(entries: readonly LedgerEntry[]): LedgerEntry[] {
-  return entries.filter((e) => e.event === LedgerEvent.Started);
+function startsOf(entries: readonly ExecutionEntry[]): ExecutionEntry[] {
+  return entries.filter((e) => e.event === ExecutionEvent.Started);
 }
 
-function findRepeatedStarts(entries: readonly LedgerEntry[]): string[] {
+function findRepeatedStarts(entries: readonly ExecutionEntry[]): string[] {
   const starts = new Map<string, number>();
   for (const entry of startsOf(entries)) {
     if (entry.repeatable) continue;
@@ -64,7 +64,7 @@
   return [...starts].filter(([, count]) => count > 1).map(([id]) => id);
 }
 
-function findPartialGangs(entries: readonly LedgerEntry[]): string[] {
+function findPartialGangs(entries: readonly ExecutionEntry[]): string[] {
   const started = new Map<string, Set<number>>();
   for (const entry of startsOf(entries)) {
     const key = `${entry.jobId}/${entry.attempt}`;
@@ -73,7 +73,7 @@
   }
   const partial = new Set<string>();
   for (const entry of entries) {
-    if (entry.event !== LedgerEvent.Finished) continue;
+    if (entry.event !== ExecutionEvent.Finished) continue;
     const key = `${entry.jobId}/${entry.attempt}`;
     if ((started.get(key)?.size ?? 0) < entry.gang) partial.add(key);
   }
--- a/packages/stand-ins/src/run_note.ts
+++ b/packages/stand-ins/src/run_record.ts
@@ -2,7 +2,7 @@
 import type * as Ports from "@cairngate/ports";
 
 /** Record of one run, for the checks of tests. */
-export interface TaskRunNote {
+export interface TaskRunRecord {
   readonly task: string;
   readonly run: number;
   readonly worker: string;
@@ -13,7 +13,7 @@
   /** When the coordinator acknowledged that it recorded the end. */
   acknowledgedAtMs: number | null;
   /** Whether the lease expired between the end and the acknowledgement. */
-  hasLapsedMeanwhile: boolean;
+  wasLeaseExpired: boolean;
   /** Whether its start was executed seconds after it was sent. */
   readonly wasLate: boolean;
   /**
--- a/packages/stand-ins/src/stand_in_worker.ts
+++ b/packages/stand-ins/src/stand_in_worker.ts
@@ -4,7 +4,7 @@
 import * as Types from "@cairngate/types";
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
-import * as ledgers from "./run_ledger.ts";
+import * as runLogs from "./run_log.ts";
 import * as tasks from "./stand_in_task.ts";
 import * as works from "./work.ts";
 
@@ -17,11 +17,11 @@
   readonly accelerators: number;
   readonly clock: Ports.Clock;
   readonly random: Ports.RandomSource;
-  readonly ledger: ledgers.RunLedger;
+  readonly runLog: runLogs.RunLog;
 }
 
 /** One stand-in endpoint. */
-export class StandInWorker {
+export class StandInEndpoint {
   readonly name: string;
   readonly #options: StandInWorkerOptions;
   readonly #tasks = new Map<string, tasks.Task>();
@@ -196,7 +196,7 @@
       version: 0,
     };
     this.#tasks.set(tasks.keyOf(order), task);
-    this.#record(task, ledgers.LedgerEvent.Held);
+    this.#record(task, runLogs.ExecutionEvent.Held);
     this.#expireHold(task);
     this.#markChanged(task);
   }
@@ -218,7 +218,7 @@
       task.state = Types.TaskState.Running;
       task.startedAtMs = clock.wallMs();
       task.leaseUntilMs = clock.monotonicMs() + task.order.leaseMs;
-      this.#record(task, ledgers.LedgerEvent.Started);
+      this.#record(task, runLogs.ExecutionEvent.Started);
       this.#markChanged(task);
       Effect.runFork(this.#work(task));
     });
@@ -262,8 +262,8 @@
       ? Types.TaskState.Finished
       : Types.TaskState.Stopped;
     const event = how === "finished"
-      ? ledgers.LedgerEvent.Finished
-      : ledgers.LedgerEvent.Stopped;
+      ? runLogs.ExecutionEvent.Finished
+      : runLogs.ExecutionEvent.Stopped;
     this.#record(task, event);
     Deferred.doneUnsafe(task.ended, Effect.succeed(tasks.answerOf(task)));
     this.#markChanged(task);
@@ -340,9 +340,9 @@
     Deferred.doneUnsafe(changed, Effect.void);
   }
 
-  #record(task: tasks.Task, event: ledgers.LedgerEvent): void {
+  #record(task: tasks.Task, event: runLogs.ExecutionEvent): void {
     const { jobId, attempt, rank, repeatable } = task.order;
-    this.#options.ledger.add({
+    this.#options.runLog.add({
       event,
       worker: this.name,
       jobId,
--- a/packages/test-utils/src/brief_cuts.ts
+++ b/packages/test-utils/src/brief_cuts.ts
@@ -9,15 +9,15 @@
 const MAX_CUT_ENDPOINTS = 4;
 
 /** Outcomes that the orders of one cut draw from. */
-const OUTCOME_SETS: readonly (readonly StandIns.OrderFate[])[] = [
-  [StandIns.OrderFate.Lost],
-  [StandIns.OrderFate.AnswerLost],
-  [StandIns.OrderFate.Lost, StandIns.OrderFate.AnswerLost],
+const OUTCOME_SETS: readonly (readonly StandIns.OrderOutcome[])[] = [
+  [StandIns.OrderOutcome.Lost],
+  [StandIns.OrderOutcome.AnswerLost],
+  [StandIns.OrderOutcome.Lost, StandIns.OrderOutcome.AnswerLost],
 ];
 
 interface Cut {
   readonly untilMs: number;
-  readonly outcomes: readonly StandIns.OrderFate[];
+  readonly outcomes: readonly StandIns.OrderOutcome[];
 }
 
 /** Short cuts of one simulation. */
@@ -55,18 +55,18 @@
 
   #listBusy(): string[] {
     const { workers } = this.#fleet;
-    workers.settle();
+    workers.update();
     const running = workers.runs.filter(({ how }) => how === null);
     return [...new Set(running.map(({ worker }) => worker))];
   }
 
   /** Draws the outcome of an order that arrives at an endpoint now. */
-  outcomeOf(id: string): StandIns.OrderFate {
+  outcomeOf(id: string): StandIns.OrderOutcome {
     const cut = this.#cuts.get(id);
     const isOver = cut === undefined ||
       cut.untilMs <= this.#fleet.clock.monotonicMs();
     return isOver
-      ? StandIns.OrderFate.Carried
+      ? StandIns.OrderOutcome.Delivered
       : this.#random.choose(cut.outcomes);
   }
 
--- a/packages/test-utils/src/changing_rooms.ts
+++ b/packages/test-utils/src/capacity_changes.ts
@@ -24,12 +24,12 @@
     this.#sizes = options.sizes;
     // A separate generator, so that the other faults of a seed do not change.
     this.#random = new randoms.SeededRandom(options.seed + 0.5);
-    fleet.workers.guardsRoom = false;
+    fleet.workers.enforcesCapacity = false;
   }
 
   /** Lists a random endpoint with a random number of accelerators. */
   change(): void {
-    const ids = this.#fleet.workers.listLives();
+    const ids = this.#fleet.workers.listRunning();
     if (ids.length === 0) return;
     const id = this.#random.choose(ids);
     this.#set(id, this.#random.between(0, this.#sizeOf(id)));
@@ -37,7 +37,7 @@
 
   /** Lists all endpoints with all of their accelerators again. */
   restore(): void {
-    for (const id of this.#fleet.workers.listLives()) {
+    for (const id of this.#fleet.workers.listRunning()) {
       this.#set(id, this.#sizeOf(id));
     }
   }
@@ -46,9 +46,9 @@
   findViolations(): string[] {
     const { runs } = this.#fleet.workers;
     return runs.flatMap(({ task, run, worker, startedAtMs }) => {
-      const concurrent = runs.filter((note) =>
-        note.worker === worker && note.startedAtMs <= startedAtMs &&
-        (note.endedAtMs ?? Number.POSITIVE_INFINITY) > startedAtMs
+      const concurrent = runs.filter((record) =>
+        record.worker === worker && record.startedAtMs <= startedAtMs &&
+        (record.endedAtMs ?? Number.POSITIVE_INFINITY) > startedAtMs
       );
       const capacity = this.#capacityAt(worker, startedAtMs);
       return concurrent.length > capacity
@@ -60,13 +60,13 @@
   }
 
   #set(id: string, capacity: number): void {
-    const place = this.#fleet.placeOf(id);
+    const place = this.#fleet.indexOf(id);
     this.#fleet.list({ id, accelerators: capacity }, place);
     this.#changes.push({ id, atMs: this.#fleet.clock.monotonicMs(), capacity });
   }
 
   #sizeOf(id: string): number {
-    return this.#sizes[this.#fleet.placeOf(id)];
+    return this.#sizes[this.#fleet.indexOf(id)];
   }
 
   /** Highest capacity listed within the effective time before a moment. */
--- a/packages/test-utils/src/room_check.ts
+++ b/packages/test-utils/src/capacity_check.ts
@@ -11,14 +11,14 @@
   fleet: fleets.TestFleet,
   sizes: readonly number[],
 ): string[] {
-  fleet.workers.settle();
+  fleet.workers.update();
   const { runs } = fleet.workers;
   return runs.flatMap(({ task, run, worker, startedAtMs }, index) => {
-    const concurrent = runs.filter((note, i) =>
-      i <= index && note.worker === worker &&
-      (note.endedAtMs ?? Number.POSITIVE_INFINITY) > startedAtMs
+    const concurrent = runs.filter((record, i) =>
+      i <= index && record.worker === worker &&
+      (record.endedAtMs ?? Number.POSITIVE_INFINITY) > startedAtMs
     );
-    const capacity = sizes[fleet.placeOf(worker)];
+    const capacity = sizes[fleet.indexOf(worker)];
     return concurrent.length > capacity
       ? [
         `${task} run ${run}: ${concurrent.length} on ${worker}, capacity ${capacity}`,
--- a/packages/test-utils/src/cut_play.ts
+++ b/packages/test-utils/src/cut_simulation.ts
@@ -25,37 +25,37 @@
 const COMPLETION_TIMEOUT_MS = 80_000;
 
 /** Options of a simulation of cuts. */
-export interface CutPlay {
-  readonly shape: endpointCuts.CutShape;
+export interface CutScenario {
+  readonly schedule: endpointCuts.CutSchedule;
   /** Accelerators of the endpoints. */
   readonly workers: readonly number[];
   readonly workflows: number;
   /** Number of endpoints that are cut off at a time. */
-  readonly victims: number;
+  readonly endpointsPerCut: number;
   /** Whether each workflow is a gang of two tasks instead of one task. */
   readonly gangs: boolean;
   readonly changesCoordinator: boolean;
   /** Whether guaranteed work preempts other work between the cuts. */
-  readonly rushes: boolean;
+  readonly addsUrgentWork: boolean;
 }
 
 /**
  * Default cuts: six tasks on eight endpoints, of which up to four are cut off at a
  * time, for 3 s longer than the longest lease. The list entry returns with the link.
  */
-export const USUAL_CUTS: CutPlay = {
-  shape: {
-    fate: StandIns.OrderFate.Lost,
-    healsMs: 9000,
-    entryGoesMs: 1500,
-    entryBackMs: 9000,
+export const DEFAULT_CUTS: CutScenario = {
+  schedule: {
+    outcome: StandIns.OrderOutcome.Lost,
+    endsMs: 9000,
+    entryRemovedMs: 1500,
+    entryRelistedMs: 9000,
   },
   workers: [2, 2, 2, 2, 2, 2, 2, 2],
   workflows: 6,
-  victims: 1,
+  endpointsPerCut: 1,
   gangs: false,
   changesCoordinator: false,
-  rushes: false,
+  addsUrgentWork: false,
 };
 
 /** Problems found by a simulation; all lists are empty on success. */
@@ -63,20 +63,20 @@
   /** Workflows that failed. */
   readonly failed: readonly string[];
   /** Workflows that have neither completed nor failed at the end. */
-  readonly undone: readonly string[];
+  readonly unfinished: readonly string[];
   /** Descriptions of the runs that violate a guarantee. */
-  readonly broken: readonly string[];
+  readonly violations: readonly string[];
 }
 
 /** Runs the work and the cuts of one seed. */
 class CutSimulation {
   readonly fleet: fleets.TestFleet;
   readonly ids: string[] = [];
-  readonly #options: CutPlay;
+  readonly #options: CutScenario;
   readonly #random: randoms.SeededRandom;
   readonly #cuts: endpointCuts.EndpointCuts;
 
-  constructor(options: CutPlay, seed: number) {
+  constructor(options: CutScenario, seed: number) {
     this.#options = options;
     this.#random = new randoms.SeededRandom(seed);
     this.fleet = new fleets.TestFleet({ workers: options.workers, seed });
@@ -85,31 +85,36 @@
       runMs: task.startsWith("b") ? URGENT.runMs : RUN_MS,
       fails: false,
     });
-    this.fleet.workers.carry = (id) =>
-      this.#cuts.fateOf(id) ?? StandIns.OrderFate.Carried;
+    this.fleet.workers.decideOutcome = (id) =>
+      this.#cuts.outcomeOf(id) ?? StandIns.OrderOutcome.Delivered;
   }
 
   async submitAll(): Promise<void> {
     const gang = this.#options.gangs ? { count: 2, gang: true } : {};
     const steps = [fleets.buildStep({ estimateMs: RUN_MS, ...gang })];
-    const priority = this.#options.rushes ? 2 : 1;
+    const priority = this.#options.addsUrgentWork ? 2 : 1;
     for (let i = 0; i < this.#options.workflows; i++) {
       await this.#submit("a", { steps, priority });
     }
   }
 
   async cutAll(): Promise<void> {
-    const { changesCoordinator, rushes, victims, shape } = this.#options;
+    const {
+      changesCoordinator,
+      addsUrgentWork,
+      endpointsPerCut,
+      schedule,
+    } = this.#options;
     for (let i = 1; i <= CUT_COUNT; i++) {
       const pauseMs = this.#random.between(PAUSE_MS.min, PAUSE_MS.max);
       await this.fleet.clock.advance(pauseMs);
-      for (const id of this.#chooseVictims(victims)) {
-        this.#cuts.begin(id, shape);
+      for (const id of this.#chooseEndpoints(endpointsPerCut)) {
+        this.#cuts.begin(id, schedule);
       }
       if (changesCoordinator && i % CUTS_PER_TERM === 0) {
         await this.#replaceCoordinator();
       }
-      if (rushes && i % CUTS_PER_URGENT === 0) await this.#addUrgent();
+      if (addsUrgentWork && i % CUTS_PER_URGENT === 0) await this.#addUrgent();
     }
   }
 
@@ -117,8 +122,8 @@
    * Chooses busy endpoints that are not cut off; fewer than `count` if there are not
    * enough.
    */
-  #chooseVictims(count: number): string[] {
-    this.fleet.workers.settle();
+  #chooseEndpoints(count: number): string[] {
+    this.fleet.workers.update();
     const running = this.fleet.workers.runs.filter(({ how }) => how === null);
     const busyIds = new Set(running.map(({ worker }) => worker));
     const candidates = [...busyIds].filter((id) => !this.#cuts.has(id));
@@ -132,9 +137,9 @@
 
   async #replaceCoordinator(): Promise<void> {
     const coordinator = this.fleet.coordinator();
-    if (coordinator === null || !this.fleet.nodes.has(coordinator)) return;
+    if (coordinator === null || !this.fleet.boxes.has(coordinator)) return;
     await this.fleet.kill(coordinator);
-    this.fleet.startNode(`${coordinator}+`);
+    this.fleet.startBox(`${coordinator}+`);
   }
 
   async #addUrgent(): Promise<void> {
@@ -148,29 +153,29 @@
     options: { steps: readonly Workflow.StepSpec[]; priority: number },
   ): Promise<void> {
     const id = `${kind}${String(this.ids.length).padStart(15, "0")}`;
-    const [box] = this.fleet.nodes.keys();
+    const [box] = this.fleet.boxes.keys();
     await this.fleet.submit(box, id, options);
     this.ids.push(id);
   }
 }
 
 /** Simulates the default cuts, with some options changed, for each of the seeds. */
-export async function playCuts(
-  changes: Partial<CutPlay>,
+export async function simulateCuts(
+  changes: Partial<CutScenario>,
   seeds: readonly number[],
 ): Promise<CutOutcome> {
-  const options = { ...USUAL_CUTS, ...changes };
+  const options = { ...DEFAULT_CUTS, ...changes };
   const outcomes: CutOutcome[] = [];
   for (const seed of seeds) outcomes.push(await simulateSeed(options, seed));
   return {
     failed: outcomes.flatMap(({ failed }) => failed),
-    undone: outcomes.flatMap(({ undone }) => undone),
-    broken: outcomes.flatMap(({ broken }) => broken),
+    unfinished: outcomes.flatMap(({ unfinished }) => unfinished),
+    violations: outcomes.flatMap(({ violations }) => violations),
   };
 }
 
 async function simulateSeed(
-  options: CutPlay,
+  options: CutScenario,
   seed: number,
 ): Promise<CutOutcome> {
   const simulation = new CutSimulation(options, seed);
@@ -185,8 +190,8 @@
   const label = (id: string) => `seed ${seed}: ${id}`;
   const outcome = {
     failed: ids.filter(isFailed).map(label),
-    undone: ids.filter((id) => !isOver(id)).map(label),
-    broken: checks.findBrokenRuns(fleet).map(label),
+    unfinished: ids.filter((id) => !isOver(id)).map(label),
+    violations: checks.findRunViolations(fleet).map(label),
   };
   await fleet.stop();
   return outcome;
--- a/packages/test-utils/src/endpoint_cuts.ts
+++ b/packages/test-utils/src/endpoint_cuts.ts
@@ -5,18 +5,18 @@
 import type * as fleets from "./test_fleet.ts";
 
 /** Course of one cut; its times are in ms from the start of the cut. */
-export interface CutShape {
+export interface CutSchedule {
   /** Outcome of orders to the endpoint during the cut. */
-  readonly fate: StandIns.OrderFate;
+  readonly outcome: StandIns.OrderOutcome;
   /** When orders arrive again. */
-  readonly healsMs: number;
-  readonly entryGoesMs: number;
+  readonly endsMs: number;
+  readonly entryRemovedMs: number;
   /** When the same incarnation is listed again. */
-  readonly entryBackMs: number;
+  readonly entryRelistedMs: number;
 }
 
 interface Cut {
-  fate: StandIns.OrderFate | null;
+  outcome: StandIns.OrderOutcome | null;
   /** The removed list entry. */
   entry: Ports.EndpointListing | null;
   isRelisted: boolean;
@@ -32,13 +32,17 @@
   }
 
   /** Cuts off an endpoint; does nothing if it is cut off already. */
-  begin(id: string, shape: CutShape): void {
+  begin(id: string, schedule: CutSchedule): void {
     if (this.has(id)) return;
-    const cut: Cut = { fate: shape.fate, entry: null, isRelisted: false };
+    const cut: Cut = {
+      outcome: schedule.outcome,
+      entry: null,
+      isRelisted: false,
+    };
     this.#cuts.set(id, cut);
-    this.#schedule(shape.entryGoesMs, () => this.#unlist(id, cut));
-    this.#schedule(shape.entryBackMs, () => this.#listAgain(id, cut));
-    this.#schedule(shape.healsMs, () => this.#heal(id, cut));
+    this.#schedule(schedule.entryRemovedMs, () => this.#unlist(id, cut));
+    this.#schedule(schedule.entryRelistedMs, () => this.#listAgain(id, cut));
+    this.#schedule(schedule.endsMs, () => this.#heal(id, cut));
   }
 
   /** Whether an endpoint is cut off or not yet listed again. */
@@ -47,8 +51,8 @@
   }
 
   /** Outcome of orders to an endpoint; null while orders reach it. */
-  fateOf(id: string): StandIns.OrderFate | null {
-    return this.#cuts.get(id)?.fate ?? null;
+  outcomeOf(id: string): StandIns.OrderOutcome | null {
+    return this.#cuts.get(id)?.outcome ?? null;
   }
 
   /** Ends all cuts and lists the endpoints again. */
@@ -67,19 +71,19 @@
 
   #listAgain(id: string, cut: Cut): void {
     if (this.#cuts.get(id) !== cut) return;
-    const isAlive = this.#fleet.workers.listLives().includes(id);
+    const isAlive = this.#fleet.workers.listRunning().includes(id);
     if (isAlive && cut.entry !== null) this.#fleet.writeEntry(cut.entry);
     cut.isRelisted = true;
     this.#removeIfOver(id, cut);
   }
 
   #heal(id: string, cut: Cut): void {
-    cut.fate = null;
+    cut.outcome = null;
     this.#removeIfOver(id, cut);
   }
 
   #removeIfOver(id: string, cut: Cut): void {
-    const isOver = cut.isRelisted && cut.fate === null;
+    const isOver = cut.isRelisted && cut.outcome === null;
     if (isOver && this.#cuts.get(id) === cut) this.#cuts.delete(id);
   }
 
--- a/packages/test-utils/src/rebirths.ts
+++ b/packages/test-utils/src/endpoint_restarts.ts
@@ -44,9 +44,9 @@
   constructor(fleet: fleets.TestFleet, seed: number) {
     this.#fleet = fleet;
     this.#random = new randoms.SeededRandom(seed);
-    fleet.workers.birthOf = () => this.#drawBirthMs();
+    fleet.workers.createBirthMs = () => this.#drawBirthMs();
     fleet.workers.onCrash = (spec) => this.#scheduleReturn(spec);
-    const beat = Effect.sync(() => fleet.beat());
+    const beat = Effect.sync(() => fleet.sendHeartbeats());
     const wait = fleet.clock.sleep(HEARTBEAT_MS);
     this.#heartbeats = Effect.runFork(
       Effect.forever(Effect.andThen(wait, beat)),
@@ -56,7 +56,7 @@
   /** Crashes a group of endpoints at once, or none. */
   change(): void {
     if (this.#random.next() >= GROUP_CRASH_SHARE) return;
-    const ids = this.#fleet.workers.listLives();
+    const ids = this.#fleet.workers.listRunning();
     for (let left = Math.ceil(ids.length / 3); left > 0; left--) {
       const [id] = ids.splice(this.#random.between(0, ids.length - 1), 1);
       this.#fleet.workers.crash(id);
@@ -74,7 +74,7 @@
     return this.#fleet.clock.wallMs() - byMs;
   }
 
-  #scheduleReturn(spec: StandIns.TaskWorkerSpec): void {
+  #scheduleReturn(spec: StandIns.TaskEndpointSpec): void {
     const backMs = this.#random.choose(RETURN_DELAYS_MS);
     const keepsId = this.#random.next() < KEEPS_ID_SHARE;
     const entry = this.#random.next();
@@ -85,7 +85,7 @@
     }
     if (!keepsId) return this.#returnUnderNewId(spec, backMs);
     this.#schedule(backMs, () => {
-      this.#fleet.beginAgain(spec);
+      this.#fleet.restartUnderSameId(spec);
       const isLate = entry >= ENTRY_REMOVED_SHARE &&
         entry < ENTRY_REMOVED_SHARE + ENTRY_REWRITTEN_SHARE;
       if (isLate) this.#schedule(lateMs, () => this.#rewrite(earlier));
@@ -93,16 +93,16 @@
   }
 
   /** Restarts under another id at the address; the earlier entry expires on time. */
-  #returnUnderNewId(spec: StandIns.TaskWorkerSpec, returnMs: number): void {
+  #returnUnderNewId(spec: StandIns.TaskEndpointSpec, returnMs: number): void {
     const backMs = Math.max(returnMs, MIN_NEW_ID_RETURN_MS);
     this.#schedule(backMs, () => {
-      this.#fleet.entryOutlastsMs = Math.max(0, ENTRY_EXPIRY_MS - backMs);
-      this.#fleet.bringBack(spec);
+      this.#fleet.entryOverlapMs = Math.max(0, ENTRY_EXPIRY_MS - backMs);
+      this.#fleet.restartUnderNewId(spec);
     });
   }
 
   #expire(id: string): void {
-    if (!this.#fleet.workers.listLives().includes(id)) this.#fleet.unlist(id);
+    if (!this.#fleet.workers.listRunning().includes(id)) this.#fleet.unlist(id);
   }
 
   /** Applies a delayed write of the earlier incarnation. */
--- a/packages/test-utils/src/evacuations.ts
+++ b/packages/test-utils/src/evacuations.ts
@@ -67,7 +67,7 @@
 
   /** Removes the evacuation row of a data centre. */
   end(dataCentre: string): void {
-    this.#fleet.takeBack(dataCentre);
+    this.#fleet.endEvacuation(dataCentre);
     const span = this.#findOpenSpan(dataCentre);
     if (span !== undefined) span.untilMs = this.#fleet.clock.monotonicMs();
   }
@@ -83,23 +83,23 @@
    * time.
    */
   findViolations(): string[] {
-    const runs = this.#fleet.workers.runs.filter((note) => !note.wasLate);
-    return runs.filter((note) => this.#isForbidden(note)).map((note) =>
-      `${note.task} run ${note.run} started on ${note.worker} at ` +
-      `${note.startedAtMs} ms in an evacuated data centre`
+    const runs = this.#fleet.workers.runs.filter((record) => !record.wasLate);
+    return runs.filter((record) => this.#isForbidden(record)).map((record) =>
+      `${record.task} run ${record.run} started on ${record.worker} at ` +
+      `${record.startedAtMs} ms in an evacuated data centre`
     );
   }
 
   #losePower(dataCentre: string): void {
     const fleet = this.#fleet;
-    const endpoints = fleet.workers.listLives().filter((id) =>
-      fleet.dataCentreOf(fleet.placeOf(id)) === dataCentre
+    const endpoints = fleet.workers.listRunning().filter((id) =>
+      fleet.dataCentreOf(fleet.indexOf(id)) === dataCentre
     );
     for (const id of endpoints) fleet.workers.crash(id);
   }
 
-  #isForbidden({ worker, startedAtMs }: StandIns.TaskRunNote): boolean {
-    const place = this.#fleet.placeOf(worker);
+  #isForbidden({ worker, startedAtMs }: StandIns.TaskRunRecord): boolean {
+    const place = this.#fleet.indexOf(worker);
     const dataCentre = this.#fleet.dataCentreOf(place);
     const graceMs = fleets.EVACUATION_IN_FORCE_MS;
     return this.#spans.some((span) =>
--- a/packages/test-utils/src/fake_store_peers.ts
+++ b/packages/test-utils/src/fake_store_peers.ts
@@ -16,7 +16,7 @@
   /** Links by their two addresses. */
   readonly #links = new Map<string, StandIns.OpenConnections>();
   /** Whether one address can send to another; tests replace it. */
-  passes: (from: string, to: string) => boolean = () => true;
+  isReachable: (from: string, to: string) => boolean = () => true;
   /** Time that a call takes to arrive, in ms; its reply takes none. */
   delayMs = 1;
 
@@ -36,7 +36,7 @@
   }
 
   /** Makes all open links silent; new ones work. */
-  silenceOpen(): void {
+  silenceConnections(): void {
     for (const link of this.#links.values()) link.silence();
   }
 
@@ -62,11 +62,11 @@
       const connection = this.#linkOf(from, to).begin();
       if (connection.isSilent) return yield* Effect.never;
       yield* this.#clock.sleep(this.delayMs);
-      if (!this.passes(from, to)) return yield* Effect.never;
+      if (!this.isReachable(from, to)) return yield* Effect.never;
       const handler = this.#handlers.get(to);
       if (handler === undefined) return yield* fail("connection refused");
       const answer = yield* handler(structuredClone(call));
-      const isLost = !this.passes(to, from) || !connection.canBeAnswered();
+      const isLost = !this.isReachable(to, from) || !connection.canBeAnswered();
       if (isLost) return yield* Effect.never;
       return structuredClone(answer);
     });
--- a/packages/test-utils/src/faulty_workers.ts
+++ b/packages/test-utils/src/faulty_workers.ts
@@ -20,7 +20,7 @@
 export type AnswerRule = (answer: Types.TaskAnswer) => Types.TaskAnswer;
 
 /** Wraps an endpoint adapter. */
-export class FaultyWorkers extends Ports.Workers {
+export class FaultyEndpoints extends Ports.Workers {
   readonly #inner: Ports.Workers;
   rule: LossRule = () => Loss.None;
   answerRule: AnswerRule = (answer) => answer;
--- a/packages/test-utils/src/fleet_callers.ts
+++ b/packages/test-utils/src/fleet_callers.ts
@@ -19,7 +19,7 @@
   fleet: fleets.TestFleet,
   { at, id, priority = 1 }: CancelCall,
 ): Promise<number | string> {
-  const { access, submissions } = fleet.node(at);
+  const { access, submissions } = fleet.box(at);
   const path = `/p${priority}/${id}`;
   const request = { host: "jobs.example", path, key: "key-of-hana" };
   const call = Effect.gen(function* () {
--- a/packages/test-utils/src/foreign_entries.ts
+++ b/packages/test-utils/src/foreign_entries.ts
@@ -58,7 +58,7 @@
   }
 
   #add(): void {
-    const ids = this.#fleet.workers.listLives();
+    const ids = this.#fleet.workers.listRunning();
     if (ids.length === 0 || this.#listed.length >= MAX_ENTRIES) return;
     const entry = this.#fleet.entryOf(this.#random.choose(ids));
     const vary = this.#random.choose(ENTRY_VARIANTS);
--- a/packages/test-utils/src/group_crashes.ts
+++ b/packages/test-utils/src/group_crashes.ts
@@ -26,8 +26,8 @@
   constructor(fleet: fleets.TestFleet, seed: number) {
     this.#fleet = fleet;
     this.#random = new randoms.SeededRandom(seed);
-    fleet.crashBackMs = RETURN_MS;
-    const beat = Effect.sync(() => fleet.beat());
+    fleet.restartDelayMs = RETURN_MS;
+    const beat = Effect.sync(() => fleet.sendHeartbeats());
     const wait = fleet.clock.sleep(HEARTBEAT_MS);
     this.#heartbeats = Effect.runFork(
       Effect.forever(Effect.andThen(wait, beat)),
@@ -36,9 +36,9 @@
 
   /** Crashes a group of endpoints at once, or none. */
   change(): void {
-    this.#fleet.entryOutlastsMs = this.#random.between(0, MAX_ENTRY_OVERLAP_MS);
+    this.#fleet.entryOverlapMs = this.#random.between(0, MAX_ENTRY_OVERLAP_MS);
     if (this.#random.next() >= CRASH_SHARE) return;
-    const ids = this.#fleet.workers.listLives();
+    const ids = this.#fleet.workers.listRunning();
     const size = Math.ceil(ids.length * GROUP_SHARE);
     for (let i = 0; i < size; i++) {
       const at = this.#random.between(0, ids.length - 1);
--- a/packages/test-utils/src/hard_load_work.ts
+++ b/packages/test-utils/src/hard_load_work.ts
@@ -49,7 +49,7 @@
   /** Factor on the run time of an endpoint. */
   runTimeFactorOf(endpoint: string): number {
     return RUN_TIME_FACTORS[
-      this.#fleet.placeOf(endpoint) % RUN_TIME_FACTORS.length
+      this.#fleet.indexOf(endpoint) % RUN_TIME_FACTORS.length
     ];
   }
 
@@ -91,7 +91,7 @@
     };
     let isAccepted = false;
     let isUncertain = false;
-    for (const name of this.#fleet.nodes.keys()) {
+    for (const name of this.#fleet.boxes.keys()) {
       if (this.#fleet.clocks.get(name)?.isSuspended === true) continue;
       const error = await this.#fleet.submit(name, id, options)
         .then(() => null, (err: unknown) => err);
--- a/packages/test-utils/src/import_circles_test.ts
+++ b/packages/test-utils/src/import_cycles_test.ts
@@ -2,7 +2,7 @@
 import * as os from "node:os";
 import * as path from "node:path";
 import * as vitest from "vitest";
-import * as cycles from "./import_circles.ts";
+import * as cycles from "./import_cycles.ts";
 
 const ROOT = path.resolve(import.meta.dirname, "../../..");
 
--- a/packages/test-utils/src/random_lapses.ts
+++ b/packages/test-utils/src/listing_faults.ts
@@ -38,7 +38,7 @@
   ) {
     const { cutsEndpoints, foreignEntries, crashesInGroups } = options;
     const hasAny = cutsEndpoints || foreignEntries || crashesInGroups;
-    if (hasAny) fleet.workers.wayMs = ORDER_DELAY_MS;
+    if (hasAny) fleet.workers.transitMs = ORDER_DELAY_MS;
     this.#cuts = cutsEndpoints
       ? new randomCuts.RandomCuts(fleet, seed + SEED_OFFSETS.cuts)
       : null;
@@ -58,7 +58,7 @@
   }
 
   /** Outcome of orders to an endpoint; null while these faults do not affect them. */
-  outcomeOf(id: string): StandIns.OrderFate | null {
+  outcomeOf(id: string): StandIns.OrderOutcome | null {
     return this.#cuts?.outcomeOf(id) ?? null;
   }
 
--- a/packages/test-utils/src/random_cuts.ts
+++ b/packages/test-utils/src/random_cuts.ts
@@ -29,15 +29,15 @@
   change(): void {
     if (this.#random.next() >= CUT_SHARE) return;
     const count = this.#random.next() < PAIR_SHARE ? 2 : 1;
-    const ids = this.#fleet.workers.listLives();
+    const ids = this.#fleet.workers.listRunning();
     for (let i = 0; i < count && ids.length > 0; i++) {
-      this.#cuts.begin(this.#random.choose(ids), this.#drawShape());
+      this.#cuts.begin(this.#random.choose(ids), this.#drawSchedule());
     }
   }
 
   /** Outcome of orders to an endpoint; null while orders reach it. */
-  outcomeOf(id: string): StandIns.OrderFate | null {
-    return this.#cuts.fateOf(id);
+  outcomeOf(id: string): StandIns.OrderOutcome | null {
+    return this.#cuts.outcomeOf(id);
   }
 
   /** Ends all cuts and lists the endpoints again. */
@@ -45,16 +45,21 @@
     this.#cuts.endAll();
   }
 
-  #drawShape(): endpointCuts.CutShape {
-    const { Lost, Silent } = StandIns.OrderFate;
-    const healsMs = this.#random.between(CUT_MS.min, CUT_MS.max);
-    const entryGoesMs = this.#random.between(0, healsMs);
+  #drawSchedule(): endpointCuts.CutSchedule {
+    const { Lost, Silent } = StandIns.OrderOutcome;
+    const endsMs = this.#random.between(CUT_MS.min, CUT_MS.max);
+    const entryRemovedMs = this.#random.between(0, endsMs);
     const offsetMs = this.#random.between(
       -MAX_ENTRY_OFFSET_MS,
       MAX_ENTRY_OFFSET_MS,
     );
-    const entryBackMs = Math.max(entryGoesMs, healsMs + offsetMs);
-    const fate = this.#random.choose([Lost, Silent] as const);
-    return { fate, healsMs, entryGoesMs, entryBackMs };
+    const entryRelistedMs = Math.max(entryRemovedMs, endsMs + offsetMs);
+    const outcome = this.#random.choose([Lost, Silent] as const);
+    return {
+      outcome,
+      endsMs,
+      entryRemovedMs,
+      entryRelistedMs,
+    };
   }
 }
--- a/packages/test-utils/src/drawn_ways.ts
+++ b/packages/test-utils/src/random_delays.ts
@@ -17,16 +17,16 @@
 const MAX_LATE_ARRIVAL_MS = 300;
 
 /** Creates the random transit times of one simulation. */
-export function drawDelays(seed: number): StandIns.WayTimes {
+export function drawDelays(seed: number): StandIns.TransitTimes {
   const random = new randoms.SeededRandom(seed);
   const drawMs = () => {
     const { min, max } = random.next() < SLOW_SHARE ? SLOW_MS : FAST_MS;
     return random.between(min, max);
   };
   return {
-    thereMs: drawMs,
-    backMs: drawMs,
-    afterResetMs: () =>
+    drawOutboundMs: drawMs,
+    drawReturnMs: drawMs,
+    drawAfterResetMs: () =>
       random.next() < LATE_ARRIVAL_SHARE
         ? random.between(0, MAX_LATE_ARRIVAL_MS)
         : null,
--- a/packages/test-utils/src/random_play.ts
+++ b/packages/test-utils/src/random_fault_simulation.ts
@@ -10,12 +10,12 @@
 import * as StandIns from "@cairngate/stand-ins";
 import * as TableClient from "@cairngate/table-client";
 import * as Workflow from "@cairngate/workflow";
-import * as capacityChanges from "./changing_rooms.ts";
+import * as capacityChanges from "./capacity_changes.ts";
 import * as evacuated from "./evacuations.ts";
 import * as greyEndpoints from "./grey_endpoints.ts";
 import * as hardLoads from "./hard_load_work.ts";
-import * as listings from "./random_lapses.ts";
-import * as endpointRestarts from "./rebirths.ts";
+import * as listings from "./listing_faults.ts";
+import * as endpointRestarts from "./endpoint_restarts.ts";
 import * as checks from "./run_checks.ts";
 import * as randoms from "./seeded_random.ts";
 import * as standstill from "./standstill_check.ts";
@@ -40,14 +40,14 @@
   random: randoms.SeededRandom,
   grey: greyEndpoints.GreyEndpoints,
 ): Promise<void> {
-  const names = [...fleet.nodes.keys()];
+  const names = [...fleet.boxes.keys()];
   const name = random.choose(names);
   switch (random.between(0, 11)) {
     case 0: {
       const target = fleet.coordinator() ?? name;
-      if (!fleet.nodes.has(target)) return;
+      if (!fleet.boxes.has(target)) return;
       await fleet.kill(target);
-      fleet.startNode(`${target}+`);
+      fleet.startBox(`${target}+`);
       return;
     }
     case 1:
@@ -59,18 +59,18 @@
       return fleet.faultsOf(name).set({ silent: true });
     case 7: {
       const cut = name;
-      fleet.links.passes = (from, to) => from !== cut && to !== cut;
+      fleet.links.isReachable = (from, to) => from !== cut && to !== cut;
       return;
     }
     case 8:
-      return fleet.silenceOpen();
+      return fleet.silenceConnections();
     case 9:
-      return fleet.workers.crash(random.choose(fleet.workers.listLives()));
+      return fleet.workers.crash(random.choose(fleet.workers.listRunning()));
     case 10:
-      for (const id of fleet.workers.listLives()) fleet.workers.crash(id);
+      for (const id of fleet.workers.listRunning()) fleet.workers.crash(id);
       return;
     case 11:
-      return grey.add(random.choose(fleet.workers.listLives()));
+      return grey.add(random.choose(fleet.workers.listRunning()));
     case 3:
       return fleet.faultsOf(name).set({ loseAnswers: 0.4 });
     case 4: {
@@ -85,8 +85,8 @@
 }
 
 function repairBoxes(fleet: fleets.TestFleet): void {
-  fleet.links.passes = () => true;
-  for (const name of fleet.nodes.keys()) {
+  fleet.links.isReachable = () => true;
+  for (const name of fleet.boxes.keys()) {
     fleet.faultsOf(name).set({
       down: false,
       silent: false,
@@ -102,19 +102,19 @@
   fleet: fleets.TestFleet,
   random: randoms.SeededRandom,
   share: number,
-  outcomeOf: (endpoint: string) => StandIns.OrderFate | null,
+  outcomeOf: (endpoint: string) => StandIns.OrderOutcome | null,
 ): void {
   const outcomes = [
-    StandIns.OrderFate.Lost,
-    StandIns.OrderFate.AnswerLost,
-    StandIns.OrderFate.Late,
+    StandIns.OrderOutcome.Lost,
+    StandIns.OrderOutcome.AnswerLost,
+    StandIns.OrderOutcome.Late,
   ];
-  fleet.workers.carry = (endpoint) => {
+  fleet.workers.decideOutcome = (endpoint) => {
     const outcome = outcomeOf(endpoint);
     if (outcome !== null) return outcome;
     return random.next() < share
       ? random.choose(outcomes)
-      : StandIns.OrderFate.Carried;
+      : StandIns.OrderOutcome.Delivered;
   };
 }
 
@@ -129,7 +129,7 @@
     fleets.buildStep({ count: random.between(1, 3) }),
     fleets.buildStep({ count: gang, gang: true, after: [0] }),
   ];
-  for (const name of fleet.nodes.keys()) {
+  for (const name of fleet.boxes.keys()) {
     // A call to a suspended box would block until it resumes.
     if (fleet.clocks.get(name)?.isSuspended === true) continue;
     const priority = random.between(0, 2);
@@ -147,7 +147,7 @@
 export interface FaultOptions extends listings.ListingFaultOptions {
   readonly changesCapacity?: boolean;
   /** Logger of each box, to trace a seed. */
-  readonly logOf?: (node: string, clock: Ports.Clock) => Logger.Logger;
+  readonly logOf?: (box: string, clock: Ports.Clock) => Logger.Logger;
   readonly suspends?: boolean;
   readonly evacuates?: boolean;
   /** Data centres lose power at random and return cold; needs `evacuates`. */
@@ -166,15 +166,15 @@
 /** Delays the ends of stopped runs and of the other members of a gang. */
 function delayEnds({ workers }: fleets.TestFleet, seed: number): void {
   const random = new randoms.SeededRandom(seed);
-  workers.stopTakesMs = () => random.between(0, fleets.FLEET_BOUNDS.stopMs);
-  workers.gangFollowsMs = () => random.between(0, MAX_GANG_END_DELAY_MS);
+  workers.stopDelayMs = () => random.between(0, fleets.FLEET_BOUNDS.stopMs);
+  workers.gangEndDelayMs = () => random.between(0, MAX_GANG_END_DELAY_MS);
 }
 
 /** Places endpoints of each size in both data centres. */
 const dataCentreOf = (place: number) => place % 2 === 0 ? "dc-1" : "dc-2";
 
 /** Simulates one seed; returns a message for each violated guarantee. */
-export async function playRandomFaults(
+export async function simulateRandomFaults(
   seed: number,
   options: FaultOptions = {},
 ): Promise<string[]> {
@@ -209,14 +209,14 @@
   const listingFaults = new listings.ListingFaults(fleet, seed, options);
   const outcomeOf = (endpoint: string) =>
     grey.isSilent(endpoint)
-      ? StandIns.OrderFate.Lost
+      ? StandIns.OrderOutcome.Lost
       : listingFaults.outcomeOf(endpoint);
   fleet.workers.behave = (task, endpoint) => ({
     runMs: grey.has(endpoint)
       ? greyEndpoints.GREY_FAILS_MS
       : random.between(300, 2500) * (hardLoad?.runTimeFactorOf(endpoint) ?? 1),
     fails: grey.has(endpoint) || random.next() < 0.02,
-    ...(task.startsWith(checks.CRASHER)
+    ...(task.startsWith(checks.CRASHING_ID_PREFIX)
       ? {
         runMs: END_TIMEOUT_MS,
         crashesAfterMs: random.choose(CRASH_DELAYS_MS),
@@ -229,7 +229,9 @@
   await fleet.start();
   const accepted: string[] = [];
   for (let round = 0; round < ROUNDS; round++) {
-    const kind = random.next() < CRASHER_SHARE ? checks.CRASHER : "a";
+    const kind = random.next() < CRASHER_SHARE
+      ? checks.CRASHING_ID_PREFIX
+      : "a";
     const id = `${kind}${String(round).padStart(15, "0")}`;
     if (await submitToAnyBox(fleet, random, id, gang)) accepted.push(id);
     await hardLoad?.submitBatch();
@@ -248,7 +250,7 @@
     grey.clear();
     await fleet.clock.advance(PHASE_MS);
   }
-  fleet.workers.carry = () => StandIns.OrderFate.Carried;
+  fleet.workers.decideOutcome = () => StandIns.OrderOutcome.Delivered;
   capacities?.restore();
   suspensions?.end();
   evacuations?.endAll();
@@ -263,12 +265,12 @@
     standstills.check(accepted);
     return accepted.every(isOver);
   }, END_TIMEOUT_MS);
-  const violations = checks.findBrokenRuns(fleet);
+  const violations = checks.findRunViolations(fleet);
   violations.push(...capacities?.findViolations() ?? []);
   violations.push(...evacuations?.findViolations() ?? []);
   violations.push(...hardLoad?.findViolations() ?? []);
   violations.push(
-    ...accepted.flatMap((id) => checks.checkFailed(fleet, id)),
+    ...accepted.flatMap((id) => checks.checkFailedWorkflow(fleet, id)),
   );
   violations.push(...standstills.violations);
   if (!ended) {
--- a/packages/test-utils/src/run_checks.ts
+++ b/packages/test-utils/src/run_checks.ts
@@ -4,11 +4,11 @@
 import type * as fleets from "./test_fleet.ts";
 
 /** Describes the runs that violate a guarantee. */
-export function findBrokenRuns(fleet: fleets.TestFleet): string[] {
-  fleet.workers.settle();
-  const byTask = new Map<string, StandIns.TaskRunNote[]>();
-  for (const note of fleet.workers.runs) {
-    byTask.set(note.task, [...byTask.get(note.task) ?? [], note]);
+export function findRunViolations(fleet: fleets.TestFleet): string[] {
+  fleet.workers.update();
+  const byTask = new Map<string, StandIns.TaskRunRecord[]>();
+  for (const record of fleet.workers.runs) {
+    byTask.set(record.task, [...byTask.get(record.task) ?? [], record]);
   }
   return [...byTask.values()].flatMap(checkRuns);
 }
@@ -20,9 +20,9 @@
 /** Starts that users allow after that crash. */
 const MAX_STARTS_AFTER_CRASHES = 2;
 /** Id prefix of the workflows whose tasks crash their endpoints. */
-export const CRASHER = "c";
+export const CRASHING_ID_PREFIX = "c";
 
-function checkRuns(runs: readonly StandIns.TaskRunNote[]): string[] {
+function checkRuns(runs: readonly StandIns.TaskRunRecord[]): string[] {
   const found = [...checkAttempts(runs), ...checkCrashes(runs)];
   for (const first of runs) {
     for (const second of runs) {
@@ -37,21 +37,23 @@
 }
 
 /** Finds starts after the last allowed failure was acknowledged. */
-function checkAttempts(runs: readonly StandIns.TaskRunNote[]): string[] {
-  const failed = runs.filter((note) =>
-    note.how === "failed" && isAcknowledged(note)
+function checkAttempts(runs: readonly StandIns.TaskRunRecord[]): string[] {
+  const failed = runs.filter((record) =>
+    record.how === "failed" && isAcknowledged(record)
   )
     .sort((a, b) => (a.endedAtMs ?? 0) - (b.endedAtMs ?? 0));
   const last = failed[MAX_ATTEMPTS - 1];
   if (last === undefined) return [];
-  const late = runs.filter((note) => note.startedAtMs > (last.endedAtMs ?? 0));
+  const late = runs.filter((record) =>
+    record.startedAtMs > (last.endedAtMs ?? 0)
+  );
   return late.map(({ task, run }) => `${task} run ${run} exceeds its attempts`);
 }
 
 /** Finds a task that keeps starting although it crashes its endpoints. */
-function checkCrashes(runs: readonly StandIns.TaskRunNote[]): string[] {
+function checkCrashes(runs: readonly StandIns.TaskRunRecord[]): string[] {
   const [{ task }] = runs;
-  if (!task.startsWith(CRASHER)) return [];
+  if (!task.startsWith(CRASHING_ID_PREFIX)) return [];
   const crashes = runs.filter(({ how }) => how === "crashed")
     .map(({ endedAtMs }) => endedAtMs ?? 0).sort((a, b) => a - b);
   if (crashes.length < MAX_CRASHES) return [];
@@ -67,13 +69,17 @@
 const MIN_CRASHES_TO_GIVE_UP = 2;
 
 /** Checks that a failed workflow has a task that failed or crashed too often. */
-export function checkFailed(fleet: fleets.TestFleet, id: string): string[] {
+export function checkFailedWorkflow(
+  fleet: fleets.TestFleet,
+  id: string,
+): string[] {
   if (fleet.state(id) !== Workflow.WorkflowState.Failed) return [];
   const runs = fleet.workers.runs.filter(({ task }) =>
     task.startsWith(`${id}.`)
   );
   const countCrashes = (task: string) =>
-    runs.filter((note) => note.task === task && note.how === "crashed").length;
+    runs.filter((record) => record.task === task && record.how === "crashed")
+      .length;
   const hasCause = runs.some(({ task }) =>
     countFailedRuns(fleet, task) >= MAX_ATTEMPTS ||
     countCrashes(task) >= MIN_CRASHES_TO_GIVE_UP
@@ -87,8 +93,8 @@
  */
 function countFailedRuns({ workers }: fleets.TestFleet, task: string): number {
   const members = workers.gangOf(task);
-  const failed = workers.runs.filter((note) =>
-    members.includes(note.task) && note.how === "failed"
+  const failed = workers.runs.filter((record) =>
+    members.includes(record.task) && record.how === "failed"
   );
   return new Set(failed.map(({ run }) => run)).size;
 }
@@ -102,16 +108,16 @@
     task.startsWith(`${id}.`) && how === "failed"
   );
   const failedRuns = new Set(failed.map(({ run }) => run));
-  return failedRuns.size >= MAX_ATTEMPTS ? [] : checkFailed(fleet, id);
+  return failedRuns.size >= MAX_ATTEMPTS ? [] : checkFailedWorkflow(fleet, id);
 }
 
-function isAcknowledged(note: StandIns.TaskRunNote): boolean {
-  return note.acknowledgedAtMs !== null && !note.hasLapsedMeanwhile;
+function isAcknowledged(record: StandIns.TaskRunRecord): boolean {
+  return record.acknowledgedAtMs !== null && !record.wasLeaseExpired;
 }
 
 /**
  * An acknowledged end is final, unless the lease expired before it was acknowledged.
  */
-function isRecordedDone(note: StandIns.TaskRunNote): boolean {
-  return note.how === "done" && isAcknowledged(note);
+function isRecordedDone(record: StandIns.TaskRunRecord): boolean {
+  return record.how === "done" && isAcknowledged(record);
 }
--- a/packages/test-utils/src/play_kinds.ts
+++ b/packages/test-utils/src/simulation_kinds.ts
@@ -1,8 +1,8 @@
 /** Kinds of random fault simulations, and the seeds that are known to fail. */
-import type * as simulations from "./random_play.ts";
+import type * as simulations from "./random_fault_simulation.ts";
 
 /** Fault options by kind of simulation; each kind has its own tests. */
-export const PLAY_KINDS = {
+export const SIMULATION_KINDS = {
   usual: {},
   rooms: { changesCapacity: true },
   lapses: { cutsEndpoints: true, foreignEntries: true, crashesInGroups: true },
@@ -31,7 +31,7 @@
 
 /** A simulation that is known to fail. */
 export interface UnresolvedFailure {
-  readonly name: keyof typeof PLAY_KINDS;
+  readonly name: keyof typeof SIMULATION_KINDS;
   readonly seed: number;
   readonly kinds: simulations.FaultOptions;
 }
@@ -41,12 +41,23 @@
  * cause, listed in KNOWN-RED.txt, has to cover each of them.
  */
 export const UNRESOLVED_FAILURES: readonly UnresolvedFailure[] = [
-  { name: "rebirthsAndCuts", seed: 6042, kinds: PLAY_KINDS.rebirthsAndCuts },
-  { name: "rebirthsAndCuts", seed: 6099, kinds: PLAY_KINDS.rebirthsAndCuts },
+  {
+    name: "rebirthsAndCuts",
+    seed: 6042,
+    kinds: SIMULATION_KINDS.rebirthsAndCuts,
+  },
+  {
+    name: "rebirthsAndCuts",
+    seed: 6099,
+    kinds: SIMULATION_KINDS.rebirthsAndCuts,
+  },
 ];
 
 /** Whether a simulation is known to fail. */
-export function isRed(name: keyof typeof PLAY_KINDS, seed: number): boolean {
+export function isUnresolvedFailure(
+  name: keyof typeof SIMULATION_KINDS,
+  seed: number,
+): boolean {
   return UNRESOLVED_FAILURES.some((one) =>
     one.name === name && one.seed === seed
   );
--- a/packages/test-utils/src/slow_play.ts
+++ b/packages/test-utils/src/slow_end_simulation.ts
@@ -7,10 +7,10 @@
 import type * as Ports from "@cairngate/ports";
 import * as Workflow from "@cairngate/workflow";
 import * as cuts from "./brief_cuts.ts";
-import * as delays from "./drawn_ways.ts";
+import * as delays from "./random_delays.ts";
 import * as evacuated from "./evacuations.ts";
-import * as endpointRestarts from "./rebirths.ts";
-import * as rooms from "./room_check.ts";
+import * as endpointRestarts from "./endpoint_restarts.ts";
+import * as capacityChecks from "./capacity_check.ts";
 import * as checks from "./run_checks.ts";
 import * as randoms from "./seeded_random.ts";
 import * as slowEnds from "./slow_ends.ts";
@@ -70,9 +70,9 @@
 }
 
 /** Options of a simulation of slow ends. */
-export interface SlowPlayOptions {
+export interface SlowEndOptions {
   /** Logger of each box, to trace a seed. */
-  readonly logOf?: (node: string, clock: Ports.Clock) => Logger.Logger;
+  readonly logOf?: (box: string, clock: Ports.Clock) => Logger.Logger;
 }
 
 /** One simulation. */
@@ -87,7 +87,7 @@
   readonly #load: Load;
   readonly #accepted: faults.SubmittedWorkflow[] = [];
 
-  constructor(seed: number, { logOf }: SlowPlayOptions) {
+  constructor(seed: number, { logOf }: SlowEndOptions) {
     this.fleet = new fleets.TestFleet({
       seed,
       workers: SIZES,
@@ -135,9 +135,9 @@
     const { workers } = this.fleet;
     const runs = new randoms.SeededRandom(seed + SEED_OFFSETS.runs);
     const runMs = new Map<string, number>();
-    workers.guardsRoom = false;
-    workers.carry = (endpoint) => this.#cuts.outcomeOf(endpoint);
-    workers.ways.times = delays.drawDelays(seed + SEED_OFFSETS.transits);
+    workers.enforcesCapacity = false;
+    workers.decideOutcome = (endpoint) => this.#cuts.outcomeOf(endpoint);
+    workers.transit.times = delays.drawDelays(seed + SEED_OFFSETS.transits);
     workers.behave = (task) => {
       const [id] = task.split(".");
       const ms = runMs.get(id) ?? runs.between(RUN_MS.min, RUN_MS.max);
@@ -176,8 +176,8 @@
     const count = this.#random.between(MEMBERS.min, max);
     const estimateMs = RUN_MS.max;
     const steps = [fleets.buildStep({ count, gang: true, estimateMs })];
-    for (const node of this.fleet.nodes.keys()) {
-      const submission = this.fleet.submit(node, id, { steps, priority });
+    for (const box of this.fleet.boxes.keys()) {
+      const submission = this.fleet.submit(box, id, { steps, priority });
       if (!await submission.then(() => true, () => false)) continue;
       this.#accepted.push({ id, priority });
       return;
@@ -198,8 +198,8 @@
       return ids.every((id) => this.#isOver(id));
     }, END_TIMEOUT_MS);
     return [
-      ...checks.findBrokenRuns(fleet),
-      ...rooms.findOverloaded(fleet, SIZES),
+      ...checks.findRunViolations(fleet),
+      ...capacityChecks.findOverloaded(fleet, SIZES),
       ...this.#evacuations.findViolations(),
       ...ids.flatMap((id) => checks.checkFailedGang(fleet, id)),
       ...standstills.violations,
@@ -213,9 +213,9 @@
 }
 
 /** Simulates one seed; returns a message for each violated guarantee. */
-export async function playSlowEnds(
+export async function simulateSlowEnds(
   seed: number,
-  options: SlowPlayOptions = {},
+  options: SlowEndOptions = {},
 ): Promise<string[]> {
   return await new SlowEndSimulation(seed, options).run();
 }
--- a/packages/test-utils/src/slow_ends.ts
+++ b/packages/test-utils/src/slow_ends.ts
@@ -25,8 +25,8 @@
       return delayMs;
     };
     const { stopMs } = fleets.FLEET_BOUNDS;
-    fleet.workers.stopTakesMs = (task) => draw(task, stopMs);
-    fleet.workers.gangFollowsMs = (task) => draw(task, MAX_GANG_END_DELAY_MS);
+    fleet.workers.stopDelayMs = (task) => draw(task, stopMs);
+    fleet.workers.gangEndDelayMs = (task) => draw(task, MAX_GANG_END_DELAY_MS);
   }
 
   /**
@@ -35,7 +35,7 @@
    */
   get endpoints(): string[] {
     const { clock, workers } = this.#fleet;
-    workers.settle();
+    workers.update();
     for (const [task, atMs] of this.#endsAtMs) {
       if (atMs <= clock.monotonicMs()) this.#endsAtMs.delete(task);
     }
@@ -53,7 +53,7 @@
     for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += STEP_MS) {
       if (isDone()) return;
       await this.#fleet.clock.advance(Math.min(STEP_MS, ms - elapsedMs));
-      this.#fleet.workers.settle();
+      this.#fleet.workers.update();
     }
   }
 
--- a/packages/test-utils/src/slow_faults.ts
+++ b/packages/test-utils/src/slow_faults.ts
@@ -82,7 +82,7 @@
       case Fault.Reset:
         return await this.#reset();
       case Fault.Crash: {
-        const ids = fleet.workers.listLives();
+        const ids = fleet.workers.listRunning();
         if (ids.length > 0) fleet.workers.crash(this.#random.choose(ids));
       }
     }
@@ -91,7 +91,7 @@
   /** Ends a random run without an order, which breaks its gang. */
   breakGang(): void {
     const { workers } = this.#options.fleet;
-    workers.settle();
+    workers.update();
     const running = workers.runs.filter(({ how }) => how === null);
     if (running.length === 0) return;
     const { task } = this.#random.choose(running);
@@ -101,9 +101,9 @@
   async #replaceCoordinator(): Promise<void> {
     const { fleet } = this.#options;
     const coordinator = fleet.coordinator();
-    if (coordinator === null || !fleet.nodes.has(coordinator)) return;
+    if (coordinator === null || !fleet.boxes.has(coordinator)) return;
     await fleet.kill(coordinator);
-    fleet.startNode(`${coordinator}+`);
+    fleet.startBox(`${coordinator}+`);
   }
 
   /** Does not wait for the answer: the simulation advances the time. */
@@ -112,8 +112,8 @@
     const candidates = open();
     if (candidates.length === 0) return;
     const { id, priority } = this.#random.choose(candidates);
-    const at = this.#random.choose([...fleet.nodes.keys()]);
-    const { access, submissions } = fleet.node(at);
+    const at = this.#random.choose([...fleet.boxes.keys()]);
+    const { access, submissions } = fleet.box(at);
     const path = `/p${priority}/${id}`;
     const call = Effect.gen(function* () {
       const allowed = yield* access.check({ host: HOST, path, key: KEY });
@@ -127,12 +127,12 @@
     const share = this.#random.choose(RESET_SHARES);
     const { clock, workers } = this.#options.fleet;
     for (let ms = 0; ms < ORDERS_TIMEOUT_MS; ms += ORDERS_STEP_MS) {
-      if (workers.ways.leftCount >= MIN_ORDERS_IN_FLIGHT) break;
+      if (workers.transit.undeliveredCount >= MIN_ORDERS_IN_FLIGHT) break;
       await clock.advance(ORDERS_STEP_MS);
     }
     const resetIds = new Set(
-      workers.listLives().filter(() => this.#random.next() < share),
+      workers.listRunning().filter(() => this.#random.next() < share),
     );
-    workers.ways.reset((endpoint) => resetIds.has(endpoint));
+    workers.transit.reset((endpoint) => resetIds.has(endpoint));
   }
 }
--- a/packages/test-utils/src/standstill_check.ts
+++ b/packages/test-utils/src/standstill_check.ts
@@ -29,7 +29,7 @@
 
   /** Checks the workflows once; to be called repeatedly while the clock advances. */
   check(accepted: readonly string[]): void {
-    this.#fleet.workers.settle();
+    this.#fleet.workers.update();
     const nowMs = this.#fleet.clock.monotonicMs();
     const hasCapacity = this.#hasCapacity();
     for (const id of accepted) {
@@ -52,11 +52,11 @@
   /** Whether less than half of the accelerators of the running endpoints are in use. */
   #hasCapacity(): boolean {
     const { workers } = this.#fleet;
-    const aliveIds = new Set(workers.listLives());
+    const aliveIds = new Set(workers.listRunning());
     const running = workers.runs.filter((run) =>
       run.endedAtMs === null && aliveIds.has(run.worker)
     );
-    return running.length * 2 < workers.acceleratorsAlive;
+    return running.length * 2 < workers.runningAccelerators;
   }
 
   #isIdle(id: string): boolean {
@@ -72,7 +72,7 @@
 
 /** Highest number of ends of a kind that a task has. */
 function maxPerTask(
-  runs: readonly StandIns.TaskRunNote[],
+  runs: readonly StandIns.TaskRunRecord[],
   kind: string,
 ): number {
   const counts = new Map<string, number>();
--- a/packages/test-utils/src/suspensions.ts
+++ b/packages/test-utils/src/suspensions.ts
@@ -21,7 +21,7 @@
   /** Resumes the boxes that are due and suspends one. */
   next(): void {
     this.#resumeDue();
-    const names = [...this.#fleet.nodes.keys()];
+    const names = [...this.#fleet.boxes.keys()];
     const coordinator = this.#fleet.coordinator();
     const isCoordinatorUp = coordinator !== null && names.includes(coordinator);
     const name = isCoordinatorUp && this.#random.next() < 0.7
--- a/packages/test-utils/src/test_cluster.ts
+++ b/packages/test-utils/src/test_cluster.ts
@@ -36,15 +36,15 @@
   readonly faults: StandIns.FaultSwitch;
   readonly table: StandIns.MemoryTable;
   readonly live: StandIns.MemoryLiveList;
-  readonly ledger = new StandIns.RunLedger();
-  readonly workers = new Map<string, StandIns.StandInWorker>();
-  readonly reach = new StandIns.MemoryWorkers();
+  readonly runLog = new StandIns.RunLog();
+  readonly workers = new Map<string, StandIns.StandInEndpoint>();
+  readonly endpointAdapter = new StandIns.MemoryEndpoints();
   readonly hub: networks.NetworkHub;
   readonly cfg: Types.DeploymentConfig;
   readonly boxes = new Map<string, Box.Box>();
   readonly clocks = new Map<string, pausable.PausableClock>();
   /** Connection of each box to the endpoints, so that each can be cut separately. */
-  readonly links = new Map<string, faulty.FaultyWorkers>();
+  readonly links = new Map<string, faulty.FaultyEndpoints>();
   readonly #objects: StandIns.MemoryObjectStore;
 
   constructor(
@@ -143,7 +143,7 @@
 
   /** Creates a box without starting it. */
   createBox(name: string): Box.Box {
-    const workers = new faulty.FaultyWorkers(this.reach);
+    const workers = new faulty.FaultyEndpoints(this.endpointAdapter);
     const clock = new pausable.PausableClock(this.clock);
     workers.gate = clock.awaitRunning();
     this.hub.setGate(name, clock.awaitRunning());
@@ -184,19 +184,19 @@
   }
 
   /** Summarizes what the endpoints ran. */
-  summary(): StandIns.LedgerSummary {
-    return StandIns.summarizeLedger(this.ledger.entries);
+  summary(): StandIns.ExecutionSummary {
+    return StandIns.summarizeRunLog(this.runLog.entries);
   }
 
   #addWorker(spec: Types.WorkerSpec): void {
-    const worker = new StandIns.StandInWorker({
+    const worker = new StandIns.StandInEndpoint({
       ...spec,
       clock: this.clock,
       random: this.random,
-      ledger: this.ledger,
+      runLog: this.runLog,
     });
     this.workers.set(spec.name, worker);
-    this.reach.add(spec.endpoint, worker);
+    this.endpointAdapter.add(spec.endpoint, worker);
     this.live.set({ ...spec, leaving: false });
   }
 }
--- a/packages/test-utils/src/test_fleet.ts
+++ b/packages/test-utils/src/test_fleet.ts
@@ -30,7 +30,7 @@
 /** Time after which nothing starts in an evacuated data centre any more, in ms. */
 export const EVACUATION_IN_FORCE_MS = 5000;
 /** Time after which a crashed endpoint returns at the same address, in ms. */
-export const CRASH_BACK_MS = 3000;
+export const RESTART_DELAY_MS = 3000;
 
 /** Builds a configuration with one queue for each priority, 0 to 2. */
 export function buildAccess(
@@ -82,37 +82,37 @@
   /** Faults of the store for all boxes. */
   readonly faults: StandIns.FaultSwitch;
   readonly table: StandIns.MemoryTable;
-  readonly workers: StandIns.MemoryTaskWorkers;
+  readonly workers: StandIns.MemoryTaskEndpoints;
   /** Links between the boxes. */
   readonly links = new peers.FakePeerHub(this.clock);
-  readonly nodes = new Map<string, FleetBox>();
+  readonly boxes = new Map<string, FleetBox>();
   /** Clock of each box. */
   readonly clocks = new Map<string, suspendables.SuspendableClock>();
   readonly #config: Ports.AccessConfig;
   /** Time for which an endpoint is cold after a crash, in ms. */
   coldAfterCrashMs = 0;
   /** Time after which a crashed endpoint returns, in ms. */
-  crashBackMs = CRASH_BACK_MS;
+  restartDelayMs = RESTART_DELAY_MS;
   /** Whether a crashed endpoint restarts under the same id. */
   keepsIds = false;
   /** Time from the return of an endpoint to the removal of its earlier entry, in ms. */
-  entryOutlastsMs = 0;
+  entryOverlapMs = 0;
   /** Data centre of the endpoint at an index. */
-  readonly dataCentreOf: (place: number) => string;
+  readonly dataCentreOf: (index: number) => string;
   readonly #coresOf: (name: string) => number;
   readonly #advisor: Ports.Advisor | null;
   readonly #bounds: typeof FLEET_BOUNDS;
   readonly #hardLoad: Types.HardLoadSettings;
   /** Index of each endpoint's address. */
-  readonly #placeOf = new Map<string, number>();
-  readonly #logOf: (node: string, clock: Ports.Clock) => Logger.Logger;
+  readonly #indexes = new Map<string, number>();
+  readonly #logOf: (box: string, clock: Ports.Clock) => Logger.Logger;
   #writes = 0;
   #restarts = 0;
 
   /** @param options.workers accelerators of each endpoint, four to a rack */
   constructor(
     options: {
-      nodes?: number;
+      boxes?: number;
       workers?: readonly number[];
       seed?: number;
       config?: Ports.AccessConfig;
@@ -124,9 +124,9 @@
       /** Features for hard load; defaults to none. */
       hardLoad?: Types.HardLoadSettings;
       /** Data centre of the endpoint at each index; defaults to one for all. */
-      dataCentreOf?: (place: number) => string;
+      dataCentreOf?: (index: number) => string;
       /** Logger of each box; defaults to a silent one. */
-      logOf?: (node: string, clock: Ports.Clock) => Logger.Logger;
+      logOf?: (box: string, clock: Ports.Clock) => Logger.Logger;
     } = {},
   ) {
     this.#coresOf = options.cores ?? (() => 1);
@@ -147,38 +147,42 @@
       id: `worker-${i}`,
       accelerators,
     }));
-    this.workers = new StandIns.MemoryTaskWorkers(this.clock, specs);
+    this.workers = new StandIns.MemoryTaskEndpoints(this.clock, specs);
     this.workers.onCrash = (spec) => {
       const back = Effect.sync(() =>
-        this.keepsIds ? this.beginAgain(spec) : this.bringBack(spec)
+        this.keepsIds
+          ? this.restartUnderSameId(spec)
+          : this.restartUnderNewId(spec)
+      );
+      Effect.runFork(
+        Effect.andThen(this.clock.sleep(this.restartDelayMs), back),
       );
-      Effect.runFork(Effect.andThen(this.clock.sleep(this.crashBackMs), back));
     };
     for (const [i, spec] of specs.entries()) this.list(spec, i);
     this.applyConfig(this.#config);
-    const count = options.nodes ?? 3;
-    for (let i = 1; i <= count; i++) this.addNode(`node-${i}`);
+    const count = options.boxes ?? 3;
+    for (let i = 1; i <= count; i++) this.addBox(`node-${i}`);
   }
 
   /** Starts all boxes and waits for a coordinator. */
   async start(): Promise<void> {
-    for (const { node } of this.nodes.values()) Effect.runSync(node.start());
+    for (const { node } of this.boxes.values()) Effect.runSync(node.start());
     await this.until(() => this.coordinator() !== null);
     await this.clock.advance(200);
   }
 
   /** Stops all boxes. */
   async stop(): Promise<void> {
-    for (const name of [...this.nodes.keys()]) await this.kill(name);
+    for (const name of [...this.boxes.keys()]) await this.kill(name);
   }
 
   /** Creates and starts a box. */
-  startNode(name: string): void {
-    Effect.runSync(this.addNode(name).start());
+  startBox(name: string): void {
+    Effect.runSync(this.addBox(name).start());
   }
 
   /** Creates a box without starting it. */
-  addNode(name: string): Node.WorkflowNode {
+  addBox(name: string): Node.WorkflowNode {
     const faults = new StandIns.FaultSwitch(this.clock, this.random);
     const clock = new suspendables.SuspendableClock(this.clock);
     faults.processor.gate = clock.awaitRunning();
@@ -198,7 +202,7 @@
       clock,
       random: this.random,
       table: new StandIns.FaultyTable(this.table, faults),
-      workers: new StandIns.BusyTaskWorkers(this.workers, faults.processor),
+      workers: new StandIns.BusyTaskEndpoints(this.workers, faults.processor),
       advisor: this.#advisor,
       feeds: {
         operator: feed<Ports.OperatorEntry>(OPERATOR_PREFIX),
@@ -217,12 +221,12 @@
       log: this.#logOf(name, this.clock),
       metrics: new Metrics.Metrics(),
     });
-    this.nodes.set(name, { node, faults });
+    this.boxes.set(name, { node, faults });
     return node;
   }
 
   /** Returns a box by name. */
-  node(name: string): Node.WorkflowNode {
+  box(name: string): Node.WorkflowNode {
     return this.#get(name).node;
   }
 
@@ -232,10 +236,10 @@
   }
 
   /** Makes all open connections of all boxes silent; new ones work. */
-  silenceOpen(): void {
-    for (const { faults } of this.nodes.values()) faults.connections.silence();
-    this.workers.silenceOpen();
-    this.links.silenceOpen();
+  silenceConnections(): void {
+    for (const { faults } of this.boxes.values()) faults.connections.silence();
+    this.workers.silenceConnections();
+    this.links.silenceConnections();
   }
 
   /** Name of the coordinator; null while there is none. */
@@ -257,16 +261,16 @@
     // While suspended, the box would never finish stopping its fibers.
     this.clocks.get(name)?.resume();
     await stopped;
-    this.nodes.delete(name);
+    this.boxes.delete(name);
   }
 
   /** Lists an endpoint in the store. */
   list(
-    spec: StandIns.TaskWorkerSpec,
+    spec: StandIns.TaskEndpointSpec,
     index: number,
     changes: Partial<Ports.EndpointListing> = {},
   ): void {
-    this.#placeOf.set(spec.id, index);
+    this.#indexes.set(spec.id, index);
     const rack = `rack-${Math.floor(index / 4)}`;
     const listing: Ports.EndpointListing = {
       id: spec.id,
@@ -285,7 +289,7 @@
       bornMs: this.workers.bornMs(spec.id),
       ...changes,
     };
-    this.workers.livesAt(listing.address, spec.id);
+    this.workers.setListener(listing.address, spec.id);
     this.writeEntry(listing);
   }
 
@@ -302,35 +306,35 @@
   }
 
   /** Restarts a crashed endpoint under a new id at the same address. */
-  bringBack(earlier: StandIns.TaskWorkerSpec): void {
+  restartUnderNewId(earlier: StandIns.TaskEndpointSpec): void {
     const base = earlier.id.split("~")[0];
     const id = `${base}~${++this.#restarts}`;
     const spec = { ...earlier, id };
     this.workers.replace(earlier.id, spec);
-    if (this.entryOutlastsMs === 0) this.unlist(earlier.id);
+    if (this.entryOverlapMs === 0) this.unlist(earlier.id);
     else {
       const unlist = Effect.sync(() => this.unlist(earlier.id));
-      const later = this.clock.sleep(this.entryOutlastsMs);
+      const later = this.clock.sleep(this.entryOverlapMs);
       Effect.runFork(Effect.andThen(later, unlist));
     }
     const coldForMs = this.coldAfterCrashMs;
-    this.list(spec, this.placeOf(earlier.id), { coldForMs });
+    this.list(spec, this.indexOf(earlier.id), { coldForMs });
   }
 
   /**
    * Restarts a crashed endpoint under the same id; its entry replaces the earlier one.
    */
-  beginAgain(spec: StandIns.TaskWorkerSpec): void {
-    this.workers.beginAgain(spec);
+  restartUnderSameId(spec: StandIns.TaskEndpointSpec): void {
+    this.workers.restart(spec);
     const coldForMs = this.coldAfterCrashMs;
-    this.list(spec, this.placeOf(spec.id), { coldForMs });
+    this.list(spec, this.indexOf(spec.id), { coldForMs });
   }
 
   /** Sends a heartbeat of each running endpoint, which rewrites its entry. */
-  beat(): void {
+  sendHeartbeats(): void {
     for (const row of this.table.rowsUnder(WORKERS_PREFIX)) {
       const listing = row.value as Ports.EndpointListing;
-      if (!this.workers.listLives().includes(listing.id)) continue;
+      if (!this.workers.listRunning().includes(listing.id)) continue;
       const clockMs = this.clock.monotonicMs();
       const bornMs = this.workers.bornMs(listing.id);
       this.write(row.key, { ...listing, clockMs, bornMs });
@@ -338,10 +342,10 @@
   }
 
   /** Index of an endpoint's address; throws if the id was never listed. */
-  placeOf(id: string): number {
-    const place = this.#placeOf.get(id);
-    if (place === undefined) throw new RangeError(`unlisted endpoint ${id}`);
-    return place;
+  indexOf(id: string): number {
+    const index = this.#indexes.get(id);
+    if (index === undefined) throw new RangeError(`unlisted endpoint ${id}`);
+    return index;
   }
 
   /** Removes an endpoint from the list. */
@@ -363,7 +367,7 @@
   }
 
   /** Returns an evacuated data centre to use. */
-  takeBack(dataCentre: string): void {
+  endEvacuation(dataCentre: string): void {
     this.write(`${OPERATOR_PREFIX}evacuate/${dataCentre}`, null);
   }
 
@@ -395,7 +399,7 @@
       this.workers.addGang(members);
     }
     await this.run(
-      this.node(name).submissions.accept(allowed, {
+      this.box(name).submissions.accept(allowed, {
         id,
         payload: "work",
         steps: options.steps ?? [buildStep()],
@@ -405,13 +409,13 @@
   }
 
   /** Requests the state of a workflow from a box, as its caller does. */
-  async ask(
+  async requestState(
     name: string,
     id: string,
     options: { priority?: number; tenant?: string } = {},
   ): Promise<Workflow.WorkflowState> {
     const allowed = await this.#allow(name, id, options);
-    return await this.run(this.node(name).submissions.state(allowed, id));
+    return await this.run(this.box(name).submissions.state(allowed, id));
   }
 
   /** State of a workflow in the store; null if there is none. */
@@ -444,7 +448,7 @@
     options: { priority?: number; tenant?: string },
   ) {
     return this.run(
-      this.node(name).access.check({
+      this.box(name).access.check({
         host: "jobs.example",
         path: `/p${options.priority ?? 1}/${id}`,
         key: `key-of-${options.tenant ?? "hana"}`,
@@ -453,7 +457,7 @@
   }
 
   #get(name: string): FleetBox {
-    const fleetBox = this.nodes.get(name);
+    const fleetBox = this.boxes.get(name);
     if (fleetBox === undefined) throw new RangeError(`no box named ${name}`);
     return fleetBox;
   }
--- a/packages/workflow-node/src/admission_test.ts
+++ b/packages/workflow-node/src/admission_test.ts
@@ -43,7 +43,7 @@
   step: Workflow.StepSpec,
   waitsMs?: number,
 ): Effect.Effect<Failure | null> {
-  const { access, submissions } = fleet.node(name);
+  const { access, submissions } = fleet.box(name);
   const path = `/p1/${id}`;
   const request = { host: "jobs.example", path, key: "key-of-hana" };
   const job = { id, payload: "work", steps: [step], schedule: null };
@@ -85,7 +85,7 @@
 vitest.describe("a submission under hard load", () => {
   vitest.it("that would be too late is rejected by each box", async () => {
     const fleet = await startFullFleet();
-    for (const name of fleet.nodes.keys()) {
+    for (const name of fleet.boxes.keys()) {
       const failure = await submit(fleet, name, ID);
       vitest.expect(failure?._tag).toBe("RejectedError");
       const { reason, retryAfterMs } = failure as Errors.RejectedError;
@@ -105,7 +105,7 @@
     const stored = "f000000000000000";
     const long = TestUtils.buildStep({ accelerators: 2, estimateMs: LONG_MS });
     for (const step of [long, SHORT]) {
-      for (const name of fleet.nodes.keys()) {
+      for (const name of fleet.boxes.keys()) {
         const failure = await submit(fleet, name, stored, step, 1);
         const isDefinite = failure?._tag === "StoreUnavailableError" &&
           failure.perhapsDone !== true;
@@ -157,7 +157,7 @@
 vitest.describe("a workflow that is stored already", () => {
   vitest.it("is never rejected by any box", async () => {
     const fleet = await startFullFleet();
-    for (const name of fleet.nodes.keys()) {
+    for (const name of fleet.boxes.keys()) {
       vitest.expect(await submit(fleet, name, "f000000000000000")).toBe(null);
     }
     await fleet.stop();
@@ -190,7 +190,7 @@
 
   vitest.it("is not rejected while the store does not answer", async () => {
     const fleet = await startFullFleet();
-    for (const name of fleet.nodes.keys()) {
+    for (const name of fleet.boxes.keys()) {
       fleet.faultsOf(name).set({ silent: true });
     }
     const failure = await submit(fleet, "node-2", ID);
@@ -203,7 +203,7 @@
   vitest.it("that is outdated rejects no submission", async () => {
     const fleet = await startFullFleet();
     const coordinator = fleet.coordinator() ?? "";
-    const other = [...fleet.nodes.keys()].find((name) =>
+    const other = [...fleet.boxes.keys()].find((name) =>
       name !== coordinator
     ) ?? "";
     vitest.expect((await submit(fleet, other, ID))?._tag).toBe("RejectedError");
@@ -217,14 +217,14 @@
     const fleet = await startFullFleet();
     const coordinator = fleet.coordinator() ?? "";
     await fleet.kill(coordinator);
-    const [name] = fleet.nodes.keys();
+    const [name] = fleet.boxes.keys();
     await fleet.until(() => fleet.coordinator() !== coordinator);
     await fleet.clock.advance(FORECAST_DELIVERY_MS);
     const failure = await submit(fleet, name, ID);
     vitest.expect(failure?._tag).toBe("RejectedError");
     // Accepted workflows are kept, and rejected ones are not stored.
     for (const id of ["f000000000000000", "f000000000000001"]) {
-      vitest.expect(await fleet.ask(name, id)).toBe("running");
+      vitest.expect(await fleet.requestState(name, id)).toBe("running");
     }
     vitest.expect(storedRows(fleet, ID)).toBe(0);
     await fleet.stop();
@@ -241,7 +241,7 @@
     await fleet.start();
     // The boxes have discovered each other by then.
     await fleet.clock.advance(STARTUP_MS + FORECAST_DELIVERY_MS);
-    const names = [...fleet.nodes.keys()];
+    const names = [...fleet.boxes.keys()];
     const ids = Array.from({ length: 18 }, (_, i) => `c0000000000000${10 + i}`);
     const calls = ids.map((id, i) =>
       createSubmission(fleet, names[i % names.length], id, SHORT)
@@ -251,7 +251,7 @@
     );
     vitest.expect(answers.every((answer) => answer === null)).toBe(true);
     const promisedJobs = names.map((name) =>
-      fleet.node(name).admissionControl.dump().promisedJobs
+      fleet.box(name).admissionControl.dump().promisedJobs
     );
     const sum = promisedJobs.reduce((total, jobs) => total + jobs, 0);
     vitest.expect(sum * SHORT.accelerators).toBeLessThanOrEqual(12);
--- a/packages/workflow-node/src/broken_gang_test.ts
+++ b/packages/workflow-node/src/broken_gang_test.ts
@@ -25,10 +25,10 @@
   await fleet.until(() => fleet.workers.runs.length === 3);
   await fleet.clock.advance(1000);
   const [lost] = fleet.workers.runs;
-  fleet.workers.carry = (endpoint) =>
+  fleet.workers.decideOutcome = (endpoint) =>
     endpoint === lost.worker
-      ? StandIns.OrderFate.Lost
-      : StandIns.OrderFate.Carried;
+      ? StandIns.OrderOutcome.Lost
+      : StandIns.OrderOutcome.Delivered;
   return fleet;
 }
 
--- a/packages/workflow-node/src/busy_box_test.ts
+++ b/packages/workflow-node/src/busy_box_test.ts
@@ -27,7 +27,7 @@
 ): Promise<TestUtils.TestFleet> {
   const fleet = new TestUtils.TestFleet({
     ...(longestLeaseMs === undefined ? {} : { longestLeaseMs }),
-    nodes: 4,
+    boxes: 4,
     workers: Array.from({ length: ENDPOINTS }, () => 1),
   });
   fleet.workers.behave = (task) => ({
@@ -39,7 +39,7 @@
   const steps = [TestUtils.buildStep({ count, estimateMs: 300_000 })];
   await fleet.submit("node-1", LONG_ID, { steps });
   await fleet.until(() => fleet.workers.runs.length === count);
-  for (const name of fleet.nodes.keys()) {
+  for (const name of fleet.boxes.keys()) {
     fleet.faultsOf(name).processor.callMs = CALL_MS;
   }
   return fleet;
@@ -53,13 +53,13 @@
     await fleet.until(() => fleet.token() > before);
     await fleet.clock.advance(OBSERVATION_MS);
     vitest.expect(fleet.token()).toBe(before + 1);
-    const [name] = [...fleet.nodes.keys()];
+    const [name] = [...fleet.boxes.keys()];
     await fleet.submit(name, URGENT_ID, { priority: 0 });
     const isStarted = () =>
       fleet.workers.runsOf(`${URGENT_ID}.0.0.0`).length > 0;
     const hasStarted = await fleet.until(isStarted, START_TIMEOUT_MS);
     vitest.expect(hasStarted).toBe(true);
-    fleet.workers.settle();
+    fleet.workers.update();
     const ends = fleet.workers.runs.filter(({ task, how }) =>
       task.startsWith(LONG_ID) && how !== null
     );
@@ -76,7 +76,7 @@
       waits.push(order.waitMs);
       return renew(endpoint, order);
     };
-    for (const name of fleet.nodes.keys()) {
+    for (const name of fleet.boxes.keys()) {
       fleet.faultsOf(name).processor.callMs = 5;
     }
     await fleet.clock.advance(15_000);
@@ -87,15 +87,15 @@
 
   vitest.it("does not count silent endpoints as its own delay", async () => {
     const fleet = await startBusyFleet();
-    for (const name of fleet.nodes.keys()) {
+    for (const name of fleet.boxes.keys()) {
       fleet.faultsOf(name).processor.callMs = 0;
     }
-    fleet.workers.carry = (endpoint, order) =>
+    fleet.workers.decideOutcome = (endpoint, order) =>
       order === "renew" && Number(endpoint.split("-")[1]) < ENDPOINTS * 0.85
-        ? StandIns.OrderFate.Silent
-        : StandIns.OrderFate.Carried;
+        ? StandIns.OrderOutcome.Silent
+        : StandIns.OrderOutcome.Delivered;
     await fleet.clock.advance(12_000);
-    const box = fleet.node(fleet.coordinator() ?? "");
+    const box = fleet.box(fleet.coordinator() ?? "");
     const work = box.dump()["work"] as Coordinator.CoordinatorDump;
     vitest.expect(work.lateMs).toBeLessThan(100);
     await fleet.stop();
--- a/packages/workflow-node/src/caller_time_limit_test.ts
+++ b/packages/workflow-node/src/caller_time_limit_test.ts
@@ -13,7 +13,7 @@
   fleet: TestUtils.TestFleet,
   timeoutMs: number,
 ): Promise<{ err: Errors.StoreUnavailableError | null; tookMs: number }> {
-  const box = fleet.node("node-1");
+  const box = fleet.box("node-1");
   const id = "a000000000000009";
   const allowed = await fleet.run(
     box.access.check({
@@ -47,7 +47,7 @@
   vitest.it("is refused at once if the store takes longer", async () => {
     const fleet = new TestUtils.TestFleet();
     await fleet.start();
-    for (const name of fleet.nodes.keys()) {
+    for (const name of fleet.boxes.keys()) {
       fleet.faultsOf(name).set({ delayMs: STORE_DELAY_MS });
     }
     // The box estimates the delay of the store from its own writes.
@@ -74,7 +74,7 @@
     await fleet.start();
     // Every call takes 300 ms, as in a store with a queue, and writes are refused.
     const downPartitions = TableClient.Keys.PARTITIONS;
-    for (const name of fleet.nodes.keys()) {
+    for (const name of fleet.boxes.keys()) {
       fleet.faultsOf(name).set({ delayMs: 300, downPartitions });
     }
     await fleet.clock.advance(3000);
--- a/packages/workflow-node/src/cancel_test.ts
+++ b/packages/workflow-node/src/cancel_test.ts
@@ -24,7 +24,7 @@
 ];
 
 function setDown(fleet: TestUtils.TestFleet, ...partitions: string[]): void {
-  for (const name of fleet.nodes.keys()) {
+  for (const name of fleet.boxes.keys()) {
     fleet.faultsOf(name).set({ downPartitions: partitions });
   }
 }
@@ -41,9 +41,9 @@
 
 async function startFleet(
   runMs: number,
-  options: { nodes?: number } = {},
+  options: { boxes?: number } = {},
 ): Promise<TestUtils.TestFleet> {
-  const fleet = new TestUtils.TestFleet({ nodes: 4, ...options });
+  const fleet = new TestUtils.TestFleet({ boxes: 4, ...options });
   fleet.workers.behave = () => ({ runMs, fails: false });
   await fleet.start();
   return fleet;
@@ -51,7 +51,7 @@
 
 function otherBoxes(fleet: TestUtils.TestFleet): string[] {
   const coordinator = fleet.coordinator();
-  return [...fleet.nodes.keys()].filter((name) => name !== coordinator);
+  return [...fleet.boxes.keys()].filter((name) => name !== coordinator);
 }
 
 /** Writes a second row of the workflow, as a box without access to its home does. */
@@ -101,7 +101,7 @@
 
 vitest.describe("a cancel of a workflow with a copy", () => {
   vitest.it("outlasts the copy of a workflow that never ran", async () => {
-    const fleet = await startFleet(1000, { nodes: 5 });
+    const fleet = await startFleet(1000, { boxes: 5 });
     setEndpointsListed(fleet, false);
     await fleet.submit("node-1", ID, { steps: STEPS });
     await fleet.clock.advance(500);
@@ -207,7 +207,7 @@
   vitest.it(
     "holds for a copy that is written later, and in later terms",
     async () => {
-      const fleet = await startFleet(LONG_RUN_MS, { nodes: 5 });
+      const fleet = await startFleet(LONG_RUN_MS, { boxes: 5 });
       await fleet.submit("node-1", ID, { steps: STEPS });
       await fleet.until(() => fleet.workers.runs.length === 1);
       const [at] = otherBoxes(fleet);
@@ -244,7 +244,7 @@
       const fleet = await startFleet(LONG_RUN_MS);
       await fleet.submit("node-1", ID, { steps: STEPS });
       await fleet.until(() => fleet.workers.runs.length === 1);
-      for (const name of fleet.nodes.keys()) {
+      for (const name of fleet.boxes.keys()) {
         fleet.faultsOf(name).set({ delayMs });
       }
       await fleet.clock.advance(3000);
@@ -332,7 +332,7 @@
     await fleet.clock.advance(500);
   },
   "while it starts": async (fleet) => {
-    fleet.workers.carry = () => StandIns.OrderFate.Late;
+    fleet.workers.decideOutcome = () => StandIns.OrderOutcome.Late;
     await fleet.submit("node-1", ID, { steps: STEPS });
     await fleet.clock.advance(100);
   },
@@ -349,8 +349,10 @@
   "while it stops": async (fleet) => {
     await fleet.submit("node-1", ID, { steps: STEPS });
     await fleet.until(() => fleet.workers.runs.length === 1);
-    fleet.workers.carry = (_, order) =>
-      order === "stop" ? StandIns.OrderFate.Lost : StandIns.OrderFate.Carried;
+    fleet.workers.decideOutcome = (_, order) =>
+      order === "stop"
+        ? StandIns.OrderOutcome.Lost
+        : StandIns.OrderOutcome.Delivered;
     writeCancel(fleet, HOME_PARTITION);
     await fleet.clock.advance(200);
   },
@@ -365,7 +367,7 @@
       const atMs = await TestUtils.cancelAt(fleet, { at, id: ID });
       vitest.expect(atMs).toBeTypeOf("number");
       await replaceCoordinator(fleet);
-      fleet.workers.carry = () => StandIns.OrderFate.Carried;
+      fleet.workers.decideOutcome = () => StandIns.OrderOutcome.Delivered;
       setEndpointsListed(fleet, true);
       await expectCancelled(fleet, Number(atMs));
       await fleet.stop();
--- a/packages/workflow-node/src/close_watchers_test.ts
+++ b/packages/workflow-node/src/close_watchers_test.ts
@@ -23,10 +23,10 @@
 
 async function startFleet(
   seed = 1,
-  nodes = BOXES,
+  boxes = BOXES,
 ): Promise<TestUtils.TestFleet> {
   const fleet = new TestUtils.TestFleet({
-    nodes,
+    boxes,
     cores: (name) => isLarge(name) ? 1.35 : 0.324,
     seed,
   });
@@ -37,7 +37,7 @@
 }
 
 function pollsOf(fleet: TestUtils.TestFleet, name: string): number {
-  return fleet.faultsOf(name).looks.get(ELECTION) ?? 0;
+  return fleet.faultsOf(name).polls.get(ELECTION) ?? 0;
 }
 
 async function measureTakeover(fleet: TestUtils.TestFleet): Promise<number> {
@@ -52,7 +52,7 @@
     "needs less than half the polls of boxes that are all close watchers",
     async () => {
       const fleet = await startFleet(1, COUNTED_BOXES);
-      const names = [...fleet.nodes.keys()];
+      const names = [...fleet.boxes.keys()];
       const before = new Map(names.map((name) => [name, pollsOf(fleet, name)]));
       await fleet.clock.advance(OBSERVATION_MS);
       const polls = names.map((name) =>
@@ -79,7 +79,7 @@
   vitest.it("allows a takeover after all close watchers end", async () => {
     for (const seed of [1, 2, 3]) {
       const fleet = await startFleet(seed);
-      const killed = [...fleet.nodes.keys()].filter(isLarge);
+      const killed = [...fleet.boxes.keys()].filter(isLarge);
       for (const name of killed) await fleet.kill(name);
       vitest.expect(await measureTakeover(fleet)).toBeLessThan(
         LATE_TAKEOVER_MS,
@@ -93,7 +93,7 @@
       const fleet = await startFleet(seed);
       const first = fleet.coordinator() ?? "";
       const token = fleet.token();
-      await fleet.run(fleet.node(first).leave());
+      await fleet.run(fleet.box(first).leave());
       const hasMoved = await fleet.until(() => fleet.token() > token, 700);
       vitest.expect(hasMoved).toBe(true);
       await fleet.stop();
--- a/packages/workflow-node/src/cold_endpoints_test.ts
+++ b/packages/workflow-node/src/cold_endpoints_test.ts
@@ -22,7 +22,7 @@
     fleet.list({ id: `worker-${index}`, accelerators }, index, { coldForMs });
   }
   fleet.workers.behave = (_, id) => ({
-    runMs: isCold(fleet.placeOf(id)) ? COLD_RUN_MS : WARM_RUN_MS,
+    runMs: isCold(fleet.indexOf(id)) ? COLD_RUN_MS : WARM_RUN_MS,
     fails: false,
   });
   await fleet.start();
@@ -38,8 +38,8 @@
     const options = { priority: 0, steps: [step(4)] };
     await fleet.submit("node-1", "a000000000000001", options);
     await fleet.until(() => fleet.workers.runs.length === 4);
-    const indexes = fleet.workers.runs.map((note) =>
-      fleet.placeOf(note.worker)
+    const indexes = fleet.workers.runs.map((record) =>
+      fleet.indexOf(record.worker)
     );
     vitest.expect(indexes.filter(isCold)).toEqual([]);
     await fleet.stop();
--- a/packages/workflow-node/src/concurrent_gang_runs_test.ts
+++ b/packages/workflow-node/src/concurrent_gang_runs_test.ts
@@ -20,7 +20,7 @@
 interface Gang {
   readonly fleet: TestUtils.TestFleet;
   /** First run of each member. */
-  readonly runs: readonly StandIns.TaskRunNote[];
+  readonly runs: readonly StandIns.TaskRunRecord[];
 }
 
 /** Starts a gang and lets it run for a second, with free capacity for another one. */
@@ -43,10 +43,12 @@
   endpoint: string,
   forMs: number,
 ): Promise<void> {
-  fleet.workers.carry = (id) =>
-    id === endpoint ? StandIns.OrderFate.Lost : StandIns.OrderFate.Carried;
+  fleet.workers.decideOutcome = (id) =>
+    id === endpoint
+      ? StandIns.OrderOutcome.Lost
+      : StandIns.OrderOutcome.Delivered;
   await fleet.clock.advance(forMs);
-  fleet.workers.carry = () => StandIns.OrderFate.Carried;
+  fleet.workers.decideOutcome = () => StandIns.OrderOutcome.Delivered;
 }
 
 /** Waits until the gang runs again; returns concurrent runs of a member. */
@@ -54,7 +56,7 @@
   const runsAgain = () => fleet.workers.runs.length >= 2 * GANG_SIZE;
   vitest.expect(await fleet.until(runsAgain, TIMEOUT_MS)).toBe(true);
   await fleet.clock.advance(1000);
-  const found = TestUtils.findBrokenRuns(fleet);
+  const found = TestUtils.findRunViolations(fleet);
   await fleet.stop();
   return found;
 }
@@ -63,7 +65,7 @@
 async function breakLate(): Promise<string[]> {
   const gang = await startGang();
   const { fleet, runs: [first, , third] } = gang;
-  fleet.workers.gangFollowsMs = (task) => task === third.task ? CUT_OFF_MS : 0;
+  fleet.workers.gangEndDelayMs = (task) => task === third.task ? CUT_OFF_MS : 0;
   fleet.workers.endNow(first.task, "failed");
   await cutOff(gang, third.worker, CUT_OFF_MS);
   const found = await findDuplicates(gang);
@@ -75,8 +77,8 @@
 async function breakInStop(): Promise<string[]> {
   const gang = await startGang();
   const { fleet, runs: [first, second, third] } = gang;
-  fleet.workers.stopTakesMs = () => TestUtils.FLEET_BOUNDS.stopMs;
-  fleet.workers.gangFollowsMs = (task) => task === second.task ? 200 : RUN_MS;
+  fleet.workers.stopDelayMs = () => TestUtils.FLEET_BOUNDS.stopMs;
+  fleet.workers.gangEndDelayMs = (task) => task === second.task ? 200 : RUN_MS;
   fleet.workers.endNow(first.task, "failed");
   await fleet.clock.advance(150);
   await cutOff(gang, third.worker, CUT_OFF_MS);
@@ -90,17 +92,17 @@
   const gang = await startGang();
   const { fleet, runs: [first, second, third] } = gang;
   const { workers } = fleet;
-  workers.stopTakesMs = () => TestUtils.FLEET_BOUNDS.stopMs;
-  workers.gangFollowsMs = (task) => task === first.task ? RUN_MS : 100;
+  workers.stopDelayMs = () => TestUtils.FLEET_BOUNDS.stopMs;
+  workers.gangEndDelayMs = (task) => task === first.task ? RUN_MS : 100;
   let isStopping = false;
-  workers.carry = (id, order) => {
+  workers.decideOutcome = (id, order) => {
     isStopping ||= order === "stop" && id === second.worker;
-    return StandIns.OrderFate.Carried;
+    return StandIns.OrderOutcome.Delivered;
   };
   // The member is moved, because its endpoint is draining.
   const spec = { id: second.worker, accelerators: 1 };
   const leaves = { draining: true, leavesInMs: 500 };
-  fleet.list(spec, fleet.placeOf(second.worker), leaves);
+  fleet.list(spec, fleet.indexOf(second.worker), leaves);
   vitest.expect(await fleet.until(() => isStopping)).toBe(true);
   workers.endNow(third.task, "broken");
   await cutOff(gang, first.worker, CUT_OFF_MS);
--- a/packages/workflow-node/src/coordinator_fitness_test.ts
+++ b/packages/workflow-node/src/coordinator_fitness_test.ts
@@ -15,7 +15,7 @@
 }
 
 async function startFleet(seed = 1): Promise<TestUtils.TestFleet> {
-  const fleet = new TestUtils.TestFleet({ nodes: BOXES, cores: coresOf, seed });
+  const fleet = new TestUtils.TestFleet({ boxes: BOXES, cores: coresOf, seed });
   fleet.workers.behave = () => ({ runMs: 5000, fails: false });
   await fleet.start();
   await fleet.clock.advance(3000);
@@ -69,7 +69,7 @@
     await fleet.submit("node-1", ID, { steps: STEPS });
     await fleet.until(() => fleet.workers.runs.length === 1);
     const token = fleet.token();
-    fleet.startNode("large-1");
+    fleet.startBox("large-1");
     const hasMoved = await fleet.until(() => fleet.coordinator() === "large-1");
     vitest.expect(hasMoved).toBe(true);
     await fleet.clock.advance(10_000);
@@ -96,17 +96,17 @@
   );
 
   vitest.it("moves to a box that a rolling restart has passed", async () => {
-    const fleet = new TestUtils.TestFleet({ nodes: 5 });
+    const fleet = new TestUtils.TestFleet({ boxes: 5 });
     await fleet.start();
     const first = fleet.coordinator() ?? "";
-    const others = [...fleet.nodes.keys()].filter((name) => name !== first);
+    const others = [...fleet.boxes.keys()].filter((name) => name !== first);
     for (const name of others.slice(0, 2)) {
       await fleet.kill(name);
       await fleet.clock.advance(2000);
-      fleet.startNode(name);
+      fleet.startBox(name);
     }
     await fleet.clock.advance(12_000);
-    await fleet.run(fleet.node(first).leave());
+    await fleet.run(fleet.box(first).leave());
     await fleet.until(() => ![null, first].includes(fleet.coordinator()));
     vitest.expect(fleet.coordinator()).toBe(others[1]);
     await fleet.stop();
--- a/packages/workflow-node/src/crashing_tasks_test.ts
+++ b/packages/workflow-node/src/crashing_tasks_test.ts
@@ -40,7 +40,7 @@
 }
 
 function isAfter(atMs: number) {
-  return (note: StandIns.TaskRunNote) => note.startedAtMs > atMs;
+  return (record: StandIns.TaskRunRecord) => record.startedAtMs > atMs;
 }
 
 /** Returns the tasks that were started too often after their third crash. */
@@ -108,9 +108,9 @@
         await fleet.until(() => fleet.workers.runs.length >= i, 30_000);
         await fleet.clock.advance(CRASH_DELAY_MS * 2);
         const coordinator = fleet.coordinator();
-        if (coordinator !== null && fleet.nodes.has(coordinator)) {
+        if (coordinator !== null && fleet.boxes.has(coordinator)) {
           await fleet.kill(coordinator);
-          fleet.startNode(`${coordinator}+`);
+          fleet.startBox(`${coordinator}+`);
         }
       }
       const isGivenUp = await fleet.until(
@@ -130,12 +130,12 @@
     await fleet.start();
     const steps = [TestUtils.buildStep({ count: 3, gang: true })];
     await fleet.submit("node-1", CRASHING_ID, { steps });
-    const handled = new Set<StandIns.TaskRunNote>();
+    const handled = new Set<StandIns.TaskRunRecord>();
     for (let ms = 0; ms < TIMEOUT_MS; ms += CRASH_DELAY_MS) {
       await fleet.clock.advance(CRASH_DELAY_MS);
-      for (const note of fleet.workers.runsOf(crashingTask)) {
-        if (note.how !== "crashed" || handled.has(note)) continue;
-        handled.add(note);
+      for (const record of fleet.workers.runsOf(crashingTask)) {
+        if (record.how !== "crashed" || handled.has(record)) continue;
+        handled.add(record);
         fleet.workers.endNow(`${CRASHING_ID}.0.0.0`, "broken");
         fleet.workers.endNow(`${CRASHING_ID}.0.0.2`, "broken");
       }
@@ -167,13 +167,13 @@
     await fleet.submit("node-1", CRASHING_ID);
     await fleet.until(hasState(fleet, CRASHING_ID, Failed), TIMEOUT_MS);
     const started = fleet.workers.runs.length;
-    for (const name of [...fleet.nodes.keys()]) await fleet.kill(name);
-    for (const name of ["node-4", "node-5"]) fleet.startNode(name);
+    for (const name of [...fleet.boxes.keys()]) await fleet.kill(name);
+    for (const name of ["node-4", "node-5"]) fleet.startBox(name);
     await fleet.clock.advance(10_000);
     await fleet.submit("node-4", CRASHING_ID);
     await fleet.clock.advance(10_000);
     vitest.expect(fleet.workers.runs.length).toBe(started);
-    vitest.expect(await fleet.ask("node-5", CRASHING_ID)).toBe(Failed);
+    vitest.expect(await fleet.requestState("node-5", CRASHING_ID)).toBe(Failed);
     await fleet.stop();
   });
 
@@ -227,7 +227,7 @@
       const hasStarted = () => fleet.workers.runsOf(`${ID}.0.0.0`).length >= i;
       await fleet.until(hasStarted, 30_000);
       await fleet.clock.advance(700 * i);
-      const endpointIds = new Set(fleet.workers.listLives());
+      const endpointIds = new Set(fleet.workers.listRunning());
       for (const id of endpointIds) fleet.workers.crash(id);
     }
   }
@@ -271,10 +271,10 @@
     const steps = [TestUtils.buildStep({ estimateMs: 9000 })];
     await fleet.submit("node-1", ID, { steps });
     const unreachable = new Set<string>();
-    fleet.workers.carry = (endpoint) =>
+    fleet.workers.decideOutcome = (endpoint) =>
       unreachable.has(endpoint)
-        ? StandIns.OrderFate.Lost
-        : StandIns.OrderFate.Carried;
+        ? StandIns.OrderOutcome.Lost
+        : StandIns.OrderOutcome.Delivered;
     for (let i = 1; i <= 4; i++) {
       await fleet.until(() => fleet.workers.runs.length >= i, 30_000);
       await fleet.clock.advance(500);
@@ -299,7 +299,7 @@
       await fleet.until(() => fleet.workers.runs.length >= i, 30_000);
       await fleet.clock.advance(300);
       const { worker: id } = fleet.workers.runs[i - 1];
-      const index = fleet.placeOf(id);
+      const index = fleet.indexOf(id);
       // The announcement is too short to move its runs in time.
       fleet.list({ id, accelerators: 1 }, index, { draining: true });
       await fleet.clock.advance(100);
--- a/packages/workflow-node/src/dump_test.ts
+++ b/packages/workflow-node/src/dump_test.ts
@@ -13,7 +13,7 @@
     await fleet.submit("node-1", "a000000000000002");
     await fleet.clock.advance(500);
     const name = fleet.coordinator() ?? "";
-    const dump = fleet.node(name).dump();
+    const dump = fleet.box(name).dump();
     const work = dump["work"] as Coordinator.CoordinatorDump;
     const states = work.workflows.map(({ id, waitsFor }) => [id, waitsFor]);
     vitest.expect(states).toEqual([
@@ -22,8 +22,8 @@
     ]);
     vitest.expect(work.lateMs).toBeGreaterThanOrEqual(0);
     vitest.expect(work.workers[0].runs).toEqual(["a000000000000001.0.0.0@1"]);
-    const other = [...fleet.nodes.keys()].find((box) => box !== name) ?? "";
-    vitest.expect(fleet.node(other).dump()["work"]).toBeNull();
+    const other = [...fleet.boxes.keys()].find((box) => box !== name) ?? "";
+    vitest.expect(fleet.box(other).dump()["work"]).toBeNull();
     await fleet.stop();
   });
 
@@ -35,7 +35,7 @@
     await fleet.until(() => fleet.workers.runs.length === 1);
     await fleet.submit("node-1", "a000000000000002", { priority: 0 });
     const readStops = () => {
-      const dump = fleet.node(fleet.coordinator() ?? "").dump();
+      const dump = fleet.box(fleet.coordinator() ?? "").dump();
       return (dump["work"] as Coordinator.CoordinatorDump).stops;
     };
     await fleet.until(() => readStops().open === 1);
--- a/packages/workflow-node/src/ended_rows_test.ts
+++ b/packages/workflow-node/src/ended_rows_test.ts
@@ -32,7 +32,7 @@
     const fleet = await startWithEndedWorkflow();
     const [row] = fleet.table.rowsUnder("intake:");
     vitest.expect(row.value).toMatchObject({ id: ID, payload: "", steps: [] });
-    vitest.expect(await fleet.ask("node-2", ID))
+    vitest.expect(await fleet.requestState("node-2", ID))
       .toBe(Workflow.WorkflowState.Completed);
     await fleet.stop();
   });
@@ -43,11 +43,11 @@
     await fleet.clock.advance(2000);
     await fleet.kill(fleet.coordinator() ?? "");
     await fleet.clock.advance(4000);
-    const [name] = [...fleet.nodes.keys()];
+    const [name] = [...fleet.boxes.keys()];
     await fleet.submit(name, ID);
     await fleet.clock.advance(2000);
     vitest.expect(fleet.workers.runs.length).toBe(1);
-    vitest.expect(await fleet.ask(name, ID))
+    vitest.expect(await fleet.requestState(name, ID))
       .toBe(Workflow.WorkflowState.Completed);
     await fleet.stop();
   });
--- a/packages/workflow-node/src/endpoint_backoff_test.ts
+++ b/packages/workflow-node/src/endpoint_backoff_test.ts
@@ -10,17 +10,17 @@
 /** Time during which all starts are lost, in ms. */
 const STARTS_LOST_MS = 8000;
 
-const { Carried, Lost } = StandIns.OrderFate;
+const { Delivered, Lost } = StandIns.OrderOutcome;
 
 vitest.describe("endpoints after lost starts", () => {
   vitest.it("get work within 3 s of their recovery", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1, 1] });
     const { workers } = fleet;
     await fleet.start();
-    workers.carry = (_, order) => order === "start" ? Lost : Carried;
+    workers.decideOutcome = (_, order) => order === "start" ? Lost : Delivered;
     await fleet.submit("node-1", ID);
     await fleet.clock.advance(STARTS_LOST_MS);
-    workers.carry = () => Carried;
+    workers.decideOutcome = () => Delivered;
     const hasStarted = () => workers.runsOf(TASK).length > 0;
     vitest.expect(await fleet.until(hasStarted, MAX_WAIT_MS)).toBe(true);
     await fleet.stop();
--- a/packages/workflow-node/src/evacuated_data_centre_test.ts
+++ b/packages/workflow-node/src/evacuated_data_centre_test.ts
@@ -35,10 +35,10 @@
   fleet: TestUtils.TestFleet,
   dataCentre: string,
   sinceMs: number,
-): StandIns.TaskRunNote[] {
-  return fleet.workers.runs.filter((note) =>
-    note.startedAtMs >= sinceMs &&
-    dataCentreOf(fleet.placeOf(note.worker)) === dataCentre
+): StandIns.TaskRunRecord[] {
+  return fleet.workers.runs.filter((record) =>
+    record.startedAtMs >= sinceMs &&
+    dataCentreOf(fleet.indexOf(record.worker)) === dataCentre
   );
 }
 
@@ -47,7 +47,7 @@
   submittedIds: readonly string[],
   estimateMs = RUN_MS,
 ): Promise<void> {
-  const [box] = fleet.nodes.keys();
+  const [box] = fleet.boxes.keys();
   const steps = [TestUtils.buildStep({ estimateMs })];
   for (const id of submittedIds) await fleet.submit(box, id, { steps });
 }
@@ -151,7 +151,7 @@
 
   vitest.it("gets no start whose record is still being written", async () => {
     const { fleet, evacuations } = await startFleet();
-    for (const name of fleet.nodes.keys()) {
+    for (const name of fleet.boxes.keys()) {
       fleet.faultsOf(name).set({ delayMs: 400 });
     }
     const submission = submitAll(fleet, buildIds(12));
@@ -175,14 +175,14 @@
   vitest.it("gets no retry of an unanswered start", async () => {
     const { fleet, evacuations } = await startFleet();
     let attempts = 0;
-    fleet.workers.carry = (worker, order) => {
-      if (order !== "start") return StandIns.OrderFate.Carried;
-      if (dataCentreOf(fleet.placeOf(worker)) !== "brno-b") {
-        return StandIns.OrderFate.NoRoom;
+    fleet.workers.decideOutcome = (worker, order) => {
+      if (order !== "start") return StandIns.OrderOutcome.Delivered;
+      if (dataCentreOf(fleet.indexOf(worker)) !== "brno-b") {
+        return StandIns.OrderOutcome.NoRoom;
       }
       attempts++;
       if (attempts === 1) evacuations.begin("brno-b");
-      return StandIns.OrderFate.Silent;
+      return StandIns.OrderOutcome.Silent;
     };
     await submitAll(fleet, buildIds(1));
     await fleet.until(() => attempts > 0);
@@ -200,7 +200,7 @@
       await fleet.clock.advance(3000);
       evacuations.begin("brno-b");
       await fleet.clock.advance(2 * PROPAGATION_MS);
-      const dump = fleet.node(name).dump();
+      const dump = fleet.box(name).dump();
       vitest.expect(dump["evacuations"]).toMatchObject([
         { dataCentre: "brno-b" },
       ]);
@@ -214,15 +214,15 @@
       const { fleet, evacuations } = await startFleet(1500);
       await submitAll(fleet, buildIds(60));
       // Only the operator's feed is silent; the store answers all other calls.
-      for (const name of fleet.nodes.keys()) {
+      for (const name of fleet.boxes.keys()) {
         fleet.faultsOf(name).set({ silentFeeds: ["test-operator/"] });
       }
       evacuations.begin("brno-b");
       await fleet.clock.advance(12_000);
       vitest.expect(evacuations.findViolations()).toEqual([]);
       const name = fleet.coordinator() ?? "";
-      vitest.expect(fleet.node(name).dump()["mayMissEvacuations"]).toBe(true);
-      for (const box of fleet.nodes.keys()) {
+      vitest.expect(fleet.box(name).dump()["mayMissEvacuations"]).toBe(true);
+      for (const box of fleet.boxes.keys()) {
         fleet.faultsOf(box).set({ silentFeeds: [] });
       }
       vitest.expect(await waitForAll(fleet, buildIds(60))).toBe(true);
@@ -254,7 +254,7 @@
       evacuations.begin("brno-b");
       await fleet.clock.advance(PROPAGATION_MS);
       const steps = [TestUtils.buildStep({ count: 6, gang: true })];
-      const [box] = fleet.nodes.keys();
+      const [box] = fleet.boxes.keys();
       await submitAll(fleet, buildIds(7));
       await fleet.submit(box, "b000000000000001", { steps });
       const submittedIds = [...buildIds(7), "b000000000000001"];
@@ -277,7 +277,7 @@
     await fleet.until(() => fleet.workers.runs.length === 16);
     fleet.evacuate("brno-b");
     await fleet.clock.advance(PROPAGATION_MS);
-    const dump = fleet.node(fleet.coordinator() ?? "").dump();
+    const dump = fleet.box(fleet.coordinator() ?? "").dump();
     const work = dump["work"] as Coordinator.CoordinatorDump;
     vitest.expect(work.evacuations).toMatchObject([
       { dataCentre: "brno-b", runs: 8 },
--- a/packages/workflow-node/src/failing_endpoints_test.ts
+++ b/packages/workflow-node/src/failing_endpoints_test.ts
@@ -35,7 +35,7 @@
   const failingUntilMs = () => failingSinceMs + FAILURE_PERIOD_MS;
   let failingSinceMs = Number.NEGATIVE_INFINITY;
   const isFailing = (id: string) =>
-    fleet.placeOf(id) % FAILING_STRIDE === seed % FAILING_STRIDE &&
+    fleet.indexOf(id) % FAILING_STRIDE === seed % FAILING_STRIDE &&
     fleet.clock.monotonicMs() < failingUntilMs();
   fleet.workers.behave = (_, id) =>
     isFailing(id)
@@ -51,7 +51,7 @@
   });
   const batch = TestUtils.buildStep({ count: 40, estimateMs: RUN_MS });
   const ids: string[] = [];
-  const [box] = fleet.nodes.keys();
+  const [box] = fleet.boxes.keys();
   for (let i = 0; i < WORKFLOWS_PER_KIND; i++) {
     for (const [kind, step] of [["a", gang], ["b", batch]] as const) {
       const id = `${kind}${String(i).padStart(15, "0")}`;
--- a/packages/workflow-node/src/first_polls_test.ts
+++ b/packages/workflow-node/src/first_polls_test.ts
@@ -6,13 +6,13 @@
 vitest.describe("the first starts on an endpoint", () => {
   vitest.it("wait for one shared poll", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [8] });
-    fleet.workers.wayMs = 1;
+    fleet.workers.transitMs = 1;
     fleet.workers.behave = () => ({ runMs: 5000, fails: false });
     await fleet.start();
     const orders: string[] = [];
-    fleet.workers.carry = (_, order) => {
+    fleet.workers.decideOutcome = (_, order) => {
       if (fleet.workers.runs.length === 0) orders.push(order);
-      return StandIns.OrderFate.Carried;
+      return StandIns.OrderOutcome.Delivered;
     };
     const steps = [TestUtils.buildStep({ count: 8 })];
     await fleet.submit("node-1", "a000000000000001", { steps });
--- a/packages/workflow-node/src/foreign_entries_test.ts
+++ b/packages/workflow-node/src/foreign_entries_test.ts
@@ -34,7 +34,7 @@
   readonly isPermanent: boolean;
   /** Whether each entry has an id of its own. */
   readonly hasUniqueIds: boolean;
-  readonly atDeadAddress: StandIns.DeadAddress;
+  readonly atDeadAddress: StandIns.DeadAddressOutcome;
   /** Whether a first entry is written before the work is submitted. */
   readonly isEarly: boolean;
   /** Whether the endpoints write their own entries again in between. */
@@ -50,7 +50,7 @@
   overrides: UNUSABLE,
   isPermanent: false,
   hasUniqueIds: false,
-  atDeadAddress: StandIns.DeadAddress.Answers,
+  atDeadAddress: StandIns.DeadAddressOutcome.Answers,
   isEarly: false,
   hasHeartbeats: false,
 };
@@ -74,7 +74,7 @@
     const id = scenario.hasUniqueIds ? `foreign-${i}` : "foreign";
     writeForeign(fleet, id, scenario);
     await fleet.clock.advance(LISTING_DURATION_MS);
-    if (scenario.hasHeartbeats) fleet.beat();
+    if (scenario.hasHeartbeats) fleet.sendHeartbeats();
     if (!scenario.isPermanent) fleet.unlist(id);
     await fleet.clock.advance(ENTRY_INTERVAL_MS - LISTING_DURATION_MS);
   }
@@ -106,7 +106,7 @@
   const outcome = {
     runs: fleet.workers.runs.length,
     states: ids.map((id) => fleet.state(id)),
-    broken: TestUtils.findBrokenRuns(fleet),
+    broken: TestUtils.findRunViolations(fleet),
   };
   await fleet.stop();
   return outcome;
@@ -126,7 +126,7 @@
   },
   "that look usable, at an address that resets connections": {
     overrides: {},
-    atDeadAddress: StandIns.DeadAddress.Resets,
+    atDeadAddress: StandIns.DeadAddressOutcome.Resets,
   },
   "that look usable and are listed before the work": {
     overrides: {},
--- a/packages/workflow-node/src/foreign_records_test.ts
+++ b/packages/workflow-node/src/foreign_records_test.ts
@@ -34,7 +34,7 @@
     vitest.expect(await fleet.until(isTakenOver)).toBe(true);
     await fleet.clock.advance(2000);
     const token = fleet.token();
-    const [name] = fleet.nodes.keys();
+    const [name] = fleet.boxes.keys();
     await fleet.submit(name, LATER_ID);
     for (const id of [OTHER_ID, LATER_ID]) {
       vitest.expect(await fleet.until(() => isCompleted(fleet, id))).toBe(true);
@@ -58,11 +58,13 @@
     const key = keyOf(fleet, "intake:", UNREADABLE_ID);
     vitest.expect(key).not.toBe("");
     fleet.write(key, undefined);
-    const answer = fleet.ask("node-1", UNREADABLE_ID);
+    const answer = fleet.requestState("node-1", UNREADABLE_ID);
     await vitest.expect(answer).rejects
       .toMatchObject({ _tag: "StoreUnavailableError" });
     await fleet.until(() => isCompleted(fleet, OTHER_ID));
-    vitest.expect(await fleet.ask("node-1", OTHER_ID)).toBe("completed");
+    vitest.expect(await fleet.requestState("node-1", OTHER_ID)).toBe(
+      "completed",
+    );
     await fleet.stop();
   });
 });
@@ -90,7 +92,7 @@
       await fleet.start();
       fleet.write("test-operator/config", undefined);
       await fleet.clock.advance(3000);
-      const { access } = fleet.node("node-1");
+      const { access } = fleet.box("node-1");
       vitest.expect(access.config?.version).toBe(1);
       await fleet.submit("node-1", OTHER_ID);
       fleet.applyConfig(TestUtils.buildAccess({ hana: 4 }, 2));
--- a/packages/workflow-node/src/gang_failures_test.ts
+++ b/packages/workflow-node/src/gang_failures_test.ts
@@ -31,7 +31,7 @@
     config: { ...access, queues },
   });
   fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
-  fleet.workers.gangFollowsMs = () => RUN_MS;
+  fleet.workers.gangEndDelayMs = () => RUN_MS;
   await fleet.start();
   const steps = [
     TestUtils.buildStep({ count: 2, gang: true, estimateMs: RUN_MS }),
@@ -48,15 +48,15 @@
   meanwhile: () => Promise<void>,
 ): Promise<void> {
   const [first, second] = fleet.workers.runs;
-  fleet.workers.carry = (endpoint) =>
+  fleet.workers.decideOutcome = (endpoint) =>
     endpoint === second.worker
-      ? StandIns.OrderFate.Lost
-      : StandIns.OrderFate.Carried;
+      ? StandIns.OrderOutcome.Lost
+      : StandIns.OrderOutcome.Delivered;
   fleet.workers.endNow(first.task, "failed");
   await fleet.clock.advance(DELIVERY_MS);
   fleet.workers.endNow(second.task, "failed");
   await meanwhile();
-  fleet.workers.carry = () => StandIns.OrderFate.Carried;
+  fleet.workers.decideOutcome = () => StandIns.OrderOutcome.Delivered;
 }
 
 /** Returns whether both members run again in time. */
--- a/packages/workflow-node/src/gang_takeover_test.ts
+++ b/packages/workflow-node/src/gang_takeover_test.ts
@@ -20,7 +20,7 @@
 interface Gang {
   readonly fleet: TestUtils.TestFleet;
   /** First runs of the members. */
-  readonly runs: readonly StandIns.TaskRunNote[];
+  readonly runs: readonly StandIns.TaskRunRecord[];
 }
 
 /** Creates a fleet with capacity for two gangs. */
@@ -61,11 +61,11 @@
 /** Delivers a stop that was sent under an earlier token; the run takes long to end. */
 function deliverStop(
   fleet: TestUtils.TestFleet,
-  { task, run, worker }: StandIns.TaskRunNote,
+  { task, run, worker }: StandIns.TaskRunRecord,
   fencingToken: number,
 ): void {
   const { workers } = fleet;
-  workers.stopTakesMs = () => TestUtils.FLEET_BOUNDS.stopMs;
+  workers.stopDelayMs = () => TestUtils.FLEET_BOUNDS.stopMs;
   const ref = { id: worker, address: fleet.entryOf(worker)?.address ?? "" };
   Effect.runSync(workers.stop(ref, { task, run, fencingToken }));
 }
@@ -76,23 +76,23 @@
     const { workers } = fleet;
     // The next coordinator gets an answer to one poll of its endpoint only.
     let pollsLeft = 0;
-    const dropOrders: typeof workers.carry = (id, order) =>
+    const dropOrders: typeof workers.decideOutcome = (id, order) =>
       id !== third.worker || (order === "renew" && pollsLeft-- > 0)
-        ? StandIns.OrderFate.Carried
-        : StandIns.OrderFate.Lost;
-    workers.carry = dropOrders;
+        ? StandIns.OrderOutcome.Delivered
+        : StandIns.OrderOutcome.Lost;
+    workers.decideOutcome = dropOrders;
     const previousToken = await replaceCoordinator(fleet);
-    workers.carry = () => StandIns.OrderFate.Carried;
+    workers.decideOutcome = () => StandIns.OrderOutcome.Delivered;
     deliverStop(fleet, third, previousToken);
-    workers.carry = dropOrders;
+    workers.decideOutcome = dropOrders;
     pollsLeft = 1;
-    workers.gangFollowsMs = () => RUN_MS;
+    workers.gangEndDelayMs = () => RUN_MS;
     for (const { task } of [first, second]) workers.endNow(task, "broken");
     await fleet.clock.advance(TestUtils.FLEET_BOUNDS.stopMs * 2);
-    workers.carry = () => StandIns.OrderFate.Carried;
+    workers.decideOutcome = () => StandIns.OrderOutcome.Delivered;
     const hasRestarted = () => workers.runs.length >= 2 * SIZE;
     vitest.expect(await fleet.until(hasRestarted, TIMEOUT_MS)).toBe(true);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     vitest.expect(third.how).toBe("stopped");
     await fleet.stop();
   });
@@ -104,20 +104,20 @@
     await fleet.start();
     // One member's start arrives 2.5 s late, and its endpoint is unreachable then.
     let lateEndpoint = "";
-    workers.carry = (id, order) => {
+    workers.decideOutcome = (id, order) => {
       if (order === "start" && lateEndpoint === "") lateEndpoint = id;
-      if (id !== lateEndpoint) return StandIns.OrderFate.Carried;
+      if (id !== lateEndpoint) return StandIns.OrderOutcome.Delivered;
       return order === "start"
-        ? StandIns.OrderFate.Late
+        ? StandIns.OrderOutcome.Late
         : order === "renew" && workers.runs.length === 0
-        ? StandIns.OrderFate.Carried
-        : StandIns.OrderFate.Lost;
+        ? StandIns.OrderOutcome.Delivered
+        : StandIns.OrderOutcome.Lost;
     };
     await submitGang(fleet);
     await fleet.until(() => workers.runs.length === SIZE - 1);
     for (const { task } of [...workers.runs]) workers.endNow(task, "broken");
     await fleet.clock.advance(TIMEOUT_MS);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     vitest.expect(workers.runs.length).toBeGreaterThanOrEqual(2 * SIZE - 1);
     await fleet.stop();
   });
--- a/packages/workflow-node/src/give_up_reports_test.ts
+++ b/packages/workflow-node/src/give_up_reports_test.ts
@@ -29,13 +29,13 @@
 async function readReport(
   fleet: TestUtils.TestFleet,
 ): Promise<Coordinator.WorkflowReport | null> {
-  const [name] = fleet.nodes.keys();
-  return await fleet.run(fleet.node(name).describeWorkflow(CRASHING_ID));
+  const [name] = fleet.boxes.keys();
+  return await fleet.run(fleet.box(name).describeWorkflow(CRASHING_ID));
 }
 
 async function restartAll(fleet: TestUtils.TestFleet): Promise<void> {
-  for (const name of [...fleet.nodes.keys()]) await fleet.kill(name);
-  for (const name of ["node-4", "node-5"]) fleet.startNode(name);
+  for (const name of [...fleet.boxes.keys()]) await fleet.kill(name);
+  for (const name of ["node-4", "node-5"]) fleet.startBox(name);
   await fleet.clock.advance(10_000);
 }
 
@@ -84,7 +84,7 @@
     );
     const coordinator = fleet.coordinator() ?? "";
     await fleet.kill(coordinator);
-    fleet.startNode(`${coordinator}+`);
+    fleet.startBox(`${coordinator}+`);
     await fleet.until(isFailed(fleet), TIMEOUT_MS);
     const giveUp = (await readReport(fleet))?.giveUp;
     vitest.expect(giveUp?.isPartial).toBe(false);
@@ -111,7 +111,7 @@
     const messages: string[] = [];
     const fleet = new TestUtils.TestFleet({
       workers: [1, 1, 1, 1],
-      logOf: () => new TestUtils.KeptLog(messages),
+      logOf: () => new TestUtils.RecordingLog(messages),
     });
     crashTasks(fleet);
     await fleet.start();
@@ -141,9 +141,9 @@
       .filter(({ key }) => key.endsWith(`/${CRASHING_ID}`));
     const record = JSON.parse(JSON.stringify(row.value));
     delete record.giveUp.history;
-    for (const name of [...fleet.nodes.keys()]) await fleet.kill(name);
+    for (const name of [...fleet.boxes.keys()]) await fleet.kill(name);
     fleet.write(row.key, record);
-    fleet.startNode("node-4");
+    fleet.startBox("node-4");
     await fleet.clock.advance(10_000);
     const report = await readReport(fleet);
     vitest.expect(report?.state).toBe(Workflow.WorkflowState.Failed);
@@ -161,15 +161,17 @@
     await fleet.submit("node-1", CRASHING_ID, { steps });
     await fleet.until(() => fleet.workers.runs.length === 1);
     const [{ worker: lost }] = fleet.workers.runs;
-    fleet.workers.carry = (endpoint) =>
-      endpoint === lost ? StandIns.OrderFate.Lost : StandIns.OrderFate.Carried;
+    fleet.workers.decideOutcome = (endpoint) =>
+      endpoint === lost
+        ? StandIns.OrderOutcome.Lost
+        : StandIns.OrderOutcome.Delivered;
     // An endpoint that is unlisted without prior silence counts as having left.
     await fleet.clock.advance(ENTRY_EXPIRY_MS);
     fleet.unlist(lost);
     await fleet.clock.advance(TIMEOUT_MS / 2);
     const coordinator = fleet.coordinator() ?? "";
     await fleet.kill(coordinator);
-    fleet.startNode(`${coordinator}+`);
+    fleet.startBox(`${coordinator}+`);
     await fleet.clock.advance(TIMEOUT_MS / 2);
     const [row] = fleet.table.rowsUnder("progress:")
       .filter(({ key }) => key.endsWith(`/${CRASHING_ID}`));
