--- a/packages/workflow-node/src/hanging_poll_test.ts
+++ b/packages/workflow-node/src/hanging_poll_test.ts
@@ -32,12 +32,12 @@
   await fleet.clock.advance(1000);
   const [{ worker }] = fleet.workers.runs;
   let hasHung = false;
-  fleet.workers.carry = (endpoint, order) => {
+  fleet.workers.decideOutcome = (endpoint, order) => {
     if (hasHung || endpoint !== worker || order !== "renew") {
-      return StandIns.OrderFate.Carried;
+      return StandIns.OrderOutcome.Delivered;
     }
     hasHung = true;
-    return StandIns.OrderFate.Silent;
+    return StandIns.OrderOutcome.Silent;
   };
   await fleet.until(() => hasHung);
   return fleet;
@@ -51,7 +51,7 @@
     const hasRestarted = () => fleet.workers.runs.length === 2 * SIZE;
     vitest.expect(await fleet.until(hasRestarted, TIMEOUT_MS)).toBe(true);
     await fleet.clock.advance(3000);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     await fleet.stop();
   });
 
@@ -63,7 +63,7 @@
       fleet.workers.runsOf(`${URGENT_ID}.0.0.0`).length > 0;
     vitest.expect(await fleet.until(hasStarted, TIMEOUT_MS)).toBe(true);
     await fleet.clock.advance(3000);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     await fleet.stop();
   });
 });
--- a/packages/workflow-node/src/incarnations_test.ts
+++ b/packages/workflow-node/src/incarnations_test.ts
@@ -19,7 +19,7 @@
 ): Promise<TestUtils.TestFleet> {
   const fleet = new TestUtils.TestFleet({ workers });
   fleet.keepsIds = true;
-  fleet.crashBackMs = 500;
+  fleet.restartDelayMs = 500;
   fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
   await fleet.start();
   return fleet;
@@ -34,10 +34,10 @@
     const fleet = await startFleet([1]);
     // The first start gets no answer and is carried out 2.5 s later; the second works.
     let starts = 0;
-    fleet.workers.carry = (_, order) =>
+    fleet.workers.decideOutcome = (_, order) =>
       order === "start" && starts++ === 0
-        ? StandIns.OrderFate.Late
-        : StandIns.OrderFate.Carried;
+        ? StandIns.OrderOutcome.Late
+        : StandIns.OrderOutcome.Delivered;
     await fleet.submit("node-1", ID);
     await fleet.until(isCompleted(fleet, ID));
     fleet.workers.crash("worker-0");
@@ -62,14 +62,14 @@
       vitest.expect(await fleet.until(isCompleted(fleet, OTHER_ID), 4000)).toBe(
         true,
       );
-      vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+      vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
       await fleet.stop();
     },
   );
 
   vitest.it("is used at another address", async () => {
     const fleet = await startFleet([1]);
-    fleet.crashBackMs = TIMEOUT_MS;
+    fleet.restartDelayMs = TIMEOUT_MS;
     fleet.workers.behave = () => ({ runMs: 5000, fails: false });
     await fleet.submit("node-1", ID);
     await fleet.until(() => fleet.workers.runsOf(TASK).length === 1);
@@ -77,11 +77,11 @@
     fleet.workers.crash("worker-0");
     await fleet.clock.advance(400);
     const spec = { id: "worker-0", accelerators: 1 };
-    fleet.workers.beginAgain(spec);
-    fleet.workers.vacate(fleet.entryOf("worker-0")?.address ?? "");
+    fleet.workers.restart(spec);
+    fleet.workers.removeListener(fleet.entryOf("worker-0")?.address ?? "");
     fleet.list(spec, 7);
     vitest.expect(await fleet.until(isCompleted(fleet, ID), 12_000)).toBe(true);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     await fleet.stop();
   });
 
@@ -89,7 +89,7 @@
     "reveals a crash to a coordinator that never polled the run",
     async () => {
       const fleet = await startFleet([1, 1]);
-      fleet.crashBackMs = 3000;
+      fleet.restartDelayMs = 3000;
       fleet.workers.behave = () => ({
         runMs: TIMEOUT_MS,
         fails: false,
@@ -108,11 +108,11 @@
         );
         const coordinator = fleet.coordinator() ?? "";
         await fleet.kill(coordinator);
-        fleet.startNode(`${coordinator}+`);
+        fleet.startBox(`${coordinator}+`);
       }
       vitest.expect(await fleet.until(isOver, TIMEOUT_MS)).toBe(true);
       vitest.expect(runs.length).toBeLessThanOrEqual(MAX_STARTS);
-      vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+      vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
       await fleet.stop();
     },
   );
@@ -143,10 +143,10 @@
 vitest.describe("endpoints that report no birth time", () => {
   vitest.it("have one incarnation for each id", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [] });
-    fleet.workers.birthOf = () => null;
+    fleet.workers.createBirthMs = () => null;
     for (const [i, id] of ["i-0", "i-1"].entries()) {
       const spec = { id, accelerators: 2 };
-      fleet.workers.beginAgain(spec);
+      fleet.workers.restart(spec);
       fleet.list(spec, i);
     }
     fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
@@ -162,7 +162,7 @@
     }
     const isOver = () => ids.every((id) => isCompleted(fleet, id)());
     vitest.expect(await fleet.until(isOver, TIMEOUT_MS)).toBe(true);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     await fleet.stop();
   });
 });
--- a/packages/workflow-node/src/isolated_coordinator_test.ts
+++ b/packages/workflow-node/src/isolated_coordinator_test.ts
@@ -54,9 +54,10 @@
     const isolated = fleet.coordinator() ?? "";
     isolateEndpoint(fleet, fleet.workers.runs[0].worker, fleet.token());
     fleet.faultsOf(isolated).set({ down: true });
-    fleet.links.passes = (from, to) => from !== isolated && to !== isolated;
+    fleet.links.isReachable = (from, to) =>
+      from !== isolated && to !== isolated;
     await fleet.clock.advance(PARTITION_MS);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     await fleet.stop();
   });
 });
--- a/packages/workflow-node/src/late_copy_test.ts
+++ b/packages/workflow-node/src/late_copy_test.ts
@@ -31,15 +31,15 @@
 }
 
 async function runScenario(isSubmittedAgain: boolean): Promise<string[]> {
-  const fleet = new TestUtils.TestFleet({ nodes: 2 });
+  const fleet = new TestUtils.TestFleet({ boxes: 2 });
   fleet.workers.behave = () => ({ runMs: 3000, fails: false });
   await fleet.start();
   const coordinator = fleet.coordinator() ?? "";
-  fleet.startNode("door");
+  fleet.startBox("door");
   await fleet.clock.advance(500);
   fillPartitions(fleet);
   const token = fleet.token();
-  for (const name of fleet.nodes.keys()) {
+  for (const name of fleet.boxes.keys()) {
     const kilobyteMs = name === "door" ? 0 : KILOBYTE_MS;
     fleet.faultsOf(name).set({ kilobyteMs });
   }
--- a/packages/workflow-node/src/late_failures_test.ts
+++ b/packages/workflow-node/src/late_failures_test.ts
@@ -74,17 +74,17 @@
   fleet: TestUtils.TestFleet,
   scenario: Scenario,
 ): Promise<void> {
-  const handled = new Set<StandIns.TaskRunNote>();
-  fleet.workers.carry = (endpoint) =>
+  const handled = new Set<StandIns.TaskRunRecord>();
+  fleet.workers.decideOutcome = (endpoint) =>
     isSilent(fleet, endpoint, scenario)
-      ? StandIns.OrderFate.Lost
-      : StandIns.OrderFate.Carried;
+      ? StandIns.OrderOutcome.Lost
+      : StandIns.OrderOutcome.Delivered;
   for (let ms = 0; ms < scenario.durationMs; ms += SAMPLE_MS) {
     await fleet.clock.advance(SAMPLE_MS);
-    fleet.workers.settle();
-    for (const note of fleet.workers.runsOf(FAILING)) {
-      if (note.how !== "failed" || handled.has(note)) continue;
-      handled.add(note);
+    fleet.workers.update();
+    for (const record of fleet.workers.runsOf(FAILING)) {
+      if (record.how !== "failed" || handled.has(record)) continue;
+      handled.add(record);
       for (const other of OTHERS) fleet.workers.endNow(other, "broken");
       if (scenario.takeoverDelayMs === null) continue;
       await fleet.clock.advance(scenario.takeoverDelayMs);
@@ -95,9 +95,9 @@
 
 async function replaceCoordinator(fleet: TestUtils.TestFleet): Promise<void> {
   const coordinator = fleet.coordinator();
-  if (coordinator === null || !fleet.nodes.has(coordinator)) return;
+  if (coordinator === null || !fleet.boxes.has(coordinator)) return;
   await fleet.kill(coordinator);
-  fleet.startNode(`${coordinator}+`);
+  fleet.startBox(`${coordinator}+`);
 }
 
 function isFailed(fleet: TestUtils.TestFleet): boolean {
@@ -180,11 +180,13 @@
         fleet.workers.runsOf(`${ID}.0.0.0`).length >= run;
       vitest.expect(await fleet.until(hasStarted)).toBe(true);
       // The stop is lost, so that the run fails before it arrives.
-      fleet.workers.carry = (_, order) =>
-        order === "stop" ? StandIns.OrderFate.Lost : StandIns.OrderFate.Carried;
+      fleet.workers.decideOutcome = (_, order) =>
+        order === "stop"
+          ? StandIns.OrderOutcome.Lost
+          : StandIns.OrderOutcome.Delivered;
       await submitUrgent(run);
       await fleet.clock.advance(FAILURE_DELAY_MS * 20);
-      fleet.workers.carry = () => StandIns.OrderFate.Carried;
+      fleet.workers.decideOutcome = () => StandIns.OrderOutcome.Delivered;
     }
     await fleet.clock.advance(TIMEOUT_MS);
     vitest.expect(isFailed(fleet)).toBe(true);
--- a/packages/workflow-node/src/late_records_test.ts
+++ b/packages/workflow-node/src/late_records_test.ts
@@ -18,7 +18,7 @@
 const RUN_MS = 20_000;
 
 function setDown(fleet: TestUtils.TestFleet, ...partitions: string[]): void {
-  for (const name of fleet.nodes.keys()) {
+  for (const name of fleet.boxes.keys()) {
     fleet.faultsOf(name).set({ downPartitions: partitions });
   }
 }
@@ -45,8 +45,8 @@
     "starts again if its endpoint's end was detected before",
     async () => {
       const fleet = new TestUtils.TestFleet({ workers: [1, 1, 1] });
-      fleet.crashBackMs = 1000;
-      fleet.entryOutlastsMs = 3000;
+      fleet.restartDelayMs = 1000;
+      fleet.entryOverlapMs = 3000;
       const worker = await takeOverWithoutHome(fleet, [FIRST_ID]);
       fleet.workers.crash(worker);
       await fleet.clock.advance(2500);
--- a/packages/workflow-node/src/late_starts_test.ts
+++ b/packages/workflow-node/src/late_starts_test.ts
@@ -18,7 +18,7 @@
 /** Time after the restart within which all late orders are delivered, in ms. */
 const SETTLED_MS = 5000;
 
-const { AnswerLost, Carried, Late, Silent } = StandIns.OrderFate;
+const { AnswerLost, Delivered, Late, Silent } = StandIns.OrderOutcome;
 
 /** Submits one task; returns the fleet and the time of its first start order. */
 async function submitTask(
@@ -27,14 +27,14 @@
 ): Promise<{ fleet: TestUtils.TestFleet; firstSentAtMs: number }> {
   const fleet = new TestUtils.TestFleet({ workers: [1, 1] });
   fleet.keepsIds = true;
-  fleet.crashBackMs = NEVER_MS;
+  fleet.restartDelayMs = NEVER_MS;
   fleet.workers.behave = () => ({ runMs, fails: false });
   await fleet.start();
   let firstSentAtMs: number | null = null;
-  fleet.workers.carry = (endpoint, order) => {
-    if (order !== "start") return Carried;
+  fleet.workers.decideOutcome = (endpoint, order) => {
+    if (order !== "start") return Delivered;
     firstSentAtMs ??= fleet.clock.monotonicMs();
-    return isLate(endpoint) ? Late : Carried;
+    return isLate(endpoint) ? Late : Delivered;
   };
   const steps = [TestUtils.buildStep({ estimateMs: runMs })];
   await fleet.submit("node-1", ID, { steps });
@@ -51,7 +51,7 @@
   fleet.workers.crash(id);
   const bornAtMs = arrivesAtMs - RESTART_LEAD_MS;
   await fleet.clock.advance(bornAtMs - fleet.clock.monotonicMs());
-  fleet.beginAgain({ id, accelerators: 1 });
+  fleet.restartUnderSameId({ id, accelerators: 1 });
   await fleet.clock.advance(SETTLED_MS);
 }
 
@@ -65,14 +65,15 @@
     const { workers } = fleet;
     const [first] = workers.runs;
     await fleet.until(() => first.acknowledgedAtMs !== null);
-    workers.carry = (_, order) => order === "renew" ? AnswerLost : Carried;
+    workers.decideOutcome = (_, order) =>
+      order === "renew" ? AnswerLost : Delivered;
     await crashAndBeginAgain(
       fleet,
       first.worker,
       firstSentAtMs + LATE_START_DELAY_MS,
     );
     vitest.expect(workers.runsOf(TASK).length).toBe(1);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     await fleet.stop();
   });
 
@@ -83,15 +84,15 @@
       (id) => id === (lateEndpointId ??= id),
     );
     const { workers } = fleet;
-    workers.carry = (id, order) =>
-      id === lateEndpointId && order === "renew" ? AnswerLost : Carried;
+    workers.decideOutcome = (id, order) =>
+      id === lateEndpointId && order === "renew" ? AnswerLost : Delivered;
     await crashAndBeginAgain(
       fleet,
       lateEndpointId ?? "",
       firstSentAtMs + LATE_START_DELAY_MS,
     );
     vitest.expect(workers.runsOf(TASK).length).toBe(1);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     await fleet.stop();
   });
 });
@@ -104,9 +105,9 @@
       (id) => id === (lateEndpointId ??= id),
     );
     let stops = 0;
-    fleet.workers.carry = (_, order) => {
+    fleet.workers.decideOutcome = (_, order) => {
       if (order === "stop") stops++;
-      return Carried;
+      return Delivered;
     };
     fleet.workers.crash(lateEndpointId ?? "");
     await fleet.until(() => stops > 0);
@@ -128,11 +129,11 @@
     const previousToken = fleet.token();
     // The new coordinator's first poll of the endpoint gets no answer.
     let hasHung = false;
-    workers.carry = (id, order) => {
+    workers.decideOutcome = (id, order) => {
       const isHanging = !hasHung && fleet.token() > previousToken &&
         id === lateEndpointId && order === "renew";
       hasHung ||= isHanging;
-      return isHanging ? Silent : Carried;
+      return isHanging ? Silent : Delivered;
     };
     await fleet.kill(fleet.coordinator() ?? "");
     await crashAndBeginAgain(
@@ -141,7 +142,7 @@
       firstSentAtMs + LATE_START_DELAY_MS,
     );
     vitest.expect(workers.runsOf(TASK).length).toBe(1);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     vitest.expect(hasHung).toBe(true);
     await fleet.stop();
   });
--- a/packages/workflow-node/src/leaving_endpoints_test.ts
+++ b/packages/workflow-node/src/leaving_endpoints_test.ts
@@ -21,7 +21,7 @@
 
 async function startTask(): Promise<TestUtils.TestFleet> {
   const fleet = new TestUtils.TestFleet({ workers: [1, 1, 1] });
-  fleet.crashBackMs = REPLACEMENT_DELAY_MS;
+  fleet.restartDelayMs = REPLACEMENT_DELAY_MS;
   fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
   await fleet.start();
   await fleet.submit("node-1", ID, { steps: STEPS });
@@ -58,7 +58,7 @@
       const crashed = Array.from({ length: times }, () => "crashed");
       vitest.expect(ends).toEqual([...crashed, "done"]);
       vitest.expect(isDone(fleet)()).toBe(true);
-      vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+      vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
       await fleet.stop();
     });
   }
--- a/packages/workflow-node/src/lost_data_centre_test.ts
+++ b/packages/workflow-node/src/lost_data_centre_test.ts
@@ -13,7 +13,7 @@
 
 async function startFleet() {
   const fleet = new TestUtils.TestFleet({
-    nodes: 6,
+    boxes: 6,
     workers: SIZES,
     dataCentreOf,
     config: TestUtils.buildAccess({ hana: 8, jan: 0 }),
@@ -25,11 +25,11 @@
 
 /** Ends the coordinator, another box and all endpoints there at once. */
 async function losePower(fleet: TestUtils.TestFleet): Promise<void> {
-  const lost = fleet.workers.listLives().filter((id) =>
-    dataCentreOf(fleet.placeOf(id)) === LOST_DATA_CENTRE
+  const lost = fleet.workers.listRunning().filter((id) =>
+    dataCentreOf(fleet.indexOf(id)) === LOST_DATA_CENTRE
   );
   const coordinator = fleet.coordinator() ?? "";
-  const [other] = [...fleet.nodes.keys()].filter((n) => n !== coordinator);
+  const [other] = [...fleet.boxes.keys()].filter((n) => n !== coordinator);
   // The power does not return, so no endpoint restarts.
   fleet.workers.onCrash = () => {};
   for (const id of lost) fleet.workers.crash(id);
@@ -40,7 +40,7 @@
 function countStartsElsewhere(fleet: TestUtils.TestFleet, id: string): number {
   return fleet.workers.runs.filter(({ task, worker }) =>
     task.startsWith(`${id}.`) &&
-    dataCentreOf(fleet.placeOf(worker)) !== LOST_DATA_CENTRE
+    dataCentreOf(fleet.indexOf(worker)) !== LOST_DATA_CENTRE
   ).length;
 }
 
@@ -59,14 +59,14 @@
     const isDone = () =>
       ids.every((id) => fleet.state(id) === Workflow.WorkflowState.Completed);
     vitest.expect(await fleet.until(isDone, 60_000)).toBe(true);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     await fleet.stop();
   });
 
   vitest.it("violates no guarantee: other work yields elsewhere", async () => {
     const fleet = await startFleet();
     const wideStep = TestUtils.buildStep({ count: 24, estimateMs: 2500 });
-    const [first] = fleet.nodes.keys();
+    const [first] = fleet.boxes.keys();
     await fleet.submit(first, "b000000000000001", {
       tenant: "jan",
       priority: 2,
@@ -74,7 +74,7 @@
     });
     await fleet.until(() => fleet.workers.runs.length >= 24);
     await losePower(fleet);
-    const [box] = fleet.nodes.keys();
+    const [box] = fleet.boxes.keys();
     const urgentStep = TestUtils.buildStep({ count: 8, estimateMs: 2500 });
     const id = "a000000000000001";
     await fleet.submit(box, id, { priority: 0, steps: [urgentStep] });
--- a/packages/workflow-node/src/lost_endpoints_test.ts
+++ b/packages/workflow-node/src/lost_endpoints_test.ts
@@ -13,10 +13,10 @@
     await fleet.submit("node-1", "a000000000000001", { steps });
     await fleet.until(() => fleet.workers.runs.length === 1);
     const [first] = fleet.workers.runs;
-    fleet.workers.carry = (worker) =>
+    fleet.workers.decideOutcome = (worker) =>
       worker === first.worker
-        ? StandIns.OrderFate.Lost
-        : StandIns.OrderFate.Carried;
+        ? StandIns.OrderOutcome.Lost
+        : StandIns.OrderOutcome.Delivered;
     const isRestarted = await fleet.until(() =>
       fleet.workers.runs.length === 2
     );
@@ -42,10 +42,10 @@
     await fleet.until(() => fleet.workers.runs.length === 1);
     const [first] = fleet.workers.runs;
     let orderCount = 0;
-    fleet.workers.carry = (worker) => {
-      if (worker !== first.worker) return StandIns.OrderFate.Carried;
+    fleet.workers.decideOutcome = (worker) => {
+      if (worker !== first.worker) return StandIns.OrderOutcome.Delivered;
       orderCount++;
-      return StandIns.OrderFate.Lost;
+      return StandIns.OrderOutcome.Lost;
     };
     fleet.unlist(first.worker);
     await fleet.until(() => fleet.workers.runs.length === 2);
--- a/packages/workflow-node/src/lost_renewals_test.ts
+++ b/packages/workflow-node/src/lost_renewals_test.ts
@@ -19,7 +19,7 @@
 const SEEDS: readonly number[] = [1, 2, 3, 4, 5, 6];
 
 async function startFleet(seed = 1): Promise<TestUtils.TestFleet> {
-  const fleet = new TestUtils.TestFleet({ nodes: 4, seed });
+  const fleet = new TestUtils.TestFleet({ boxes: 4, seed });
   await fleet.start();
   await fleet.clock.advance(WARM_UP_MS);
   return fleet;
@@ -43,7 +43,7 @@
     async (seed) => {
       const fleet = await startFleet(seed);
       const token = fleet.token();
-      for (const name of fleet.nodes.keys()) {
+      for (const name of fleet.boxes.keys()) {
         fleet.faultsOf(name).set({ swallowWrites: LOST_WRITES_SHARE });
       }
       await fleet.clock.advance(TAKEOVER_MS);
@@ -57,7 +57,7 @@
     async (seed) => {
       const fleet = await startFleet(seed);
       const token = fleet.token();
-      for (const name of fleet.nodes.keys()) {
+      for (const name of fleet.boxes.keys()) {
         fleet.faultsOf(name).set({ swallowWrites: LOST_WRITES_SHARE });
       }
       await fleet.kill(fleet.coordinator() ?? "");
--- a/packages/workflow-node/src/misleading_run_ends_test.ts
+++ b/packages/workflow-node/src/misleading_run_ends_test.ts
@@ -50,23 +50,23 @@
     await fleet.until(() => fleet.workers.runs.length === 1);
     await fleet.clock.advance(500);
     const { worker } = fleet.workers.runs[0];
-    const place = fleet.placeOf(worker);
+    const place = fleet.indexOf(worker);
     rewriteAddress(fleet, worker, `10.0.0.${(place + 1) % 3}:80`);
     await fleet.clock.advance(HEARTBEATS_MS);
     fleet.list({ id: worker, accelerators: 1 }, place);
     await fleet.clock.advance(BEYOND_LEASE_MS);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     vitest.expect(fleet.workers.runs.length).toBe(1);
     await fleet.stop();
   });
 
   vitest.it("ends no start that is under way", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1, 1] });
-    fleet.workers.vacate(VACANT_ADDRESS);
+    fleet.workers.removeListener(VACANT_ADDRESS);
     fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
     await fleet.start();
     await fleet.clock.advance(BEYOND_LEASE_MS);
-    for (const name of fleet.nodes.keys()) {
+    for (const name of fleet.boxes.keys()) {
       fleet.faultsOf(name).set({ delayMs: STORE_DELAY_MS });
     }
     await fleet.submit("node-1", ID, { steps: STEPS });
@@ -77,7 +77,7 @@
     await fleet.clock.advance(HEARTBEATS_MS);
     fleet.list({ id: "worker-0", accelerators: 1 }, 0);
     await fleet.clock.advance(BEYOND_LEASE_MS);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     vitest.expect(fleet.workers.runs.length).toBe(1);
     await fleet.stop();
   });
@@ -90,12 +90,12 @@
     await fleet.until(() => fleet.workers.runs.length === 1);
     await fleet.clock.advance(500);
     const [first] = fleet.workers.runs;
-    const place = fleet.placeOf(first.worker);
+    const place = fleet.indexOf(first.worker);
     rewriteAddress(fleet, first.worker, `10.0.0.${(place + 1) % 3}:80`);
     await fleet.kill(fleet.coordinator() ?? "");
     const runsAgain = () => fleet.workers.runs.length === 2;
     vitest.expect(await fleet.until(runsAgain)).toBe(true);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     vitest.expect(first.how).toBe("lapsed");
     await fleet.stop();
   });
--- a/packages/workflow-node/src/open_ends_test.ts
+++ b/packages/workflow-node/src/open_ends_test.ts
@@ -36,7 +36,7 @@
         }
         await fleet.clock.advance(300);
         const { worker: id } = fleet.workers.runs[i - 1];
-        fleet.list({ id, accelerators: 1 }, fleet.placeOf(id), {
+        fleet.list({ id, accelerators: 1 }, fleet.indexOf(id), {
           draining: true,
         });
         await fleet.clock.advance(100);
@@ -83,10 +83,10 @@
     const fleet = new TestUtils.TestFleet({ workers: singleEndpoints(8) });
     const unreachable = new Set<string>();
     fleet.workers.behave = () => ({ runMs: 60_000, fails: false });
-    fleet.workers.carry = (endpoint) =>
+    fleet.workers.decideOutcome = (endpoint) =>
       unreachable.has(endpoint)
-        ? StandIns.OrderFate.Silent
-        : StandIns.OrderFate.Carried;
+        ? StandIns.OrderOutcome.Silent
+        : StandIns.OrderOutcome.Delivered;
     await fleet.start();
     const steps = [TestUtils.buildStep({ estimateMs: 60_000 })];
     await fleet.submit("node-1", ID, { steps });
@@ -116,11 +116,11 @@
   vitest.it("does not fail by starts that were only recorded", async () => {
     const fleet = new TestUtils.TestFleet({
       workers: singleEndpoints(6),
-      nodes: 4,
+      boxes: 4,
     });
     fleet.workers.behave = () => ({ runMs: 60_000, fails: false });
-    fleet.crashBackMs = 1000;
-    fleet.entryOutlastsMs = 3000;
+    fleet.restartDelayMs = 1000;
+    fleet.entryOverlapMs = 3000;
     await fleet.start();
     const steps = [TestUtils.buildStep({ estimateMs: 60_000 })];
     await fleet.submit("node-1", ID, { steps });
@@ -139,15 +139,15 @@
       }
       return { run: entry[0], worker: record.workers[entry[1]] };
     };
-    fleet.workers.carry = () => StandIns.OrderFate.Carried;
+    fleet.workers.decideOutcome = () => StandIns.OrderOutcome.Delivered;
     fleet.workers.crash(crashedEndpoint);
     let run = 1;
     for (let i = 0; i < 3; i++) {
       // No start is delivered until the coordinator has been replaced.
-      fleet.workers.carry = (_, order) =>
+      fleet.workers.decideOutcome = (_, order) =>
         order === "start"
-          ? StandIns.OrderFate.Lost
-          : StandIns.OrderFate.Carried;
+          ? StandIns.OrderOutcome.Lost
+          : StandIns.OrderOutcome.Delivered;
       const isFound = await fleet.until(
         () => (readAssignment()?.run ?? 0) > run,
         30_000,
@@ -159,16 +159,16 @@
       fleet.workers.crash(assignment.worker);
       const coordinator = fleet.coordinator() ?? "";
       await fleet.kill(coordinator);
-      fleet.startNode(`${coordinator}+`);
+      fleet.startBox(`${coordinator}+`);
       await fleet.clock.advance(4000);
     }
-    fleet.workers.carry = () => StandIns.OrderFate.Carried;
+    fleet.workers.decideOutcome = () => StandIns.OrderOutcome.Delivered;
     await fleet.clock.advance(10_000);
     const crashed = fleet.workers.runsOf(TASK).filter(({ how }) =>
       how === "crashed"
     );
     vitest.expect(crashed.length).toBe(1);
-    vitest.expect(TestUtils.checkFailed(fleet, ID)).toEqual([]);
+    vitest.expect(TestUtils.checkFailedWorkflow(fleet, ID)).toEqual([]);
     await fleet.stop();
   });
 });
--- a/packages/workflow-node/src/outage_test.ts
+++ b/packages/workflow-node/src/outage_test.ts
@@ -130,7 +130,7 @@
       const { Completed } = Workflow.WorkflowState;
       const areDone = () => ids.every((id) => fleet.state(id) === Completed);
       vitest.expect(await fleet.until(areDone, TIMEOUT_MS)).toBe(true);
-      vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+      vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
       await fleet.stop();
     });
   }
--- a/packages/workflow-node/src/partitions_test.ts
+++ b/packages/workflow-node/src/partitions_test.ts
@@ -15,7 +15,7 @@
 }
 
 function setDown(fleet: TestUtils.TestFleet, ...partitions: string[]): void {
-  for (const name of fleet.nodes.keys()) {
+  for (const name of fleet.boxes.keys()) {
     fleet.faultsOf(name).set({ downPartitions: partitions });
   }
 }
@@ -56,7 +56,7 @@
       setDown(fleet, HOME_PARTITION);
       await fleet.submit("node-1", FIRST_ID);
       await fleet.until(() => isCompleted(fleet, FIRST_ID));
-      const ask = () => fleet.ask("node-2", FIRST_ID);
+      const ask = () => fleet.requestState("node-2", FIRST_ID);
       vitest.expect(await ask()).toBe(Workflow.WorkflowState.Completed);
       setDown(fleet);
       await fleet.clock.advance(1000);
@@ -72,11 +72,11 @@
   vitest.it("a workflow is not reported as unknown", async () => {
     const fleet = await startFleet(1000);
     setDown(fleet, TableClient.Keys.homePartition(SECOND_ID));
-    await vitest.expect(fleet.ask("node-1", FIRST_ID)).rejects
+    await vitest.expect(fleet.requestState("node-1", FIRST_ID)).rejects
       .toMatchObject({ _tag: "StoreUnavailableError" });
     setDown(fleet);
     await fleet.clock.advance(1000);
-    await vitest.expect(fleet.ask("node-1", FIRST_ID)).rejects
+    await vitest.expect(fleet.requestState("node-1", FIRST_ID)).rejects
       .toMatchObject({ _tag: "UnknownJobError" });
     await fleet.stop();
   });
--- a/packages/workflow-node/src/previous_leases_test.ts
+++ b/packages/workflow-node/src/previous_leases_test.ts
@@ -25,11 +25,12 @@
 /** Cuts the coordinator off from the store and the other boxes, not from endpoints. */
 function isolateCoordinator(fleet: TestUtils.TestFleet): void {
   const coordinator = fleet.coordinator() ?? "";
-  for (const name of fleet.nodes.keys()) {
+  for (const name of fleet.boxes.keys()) {
     fleet.faultsOf(name).set({ delayMs: STORE_DELAY_MS });
   }
   fleet.faultsOf(coordinator).set({ down: true });
-  fleet.links.passes = (from, to) => from !== coordinator && to !== coordinator;
+  fleet.links.isReachable = (from, to) =>
+    from !== coordinator && to !== coordinator;
 }
 
 /** Cuts an endpoint off as soon as the next coordinator polls any endpoint. */
@@ -42,10 +43,10 @@
     isIsolated ||= order.fencingToken > token;
     return renew(ref, order);
   };
-  workers.carry = (id) =>
+  workers.decideOutcome = (id) =>
     isIsolated && id === endpoint
-      ? StandIns.OrderFate.Lost
-      : StandIns.OrderFate.Carried;
+      ? StandIns.OrderOutcome.Lost
+      : StandIns.OrderOutcome.Delivered;
 }
 
 vitest.describe("a lease that a previous coordinator renews", () => {
@@ -62,7 +63,7 @@
     isolateCoordinator(fleet);
     const hasRestarted = () => workers.runs.length === 2;
     vitest.expect(await fleet.until(hasRestarted, TIMEOUT_MS)).toBe(true);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     vitest.expect(first.how).toBe("lapsed");
     await fleet.stop();
   });
@@ -71,7 +72,7 @@
     const messages: string[] = [];
     const fleet = new TestUtils.TestFleet({
       workers: [1, 1, 1],
-      logOf: () => new TestUtils.KeptLog(messages),
+      logOf: () => new TestUtils.RecordingLog(messages),
     });
     const { workers } = fleet;
     workers.behave = () => ({ runMs: RUN_MS, fails: false });
@@ -87,7 +88,7 @@
       await fleet.submit("node-1", id, { steps: OVERSIZED_STEPS });
     }
     isolateCoordinator(fleet);
-    for (const name of fleet.nodes.keys()) {
+    for (const name of fleet.boxes.keys()) {
       fleet.faultsOf(name).set({ kilobyteMs: KILOBYTE_MS });
     }
     fleet.unlist(first.worker);
@@ -99,7 +100,7 @@
     const hasRestarted = () => workers.runsOf(first.task).length === 2;
     vitest.expect(await fleet.until(hasRestarted, TIMEOUT_MS)).toBe(true);
 
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     vitest.expect(first.how).toBe("lapsed");
     await fleet.stop();
   });
--- a/packages/workflow-node/src/random_entry_expiry_test.ts
+++ b/packages/workflow-node/src/random_entry_expiry_test.ts
@@ -5,7 +5,7 @@
 import * as TestUtils from "@cairngate/test-utils";
 import * as vitest from "vitest";
 
-const KINDS = TestUtils.PLAY_KINDS.lapses;
+const KINDS = TestUtils.SIMULATION_KINDS.lapses;
 
 /**
  * Seeds that once failed. 1019: a completed run that an earlier coordinator had
@@ -22,7 +22,9 @@
 vitest.describe("random faults and unreliable entries that once failed", () => {
   for (const seed of REGRESSION_SEEDS) {
     vitest.it(`break nothing, seed ${seed}`, async () => {
-      vitest.expect(await TestUtils.playRandomFaults(seed, KINDS)).toEqual([]);
+      vitest.expect(await TestUtils.simulateRandomFaults(seed, KINDS)).toEqual(
+        [],
+      );
     });
   }
 });
@@ -31,13 +33,14 @@
   "random faults and unreliable entries",
   () => {
     for (const seed of TestUtils.faultSeeds()) {
-      if (TestUtils.isRed("lapses", seed)) continue;
+      if (TestUtils.isUnresolvedFailure("lapses", seed)) continue;
       vitest.it(
         `lose nothing and run nothing twice, seed ${seed}`,
         async () => {
-          vitest.expect(await TestUtils.playRandomFaults(seed, KINDS)).toEqual(
-            [],
-          );
+          vitest.expect(await TestUtils.simulateRandomFaults(seed, KINDS))
+            .toEqual(
+              [],
+            );
         },
       );
     }
--- a/packages/workflow-node/src/random_evacuations_test.ts
+++ b/packages/workflow-node/src/random_evacuations_test.ts
@@ -10,7 +10,9 @@
     vitest.it(
       `start nothing in an evacuated data centre, seed ${seed}`,
       async () => {
-        const broken = TestUtils.playRandomFaults(seed, { evacuates: true });
+        const broken = TestUtils.simulateRandomFaults(seed, {
+          evacuates: true,
+        });
         vitest.expect(await broken).toEqual([]);
       },
     );
@@ -23,9 +25,10 @@
       `start nothing in an evacuated data centre, seed ${seed}`,
       async () => {
         const kinds = { evacuates: true, suspends: true };
-        vitest.expect(await TestUtils.playRandomFaults(seed, kinds)).toEqual(
-          [],
-        );
+        vitest.expect(await TestUtils.simulateRandomFaults(seed, kinds))
+          .toEqual(
+            [],
+          );
       },
     );
   }
@@ -39,9 +42,10 @@
         `lose nothing and start nothing evacuated, seed ${seed}`,
         async () => {
           const kinds = { evacuates: true, losesPower: true };
-          vitest.expect(await TestUtils.playRandomFaults(seed, kinds)).toEqual(
-            [],
-          );
+          vitest.expect(await TestUtils.simulateRandomFaults(seed, kinds))
+            .toEqual(
+              [],
+            );
         },
       );
     }
--- a/packages/workflow-node/src/random_faults_test.ts
+++ b/packages/workflow-node/src/random_faults_test.ts
@@ -1,5 +1,5 @@
 /**
- * Random faults on several boxes, see TestUtils.playRandomFaults.
+ * Random faults on several boxes, see TestUtils.simulateRandomFaults.
  * CAIRNGATE_FAULT_RUNS sets the number of seeds, CAIRNGATE_FAULT_FROM the first one.
  */
 import * as TestUtils from "@cairngate/test-utils";
@@ -20,16 +20,16 @@
 vitest.describe("random faults that once failed", () => {
   for (const seed of REGRESSION_SEEDS) {
     vitest.it(`break nothing, seed ${seed}`, async () => {
-      vitest.expect(await TestUtils.playRandomFaults(seed)).toEqual([]);
+      vitest.expect(await TestUtils.simulateRandomFaults(seed)).toEqual([]);
     });
   }
 });
 
 vitest.describe("random faults", () => {
   for (const seed of TestUtils.faultSeeds()) {
-    if (TestUtils.isRed("usual", seed)) continue;
+    if (TestUtils.isUnresolvedFailure("usual", seed)) continue;
     vitest.it(`lose nothing and run nothing twice, seed ${seed}`, async () => {
-      vitest.expect(await TestUtils.playRandomFaults(seed)).toEqual([]);
+      vitest.expect(await TestUtils.simulateRandomFaults(seed)).toEqual([]);
     });
   }
 });
@@ -41,15 +41,21 @@
   for (const seed of CAPACITY_REGRESSION_SEEDS) {
     vitest.it(`break nothing, seed ${seed}`, async () => {
       vitest.expect(
-        await TestUtils.playRandomFaults(seed, TestUtils.PLAY_KINDS.rooms),
+        await TestUtils.simulateRandomFaults(
+          seed,
+          TestUtils.SIMULATION_KINDS.rooms,
+        ),
       ).toEqual([]);
     });
   }
   for (const seed of TestUtils.faultSeeds()) {
-    if (TestUtils.isRed("rooms", seed)) continue;
+    if (TestUtils.isUnresolvedFailure("rooms", seed)) continue;
     vitest.it(`start nothing without free capacity, seed ${seed}`, async () => {
       vitest.expect(
-        await TestUtils.playRandomFaults(seed, TestUtils.PLAY_KINDS.rooms),
+        await TestUtils.simulateRandomFaults(
+          seed,
+          TestUtils.SIMULATION_KINDS.rooms,
+        ),
       ).toEqual([]);
     });
   }
--- a/packages/workflow-node/src/random_hard_load_test.ts
+++ b/packages/workflow-node/src/random_hard_load_test.ts
@@ -9,12 +9,12 @@
 /** Seeds that CI runs with cuts and suspensions. */
 const SEED_COUNT = 6;
 
-const { hardLoad, hardLoadAndCuts } = TestUtils.PLAY_KINDS;
+const { hardLoad, hardLoadAndCuts } = TestUtils.SIMULATION_KINDS;
 
 vitest.describe("random faults under overload", () => {
   for (const seed of TestUtils.faultSeeds()) {
     vitest.it(`lose nothing and run nothing twice, seed ${seed}`, async () => {
-      const broken = TestUtils.playRandomFaults(seed, hardLoad);
+      const broken = TestUtils.simulateRandomFaults(seed, hardLoad);
       vitest.expect(await broken).toEqual([]);
     });
   }
@@ -23,7 +23,7 @@
 vitest.describe("random faults, cuts and suspensions under overload", () => {
   for (const seed of TestUtils.faultSeeds(SEED_COUNT)) {
     vitest.it(`lose nothing and run nothing twice, seed ${seed}`, async () => {
-      const broken = TestUtils.playRandomFaults(seed, hardLoadAndCuts);
+      const broken = TestUtils.simulateRandomFaults(seed, hardLoadAndCuts);
       vitest.expect(await broken).toEqual([]);
     });
   }
--- a/packages/workflow-node/src/random_rebirths_test.ts
+++ b/packages/workflow-node/src/random_rebirths_test.ts
@@ -5,7 +5,7 @@
 import * as TestUtils from "@cairngate/test-utils";
 import * as vitest from "vitest";
 
-const { rebirths, rebirthsAndCuts } = TestUtils.PLAY_KINDS;
+const { rebirths, rebirthsAndCuts } = TestUtils.SIMULATION_KINDS;
 
 /**
  * Seeds that once failed. 85, 174 and 187: a harmless workflow failed for runs that had
@@ -29,13 +29,13 @@
 vitest.describe("random faults and rebirths that were found", () => {
   for (const seed of REGRESSION_SEEDS) {
     vitest.it(`break nothing any more, seed ${seed}`, async () => {
-      vitest.expect(await TestUtils.playRandomFaults(seed, rebirths))
+      vitest.expect(await TestUtils.simulateRandomFaults(seed, rebirths))
         .toEqual([]);
     });
   }
   for (const seed of REGRESSION_SEEDS_WITH_CUTS) {
     vitest.it(`break nothing with cuts, seed ${seed}`, async () => {
-      vitest.expect(await TestUtils.playRandomFaults(seed, rebirthsAndCuts))
+      vitest.expect(await TestUtils.simulateRandomFaults(seed, rebirthsAndCuts))
         .toEqual([]);
     });
   }
@@ -43,11 +43,12 @@
 
 vitest.describe("random faults and restarting endpoints", () => {
   for (const seed of TestUtils.faultSeeds()) {
-    if (TestUtils.isRed("rebirths", seed)) continue;
+    if (TestUtils.isUnresolvedFailure("rebirths", seed)) continue;
     vitest.it(`lose nothing and run nothing twice, seed ${seed}`, async () => {
-      vitest.expect(await TestUtils.playRandomFaults(seed, rebirths)).toEqual(
-        [],
-      );
+      vitest.expect(await TestUtils.simulateRandomFaults(seed, rebirths))
+        .toEqual(
+          [],
+        );
     });
   }
 });
@@ -56,11 +57,13 @@
   "random faults, restarting endpoints, cuts and suspended boxes",
   () => {
     for (const seed of TestUtils.faultSeeds()) {
-      if (TestUtils.isRed("rebirthsAndCuts", seed)) continue;
+      if (TestUtils.isUnresolvedFailure("rebirthsAndCuts", seed)) continue;
       vitest.it(
         `lose nothing and run nothing twice, seed ${seed}`,
         async () => {
-          vitest.expect(await TestUtils.playRandomFaults(seed, rebirthsAndCuts))
+          vitest.expect(
+            await TestUtils.simulateRandomFaults(seed, rebirthsAndCuts),
+          )
             .toEqual([]);
         },
       );
@@ -76,7 +79,7 @@
  */
 vitest.describe("a start carried out in an incarnation not yet called", () => {
   vitest.it("does not run beside the next run, seed 3008", async () => {
-    vitest.expect(await TestUtils.playRandomFaults(3008, rebirthsAndCuts))
+    vitest.expect(await TestUtils.simulateRandomFaults(3008, rebirthsAndCuts))
       .toEqual([]);
   });
 });
@@ -86,7 +89,7 @@
   vitest.it(
     "counts toward the crash limit of the task, seed 6042",
     async () => {
-      vitest.expect(await TestUtils.playRandomFaults(6042, rebirthsAndCuts))
+      vitest.expect(await TestUtils.simulateRandomFaults(6042, rebirthsAndCuts))
         .toEqual([]);
     },
   );
@@ -97,7 +100,7 @@
   "a late start delivered before a coordinator is elected",
   () => {
     vitest.it("does not repeat completed work, seed 6099", async () => {
-      vitest.expect(await TestUtils.playRandomFaults(6099, rebirthsAndCuts))
+      vitest.expect(await TestUtils.simulateRandomFaults(6099, rebirthsAndCuts))
         .toEqual([]);
     });
   },
@@ -108,7 +111,7 @@
   vitest.it(
     "does not wait for a lease to expire after each crash, seed 6020",
     async () => {
-      vitest.expect(await TestUtils.playRandomFaults(6020, rebirths))
+      vitest.expect(await TestUtils.simulateRandomFaults(6020, rebirths))
         .toEqual([]);
     },
   );
--- a/packages/workflow-node/src/random_slow_ends_test.ts
+++ b/packages/workflow-node/src/random_slow_ends_test.ts
@@ -1,5 +1,5 @@
 /**
- * Gangs on endpoints as slow as those of users, see TestUtils.playSlowEnds: stops are
+ * Gangs on endpoints as slow as those of users, see TestUtils.simulateSlowEnds: stops are
  * slow, members end one after another, and faults occur meanwhile.
  * CAIRNGATE_FAULT_RUNS sets the number of seeds, CAIRNGATE_FAULT_FROM the first one.
  */
@@ -19,7 +19,7 @@
 vitest.describe("gangs on slow endpoints that once failed", () => {
   for (const seed of REGRESSION_SEEDS) {
     vitest.it(`break nothing, seed ${seed}`, async () => {
-      vitest.expect(await TestUtils.playSlowEnds(seed)).toEqual([]);
+      vitest.expect(await TestUtils.simulateSlowEnds(seed)).toEqual([]);
     });
   }
 });
@@ -27,7 +27,7 @@
 vitest.describe("gangs on endpoints that end runs slowly", () => {
   for (const seed of TestUtils.faultSeeds(SEED_COUNT)) {
     vitest.it(`run nothing twice and lose nothing, seed ${seed}`, async () => {
-      vitest.expect(await TestUtils.playSlowEnds(seed)).toEqual([]);
+      vitest.expect(await TestUtils.simulateSlowEnds(seed)).toEqual([]);
     });
   }
 });
--- a/packages/workflow-node/src/random_suspensions_test.ts
+++ b/packages/workflow-node/src/random_suspensions_test.ts
@@ -5,7 +5,9 @@
 vitest.describe("random faults and suspended boxes", () => {
   for (const seed of TestUtils.faultSeeds()) {
     vitest.it(`lose nothing and run nothing twice, seed ${seed}`, async () => {
-      vitest.expect(await TestUtils.playRandomFaults(seed, { suspends: true }))
+      vitest.expect(
+        await TestUtils.simulateRandomFaults(seed, { suspends: true }),
+      )
         .toEqual([]);
     });
   }
--- a/packages/workflow-node/src/recorded_address_test.ts
+++ b/packages/workflow-node/src/recorded_address_test.ts
@@ -36,12 +36,12 @@
       await fleet.until(() => isOver() || crashes() >= crash, TIMEOUT_MS);
       await fleet.clock.advance(KILL_AFTER_MS);
       const coordinator = fleet.coordinator();
-      if (coordinator === null || !fleet.nodes.has(coordinator)) continue;
+      if (coordinator === null || !fleet.boxes.has(coordinator)) continue;
       await fleet.kill(coordinator);
-      fleet.startNode(`${coordinator}+`);
+      fleet.startBox(`${coordinator}+`);
     }
     const hasFailed = await fleet.until(isOver, TIMEOUT_MS);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     vitest.expect(hasFailed).toBe(true);
     await fleet.stop();
   });
--- a/packages/workflow-node/src/recorded_unknown_end_test.ts
+++ b/packages/workflow-node/src/recorded_unknown_end_test.ts
@@ -25,7 +25,7 @@
     const sizes = Array.from({ length: 12 }, () => 1);
     const fleet = new TestUtils.TestFleet({ workers: sizes });
     fleet.keepsIds = true;
-    fleet.workers.atDeadAddress = StandIns.DeadAddress.Silent;
+    fleet.workers.atDeadAddress = StandIns.DeadAddressOutcome.Silent;
     fleet.workers.behave = () => ({
       runMs: RUN_MS,
       fails: false,
@@ -39,22 +39,22 @@
     const crashes = () =>
       fleet.workers.runs.filter(({ how }) => how === "crashed").length;
     // The first crash is observed, so the task becomes suspect.
-    fleet.crashBackMs = 1000;
+    fleet.restartDelayMs = 1000;
     await fleet.until(() => crashes() >= 1, TIMEOUT_MS);
     await fleet.clock.advance(1);
-    fleet.crashBackMs = RESTART_DELAY_MS;
+    fleet.restartDelayMs = RESTART_DELAY_MS;
     for (let crash = 2; crash <= 8 && !isOver(); crash++) {
       await fleet.until(() => isOver() || crashes() >= crash, TIMEOUT_MS);
       await fleet.clock.advance(KILL_AFTER_MS);
       const coordinator = fleet.coordinator();
-      if (coordinator === null || !fleet.nodes.has(coordinator)) continue;
+      if (coordinator === null || !fleet.boxes.has(coordinator)) continue;
       await fleet.kill(coordinator);
-      fleet.startNode(`${coordinator}+`);
+      fleet.startBox(`${coordinator}+`);
       // Lets the coordinator detect the end of the incarnation before the next start.
       await fleet.clock.advance(RESTART_DELAY_MS);
     }
     const hasFailed = await fleet.until(isOver, TIMEOUT_MS);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     vitest.expect(hasFailed).toBe(true);
     await fleet.stop();
   });
--- a/packages/workflow-node/src/records_test.ts
+++ b/packages/workflow-node/src/records_test.ts
@@ -31,14 +31,14 @@
       const steps = [TestUtils.buildStep({ count: 2 })];
       await fleet.submit("node-1", "a000000000000001", { steps });
       await fleet.until(() => fleet.workers.runs.length === 2);
-      for (const name of fleet.nodes.keys()) {
+      for (const name of fleet.boxes.keys()) {
         fleet.faultsOf(name).set({ down: true });
       }
       await fleet.clock.advance(8000);
       const [run] = fleet.workers.runsOf("a000000000000001.0.0.0");
       vitest.expect(run.how).toBe("done");
       vitest.expect(run.acknowledgedAtMs).toBeNull();
-      for (const name of fleet.nodes.keys()) {
+      for (const name of fleet.boxes.keys()) {
         fleet.faultsOf(name).set({ down: false });
       }
       const done = await fleet.until(() => run.acknowledgedAtMs !== null);
--- a/packages/workflow-node/src/refused_start_test.ts
+++ b/packages/workflow-node/src/refused_start_test.ts
@@ -21,12 +21,12 @@
     // From now on, the polls of both endpoints wait for changes.
     await fleet.clock.advance(2000);
     let refusedAtMs: number | null = null;
-    fleet.workers.carry = (_, order) => {
+    fleet.workers.decideOutcome = (_, order) => {
       if (order !== "start" || refusedAtMs !== null) {
-        return StandIns.OrderFate.Carried;
+        return StandIns.OrderOutcome.Delivered;
       }
       refusedAtMs = fleet.clock.monotonicMs();
-      return StandIns.OrderFate.NoRoom;
+      return StandIns.OrderOutcome.NoRoom;
     };
     await fleet.submit("node-1", URGENT_ID, { priority: 0 });
     const task = `${URGENT_ID}.0.0.0`;
--- a/packages/workflow-node/src/relay_test.ts
+++ b/packages/workflow-node/src/relay_test.ts
@@ -11,7 +11,7 @@
 
 function otherNode(fleet: TestUtils.TestFleet): string {
   const coordinator = fleet.coordinator();
-  return [...fleet.nodes.keys()].filter((n) => n !== coordinator)[0];
+  return [...fleet.boxes.keys()].filter((n) => n !== coordinator)[0];
 }
 
 /** Ways in which the store rejects a box. */
@@ -28,10 +28,10 @@
       const name = otherNode(fleet);
       fleet.faultsOf(name).set(faults);
       await fleet.clock.advance(3000);
-      vitest.expect(fleet.node(name).isReady).toBe(true);
+      vitest.expect(fleet.box(name).isReady).toBe(true);
       await fleet.submit(name, ID);
       await fleet.until(() => isCompleted(fleet));
-      vitest.expect(await fleet.ask(name, ID))
+      vitest.expect(await fleet.requestState(name, ID))
         .toBe(Workflow.WorkflowState.Completed);
       await fleet.stop();
     });
@@ -58,7 +58,7 @@
     await fleet.clock.advance(3000);
     fleet.applyConfig(TestUtils.buildAccess({ ivo: 2 }, 2));
     await fleet.clock.advance(1000);
-    vitest.expect(fleet.node(name).access.config?.version).toBe(2);
+    vitest.expect(fleet.box(name).access.config?.version).toBe(2);
     await fleet.stop();
   });
 
@@ -68,22 +68,22 @@
     const name = otherNode(fleet);
     fleet.faultsOf(name).set({ down: true });
     await fleet.clock.advance(2000);
-    vitest.expect(fleet.node(name).dump()["storeThrough"]).not.toBeNull();
+    vitest.expect(fleet.box(name).dump()["storeThrough"]).not.toBeNull();
     fleet.faultsOf(name).set({ down: false });
     await fleet.clock.advance(1000);
-    vitest.expect(fleet.node(name).dump()["storeThrough"]).toBeNull();
+    vitest.expect(fleet.box(name).dump()["storeThrough"]).toBeNull();
     await fleet.stop();
   });
 
   vitest.it("switches to another peer if its current one dies", async () => {
-    const fleet = new TestUtils.TestFleet({ nodes: 4 });
+    const fleet = new TestUtils.TestFleet({ boxes: 4 });
     await fleet.start();
     const name = otherNode(fleet);
     fleet.faultsOf(name).set({ down: true });
     await fleet.clock.advance(2000);
-    await fleet.kill(String(fleet.node(name).dump()["storeThrough"]));
+    await fleet.kill(String(fleet.box(name).dump()["storeThrough"]));
     await fleet.clock.advance(3000);
-    vitest.expect(fleet.node(name).isReady).toBe(true);
+    vitest.expect(fleet.box(name).isReady).toBe(true);
     await fleet.submit(name, ID);
     await fleet.stop();
   });
@@ -93,12 +93,12 @@
   vitest.it("is not called through peers while it is unavailable", async () => {
     const fleet = new TestUtils.TestFleet();
     await fleet.start();
-    for (const name of fleet.nodes.keys()) {
+    for (const name of fleet.boxes.keys()) {
       fleet.faultsOf(name).set({ down: true });
     }
     await fleet.clock.advance(3000);
-    for (const name of fleet.nodes.keys()) {
-      vitest.expect(fleet.node(name).dump()["storeThrough"]).toBeNull();
+    for (const name of fleet.boxes.keys()) {
+      vitest.expect(fleet.box(name).dump()["storeThrough"]).toBeNull();
     }
     await fleet.stop();
   });
@@ -106,13 +106,13 @@
   vitest.it("is not called through peers while it is slow", async () => {
     const fleet = new TestUtils.TestFleet();
     await fleet.start();
-    for (const name of fleet.nodes.keys()) {
+    for (const name of fleet.boxes.keys()) {
       fleet.faultsOf(name).set({ delayMs: 320 });
     }
     for (let i = 0; i < 30; i++) {
       await fleet.clock.advance(100);
-      for (const name of fleet.nodes.keys()) {
-        vitest.expect(fleet.node(name).dump()["storeThrough"]).toBeNull();
+      for (const name of fleet.boxes.keys()) {
+        vitest.expect(fleet.box(name).dump()["storeThrough"]).toBeNull();
       }
     }
     await fleet.stop();
--- a/packages/workflow-node/src/relisted_endpoint_test.ts
+++ b/packages/workflow-node/src/relisted_endpoint_test.ts
@@ -37,12 +37,13 @@
 }
 
 /** Cuts all endpoints off during a takeover; returns the outcome of the runs. */
-async function runTakeover(healsMs: number, { workers, workflows }: Scenario) {
+async function runTakeover(endsMs: number, { workers, workflows }: Scenario) {
   const fleet = new TestUtils.TestFleet({ workers });
   const cuts = new TestUtils.EndpointCuts(fleet);
   fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
-  fleet.workers.carry = (id) => cuts.fateOf(id) ?? StandIns.OrderFate.Carried;
-  fleet.workers.wayMs = ORDER_DELAY_MS;
+  fleet.workers.decideOutcome = (id) =>
+    cuts.outcomeOf(id) ?? StandIns.OrderOutcome.Delivered;
+  fleet.workers.transitMs = ORDER_DELAY_MS;
   await fleet.start();
   const ids = Array.from(
     { length: workflows },
@@ -51,16 +52,21 @@
   await Promise.all(ids.map((id) => fleet.submit("node-1", id)));
   await fleet.until(() => fleet.workers.runs.length === workflows);
   await fleet.clock.advance(CUT_DELAY_MS);
-  const fate = StandIns.OrderFate.Lost;
-  const shape = { fate, healsMs, entryGoesMs: 0, entryBackMs: healsMs };
-  for (const id of fleet.workers.listLives()) cuts.begin(id, shape);
+  const outcome = StandIns.OrderOutcome.Lost;
+  const schedule = {
+    outcome,
+    endsMs,
+    entryRemovedMs: 0,
+    entryRelistedMs: endsMs,
+  };
+  for (const id of fleet.workers.listRunning()) cuts.begin(id, schedule);
   await fleet.clock.advance(100);
   await replaceCoordinator(fleet);
   const { Completed } = Workflow.WorkflowState;
   const areDone = () => ids.every((id) => fleet.state(id) === Completed);
   const isDone = await fleet.until(areDone, TIMEOUT_MS);
   await fleet.clock.advance(RUN_MS * 2);
-  const broken = TestUtils.findBrokenRuns(fleet);
+  const broken = TestUtils.findRunViolations(fleet);
   const runs = fleet.workers.runs.length;
   await fleet.stop();
   return { isDone, runs, broken };
@@ -70,11 +76,11 @@
   "runs that complete while their endpoints are unreachable",
   () => {
     for (const [name, scenario] of Object.entries(SCENARIOS)) {
-      for (const healsMs of CUT_DURATIONS_MS) {
+      for (const endsMs of CUT_DURATIONS_MS) {
         vitest.it(
-          `are not repeated after a takeover, ${name}, for ${healsMs} ms`,
+          `are not repeated after a takeover, ${name}, for ${endsMs} ms`,
           async () => {
-            vitest.expect(await runTakeover(healsMs, scenario)).toEqual({
+            vitest.expect(await runTakeover(endsMs, scenario)).toEqual({
               isDone: true,
               runs: scenario.workflows,
               broken: [],
--- a/packages/workflow-node/src/replaced_endpoint_test.ts
+++ b/packages/workflow-node/src/replaced_endpoint_test.ts
@@ -46,19 +46,19 @@
       await fleet.submit("node-1", BLOCKED_ID, { steps: STEPS });
       await fleet.until(() => fleet.workers.runs.length === 1);
       const partition = partitionOf(fleet, BLOCKED_ID);
-      for (const name of fleet.nodes.keys()) {
+      for (const name of fleet.boxes.keys()) {
         fleet.faultsOf(name).set({ downPartitions: [partition] });
       }
       for (let i = 0; i < 2; i++) {
-        for (const id of fleet.workers.listLives()) fleet.workers.crash(id);
-        await fleet.clock.advance(TestUtils.CRASH_BACK_MS + 100);
+        for (const id of fleet.workers.listRunning()) fleet.workers.crash(id);
+        await fleet.clock.advance(TestUtils.RESTART_DELAY_MS + 100);
       }
       const task = await runElsewhere(fleet, partition);
-      for (const name of fleet.nodes.keys()) {
+      for (const name of fleet.boxes.keys()) {
         fleet.faultsOf(name).set({ downPartitions: [] });
       }
       await fleet.clock.advance(RUN_MS * 2);
-      fleet.workers.settle();
+      fleet.workers.update();
       const [first] = fleet.workers.runsOf(task);
       vitest.expect(first.how).toBe("done");
       vitest.expect(fleet.workers.runsOf(task).length).toBe(1);
--- a/packages/workflow-node/src/restarted_endpoints_test.ts
+++ b/packages/workflow-node/src/restarted_endpoints_test.ts
@@ -33,11 +33,11 @@
 /** Starts a fleet whose endpoints restart under the same ids. */
 async function startFleet(
   workers: readonly number[],
-  crashBackMs: number,
+  restartDelayMs: number,
 ): Promise<TestUtils.TestFleet> {
   const fleet = new TestUtils.TestFleet({ workers });
   fleet.keepsIds = true;
-  fleet.crashBackMs = crashBackMs;
+  fleet.restartDelayMs = restartDelayMs;
   fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
   await fleet.start();
   return fleet;
@@ -57,7 +57,7 @@
     () => ids.every((id) => isOver(fleet, id)),
     COMPLETION_TIMEOUT_MS,
   );
-  const broken = TestUtils.findBrokenRuns(fleet);
+  const broken = TestUtils.findRunViolations(fleet);
   const isIncomplete = (id: string) =>
     fleet.state(id) !== Workflow.WorkflowState.Completed;
   broken.push(...ids.filter(isIncomplete).map((id) => `${id} not completed`));
@@ -84,7 +84,7 @@
       await fleet.submit("node-1", idOf(i), { steps });
       await fleet.until(() => isOver(fleet, idOf(i)), COMPLETION_TIMEOUT_MS);
     }
-    for (const id of fleet.workers.listLives()) fleet.workers.crash(id);
+    for (const id of fleet.workers.listRunning()) fleet.workers.crash(id);
     await fleet.clock.advance(2000);
     const wide = TestUtils.buildStep({ count: 120, after: [0] });
     const steps = [TestUtils.buildStep({ count: 3 }), wide];
@@ -93,7 +93,7 @@
     const isDone = (task: string) =>
       fleet.workers.runsOf(task).some(({ how }) => how === "done");
     await fleet.until(() => {
-      fleet.workers.settle();
+      fleet.workers.update();
       return first.every(isDone);
     });
     await fleet.clock.advance(MAX_STALL_MS);
@@ -101,7 +101,7 @@
       .filter((task) => fleet.workers.runsOf(task).length > 0);
     vitest.expect(started.length).toBe(120);
     await fleet.until(() => isOver(fleet, idOf(1)), COMPLETION_TIMEOUT_MS);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     await fleet.stop();
   }, TEST_TIMEOUT_MS);
 
--- a/packages/workflow-node/src/rolling_restart_test.ts
+++ b/packages/workflow-node/src/rolling_restart_test.ts
@@ -54,7 +54,7 @@
   constructor(seed: number) {
     this.fleet = new TestUtils.TestFleet({
       seed,
-      nodes: BOXES,
+      boxes: BOXES,
       workers: [2, 1, 1],
     });
     this.#random = new TestUtils.SeededRandom(seed);
@@ -69,7 +69,7 @@
   async run(): Promise<string[]> {
     await this.fleet.start();
     for (let round = 1; round <= ROUNDS; round++) {
-      for (const name of [...this.fleet.nodes.keys()]) {
+      for (const name of [...this.fleet.boxes.keys()]) {
         await this.#submitNew();
         this.#breakStore();
         await this.#restart(name);
@@ -115,7 +115,7 @@
       TestUtils.buildStep({ count: 2, gang: true, after: [0] }),
     ];
     const { id, priority } = one;
-    const at = this.#random.choose([...this.fleet.nodes.keys()]);
+    const at = this.#random.choose([...this.fleet.boxes.keys()]);
     const done = await this.fleet.submit(at, id, { steps, priority })
       .then(() => true, () => false);
     one.accepted ||= done;
@@ -134,7 +134,7 @@
     const { id, priority } = one;
     if (!one.accepted || one.cancelledAtMs !== null) return;
     one.isCancelAsked = true;
-    const at = this.#random.choose([...this.fleet.nodes.keys()]);
+    const at = this.#random.choose([...this.fleet.boxes.keys()]);
     const call = { at, id, priority };
     const answer = await TestUtils.cancelAt(this.fleet, call);
     if (typeof answer === "number") one.cancelledAtMs = answer;
@@ -151,15 +151,15 @@
 
   async #restart(name: string): Promise<void> {
     if (this.#random.next() < 0.5) {
-      await this.fleet.run(this.fleet.node(name).leave());
+      await this.fleet.run(this.fleet.box(name).leave());
     }
     await this.fleet.kill(name);
-    this.fleet.startNode(`${name}+`);
+    this.fleet.startBox(`${name}+`);
     this.#breakBox(`${name}+`);
   }
 
   #breakStore(): void {
-    for (const name of this.fleet.nodes.keys()) this.#breakBox(name);
+    for (const name of this.fleet.boxes.keys()) this.#breakBox(name);
   }
 
   #breakBox(name: string): void {
@@ -173,7 +173,7 @@
   }
 
   #restoreStore(): void {
-    for (const name of this.fleet.nodes.keys()) {
+    for (const name of this.fleet.boxes.keys()) {
       this.fleet.faultsOf(name).set({ downPartitions: [], hideChanges: false });
     }
   }
@@ -213,7 +213,7 @@
   }
 
   #findDuplicateRuns(): string[] {
-    this.fleet.workers.settle();
+    this.fleet.workers.update();
     const { runs } = this.fleet.workers;
     return runs.flatMap((first) =>
       runs
@@ -227,7 +227,7 @@
     );
   }
 
-  #runsOf(id: string): StandIns.TaskRunNote[] {
+  #runsOf(id: string): StandIns.TaskRunRecord[] {
     return this.fleet.workers.runs.filter(({ task }) =>
       task.startsWith(`${id}.`)
     );
@@ -235,8 +235,8 @@
 }
 
 /** Whether a completed run was acknowledged before its lease could expire. */
-function isAcknowledgedInLease(note: StandIns.TaskRunNote): boolean {
-  const { how, endedAtMs, acknowledgedAtMs } = note;
+function isAcknowledgedInLease(record: StandIns.TaskRunRecord): boolean {
+  const { how, endedAtMs, acknowledgedAtMs } = record;
   if (how !== "done" || endedAtMs === null || acknowledgedAtMs === null) {
     return false;
   }
--- a/packages/workflow-node/src/run_proofs_test.ts
+++ b/packages/workflow-node/src/run_proofs_test.ts
@@ -33,7 +33,7 @@
 async function startRuns(
   fleet: TestUtils.TestFleet,
   changes: Partial<Workflow.StepSpec> = {},
-): Promise<StandIns.TaskRunNote> {
+): Promise<StandIns.TaskRunRecord> {
   const { count = 1 } = changes;
   const steps = [TestUtils.buildStep({ estimateMs: LONG_MS, ...changes })];
   await fleet.submit("node-1", ID, { steps });
@@ -41,22 +41,22 @@
   return fleet.workers.runs[0];
 }
 
-/** Gives orders of these kinds to one endpoint this fate. */
+/** Gives orders of these kinds to one endpoint this outcome. */
 function breakOrders(
   fleet: TestUtils.TestFleet,
   endpoint: string,
-  fate: StandIns.OrderFate,
+  outcome: StandIns.OrderOutcome,
   kinds: readonly string[] = ["start", "stop", "renew"],
 ): void {
-  fleet.workers.carry = (id, order) =>
+  fleet.workers.decideOutcome = (id, order) =>
     id === endpoint && kinds.includes(order)
-      ? fate
-      : StandIns.OrderFate.Carried;
+      ? outcome
+      : StandIns.OrderOutcome.Delivered;
 }
 
 /** Stops the fleet; returns the violations of the rules for runs. */
 async function endTest(fleet: TestUtils.TestFleet): Promise<string[]> {
-  const found = TestUtils.findBrokenRuns(fleet);
+  const found = TestUtils.findRunViolations(fleet);
   await fleet.stop();
   return found;
 }
@@ -94,12 +94,12 @@
   vitest.it("ends none whose start may still arrive", async () => {
     const fleet = await startFleet([1, 1], LONG_MS);
     let starts = 0;
-    fleet.workers.carry = (_, order) =>
+    fleet.workers.decideOutcome = (_, order) =>
       order === "start" && starts++ < 2
-        ? StandIns.OrderFate.Late
+        ? StandIns.OrderOutcome.Late
         : order === "stop" && fleet.workers.runs.length === 0
-        ? StandIns.OrderFate.Lost
-        : StandIns.OrderFate.Carried;
+        ? StandIns.OrderOutcome.Lost
+        : StandIns.OrderOutcome.Delivered;
     await startRuns(fleet);
     await fleet.clock.advance(3000);
     vitest.expect(await endTest(fleet)).toEqual([]);
@@ -109,12 +109,12 @@
 vitest.describe("a stop that was answered", () => {
   vitest.it("ends nothing before the endpoint reports the end", async () => {
     const fleet = await startFleet([1, 1], LONG_MS);
-    fleet.workers.stopTakesMs = () => TestUtils.FLEET_BOUNDS.stopMs;
+    fleet.workers.stopDelayMs = () => TestUtils.FLEET_BOUNDS.stopMs;
     const first = await startRuns(fleet);
     await fleet.clock.advance(500);
     const spec = { id: first.worker, accelerators: 1 };
     const leaves = { draining: true, leavesInMs: 500 };
-    fleet.list(spec, fleet.placeOf(first.worker), leaves);
+    fleet.list(spec, fleet.indexOf(first.worker), leaves);
     vitest.expect(await findDuplicates(fleet)).toEqual([]);
     vitest.expect(first.how).toBe("stopped");
   });
@@ -123,17 +123,17 @@
 vitest.describe("a start that is refused", () => {
   vitest.it("as stale may have run: its end is requested", async () => {
     const fleet = await startFleet([1, 1], 100);
-    let starts = 0;
+    let sent = 0;
     let silentUntilMs = 0;
     // The answer to the first try is lost, and polls go unanswered for a while.
-    fleet.workers.carry = (_, order) => {
+    fleet.workers.decideOutcome = (_, req) => {
       const nowMs = fleet.clock.monotonicMs();
-      if (order === "renew" && nowMs < silentUntilMs) {
-        return StandIns.OrderFate.Lost;
+      if (req === "renew" && nowMs < silentUntilMs) {
+        return StandIns.OrderOutcome.Lost;
       }
-      if (order !== "start" || starts++ > 0) return StandIns.OrderFate.Carried;
+      if (req !== "start" || sent++ > 0) return StandIns.OrderOutcome.Delivered;
       silentUntilMs = nowMs + 1000;
-      return StandIns.OrderFate.AnswerLost;
+      return StandIns.OrderOutcome.AnswerLost;
     };
     await startRuns(fleet);
     await fleet.clock.advance(3000);
@@ -146,7 +146,7 @@
   vitest.it("of a start runs from that start", async () => {
     const fleet = await startFleet([1, 1], LONG_MS);
     const first = await startRuns(fleet);
-    breakOrders(fleet, first.worker, StandIns.OrderFate.Lost);
+    breakOrders(fleet, first.worker, StandIns.OrderOutcome.Lost);
     vitest.expect(await findDuplicates(fleet)).toEqual([]);
     vitest.expect(first.how).toBe("lapsed");
   });
@@ -155,7 +155,9 @@
     const fleet = await startFleet([1, 1], LONG_MS);
     const first = await startRuns(fleet);
     await fleet.clock.advance(BEYOND_LEASE_MS);
-    breakOrders(fleet, first.worker, StandIns.OrderFate.AnswerLost, ["renew"]);
+    breakOrders(fleet, first.worker, StandIns.OrderOutcome.AnswerLost, [
+      "renew",
+    ]);
     vitest.expect(await findDuplicates(fleet)).toEqual([]);
     vitest.expect(first.how).toBe("lapsed");
   });
@@ -165,7 +167,7 @@
     const first = await startRuns(fleet);
     await fleet.clock.advance(BEYOND_LEASE_MS);
     await fleet.kill(fleet.coordinator() ?? "");
-    breakOrders(fleet, first.worker, StandIns.OrderFate.Lost);
+    breakOrders(fleet, first.worker, StandIns.OrderOutcome.Lost);
     vitest.expect(await findDuplicates(fleet)).toEqual([]);
     vitest.expect(first.how).toBe("lapsed");
   });
@@ -187,9 +189,9 @@
     const first = await startRuns(fleet);
     await fleet.clock.advance(500);
     const address = fleet.entryOf(first.worker)?.address ?? "";
-    fleet.workers.vacate(address);
+    fleet.workers.removeListener(address);
     await fleet.clock.advance(2000);
-    fleet.workers.livesAt(address, first.worker);
+    fleet.workers.setListener(address, first.worker);
     await fleet.clock.advance(BEYOND_LEASE_MS);
     vitest.expect(fleet.workers.runs.length).toBe(1);
     vitest.expect(await endTest(fleet)).toEqual([]);
@@ -202,19 +204,19 @@
     const previous = fleet.coordinator() ?? "";
     const token = fleet.token();
     let endpoint = "";
-    fleet.workers.carry = (id, order) => {
+    fleet.workers.decideOutcome = (id, order) => {
       if (order !== "start" || fleet.coordinator() !== previous) {
-        return StandIns.OrderFate.Carried;
+        return StandIns.OrderOutcome.Delivered;
       }
       endpoint = id;
-      return StandIns.OrderFate.Late;
+      return StandIns.OrderOutcome.Late;
     };
     const steps = [TestUtils.buildStep({ estimateMs: LONG_MS })];
     await fleet.submit("node-1", ID, { steps });
     await fleet.until(() => endpoint !== "");
     // Moves the next run to another endpoint, so that no start calls this one.
     const spec = { id: endpoint, accelerators: 1 };
-    fleet.list(spec, fleet.placeOf(endpoint), { draining: true });
+    fleet.list(spec, fleet.indexOf(endpoint), { draining: true });
     await fleet.kill(previous);
     // In a test, orders under way outlive the box that sends them.
     const stop = fleet.workers.stop.bind(fleet.workers);
--- a/packages/workflow-node/src/shared_outage_test.ts
+++ b/packages/workflow-node/src/shared_outage_test.ts
@@ -13,7 +13,7 @@
 const OUTAGE_MS = 9000;
 
 async function startRun(): Promise<TestUtils.TestFleet> {
-  const fleet = new TestUtils.TestFleet({ workers: [1, 1, 1], nodes: 5 });
+  const fleet = new TestUtils.TestFleet({ workers: [1, 1, 1], boxes: 5 });
   fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
   await fleet.start();
   await fleet.submit("node-1", ID, { steps: STEPS });
@@ -30,7 +30,7 @@
   for (const name of boxes) fleet.faultsOf(name).set({ down: true });
   await fleet.clock.advance(OUTAGE_MS);
   for (const name of boxes) fleet.faultsOf(name).set({ down: false });
-  fleet.workers.settle();
+  fleet.workers.update();
   const [run] = fleet.workers.runs;
   return run.how;
 }
@@ -38,18 +38,18 @@
 vitest.describe("a run during an outage that is longer than a lease", () => {
   vitest.it("goes on if the store is unavailable to all boxes", async () => {
     const fleet = await startRun();
-    const boxes = [...fleet.nodes.keys()];
+    const boxes = [...fleet.boxes.keys()];
     vitest.expect(await findEndAfter(fleet, boxes)).toBeNull();
     await fleet.stop();
   });
 
   vitest.it("goes on if one box of five is down as well", async () => {
     const fleet = await startRun();
-    const [lost] = [...fleet.nodes.keys()].filter((name) =>
+    const [lost] = [...fleet.boxes.keys()].filter((name) =>
       name !== fleet.coordinator()
     );
     await fleet.kill(lost);
-    const boxes = [...fleet.nodes.keys()];
+    const boxes = [...fleet.boxes.keys()];
     vitest.expect(await findEndAfter(fleet, boxes)).toBeNull();
     await fleet.stop();
   });
@@ -58,15 +58,16 @@
     const fleet = await startRun();
     const boxes = [fleet.coordinator() ?? ""];
     vitest.expect(await findEndAfter(fleet, boxes)).toBeNull();
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     await fleet.stop();
   });
 
   vitest.it("ends with its lease if the coordinator is isolated", async () => {
     const fleet = await startRun();
     const isolated = fleet.coordinator() ?? "";
-    fleet.links.passes = (from, to) => from !== isolated && to !== isolated;
-    const boxes = [...fleet.nodes.keys()];
+    fleet.links.isReachable = (from, to) =>
+      from !== isolated && to !== isolated;
+    const boxes = [...fleet.boxes.keys()];
     vitest.expect(await findEndAfter(fleet, boxes)).toBe("lapsed");
     await fleet.stop();
   });
--- a/packages/workflow-node/src/shrinking_capacity_test.ts
+++ b/packages/workflow-node/src/shrinking_capacity_test.ts
@@ -15,7 +15,7 @@
 /** Starts a fleet whose endpoint accepts starts beyond its capacity. */
 async function startFleet(): Promise<TestUtils.TestFleet> {
   const fleet = new TestUtils.TestFleet({ workers: [CAPACITY] });
-  fleet.workers.guardsRoom = false;
+  fleet.workers.enforcesCapacity = false;
   fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
   await fleet.start();
   return fleet;
@@ -37,9 +37,9 @@
   fleet: TestUtils.TestFleet,
   sinceMs: number,
 ): number {
-  fleet.workers.settle();
-  const isAt = (atMs: number) => (note: StandIns.TaskRunNote) =>
-    note.startedAtMs <= atMs && (note.endedAtMs ?? Infinity) > atMs;
+  fleet.workers.update();
+  const isAt = (atMs: number) => (record: StandIns.TaskRunRecord) =>
+    record.startedAtMs <= atMs && (record.endedAtMs ?? Infinity) > atMs;
   const later = fleet.workers.runs.filter(({ startedAtMs }) =>
     startedAtMs > sinceMs
   );
@@ -63,7 +63,7 @@
     "gets no start that was planned before and no longer fits",
     async () => {
       const fleet = await startFleet();
-      for (const name of fleet.nodes.keys()) {
+      for (const name of fleet.boxes.keys()) {
         fleet.faultsOf(name).set({ delayMs: STORE_DELAY_MS });
       }
       const all = ids(CAPACITY);
@@ -148,7 +148,7 @@
     "starts no member of a gang that no longer fits",
     async () => {
       const fleet = await startFleet();
-      for (const name of fleet.nodes.keys()) {
+      for (const name of fleet.boxes.keys()) {
         fleet.faultsOf(name).set({ delayMs: STORE_DELAY_MS });
       }
       const steps = [TestUtils.buildStep({ count: CAPACITY, gang: true })];
@@ -158,7 +158,7 @@
       resize(fleet, CAPACITY - 1);
       await submissions;
       await fleet.clock.advance(5000);
-      fleet.workers.settle();
+      fleet.workers.update();
       const running = fleet.workers.runs.filter(({ how }) => how === null);
       vitest.expect(running).toEqual([]);
       resize(fleet, CAPACITY);
@@ -169,7 +169,7 @@
 
   vitest.it("is limited by each of its resources", async () => {
     const fleet = await startFleet();
-    const place = fleet.placeOf(ENDPOINT);
+    const place = fleet.indexOf(ENDPOINT);
     const spec = { id: ENDPOINT, accelerators: CAPACITY };
     // Memory for one task only; each needs 1,000 MB.
     fleet.list(spec, place, { memoryMb: 1500 });
@@ -189,13 +189,13 @@
       const all = ids(CAPACITY + 1);
       for (const id of all) await fleet.submit("node-1", id);
       await fleet.until(() => fleet.workers.runs.length === CAPACITY);
-      for (const name of fleet.nodes.keys()) {
+      for (const name of fleet.boxes.keys()) {
         fleet.faultsOf(name).set({ down: true });
       }
       resize(fleet, 1);
       const shrunkAtMs = fleet.clock.monotonicMs();
       await fleet.clock.advance(RUN_MS * 2);
-      for (const name of fleet.nodes.keys()) {
+      for (const name of fleet.boxes.keys()) {
         fleet.faultsOf(name).set({ down: false });
       }
       vitest.expect(await waitForAll(fleet, all)).toBe(true);
--- a/packages/workflow-node/src/silent_connections_test.ts
+++ b/packages/workflow-node/src/silent_connections_test.ts
@@ -17,7 +17,7 @@
 
 async function startFleet(): Promise<TestUtils.TestFleet> {
   const fleet = new TestUtils.TestFleet({
-    nodes: 4,
+    boxes: 4,
     workers: Array.from({ length: 12 }, () => 2),
   });
   fleet.workers.behave = (task) => ({
@@ -34,7 +34,7 @@
 
 /** Submits the urgent workflow; tries another box after a failure, as callers do. */
 async function submitUrgent(fleet: TestUtils.TestFleet): Promise<void> {
-  for (const name of fleet.nodes.keys()) {
+  for (const name of fleet.boxes.keys()) {
     const done = await fleet.submit(name, URGENT_ID, { priority: 0 })
       .then(() => true, () => false);
     if (done) return;
@@ -53,7 +53,7 @@
   const isStarted = () => fleet.workers.runsOf(task).length > 0;
   vitest.expect(await fleet.until(isStarted, remainingMs)).toBe(true);
   await fleet.clock.advance(SETTLE_MS);
-  fleet.workers.settle();
+  fleet.workers.update();
   vitest.expect(fleet.workers.runsOf(task)).toHaveLength(1);
   vitest.expect(fleet.state(URGENT_ID)).toBe(Workflow.WorkflowState.Completed);
   const ends = fleet.workers.runs.filter(({ task: name, how }) =>
@@ -68,7 +68,7 @@
       const fleet = await startFleet();
       const token = fleet.token();
       await fleet.clock.advance(offsetMs);
-      fleet.silenceOpen();
+      fleet.silenceConnections();
       await expectServed(fleet);
       vitest.expect(fleet.token()).toBe(token);
       await fleet.stop();
@@ -80,7 +80,7 @@
     const token = fleet.token();
     await fleet.kill(fleet.coordinator() ?? "");
     await fleet.until(() => fleet.token() > token);
-    fleet.silenceOpen();
+    fleet.silenceConnections();
     await expectServed(fleet);
     vitest.expect(fleet.token()).toBe(token + 1);
     await fleet.stop();
@@ -88,25 +88,25 @@
 
   vitest.it("in a rolling restart, urgent work starts in time", async () => {
     const fleet = await startFleet();
-    for (const name of [...fleet.nodes.keys()]) {
-      await fleet.run(fleet.node(name).leave());
-      fleet.silenceOpen();
+    for (const name of [...fleet.boxes.keys()]) {
+      await fleet.run(fleet.box(name).leave());
+      fleet.silenceConnections();
       await fleet.kill(name);
-      fleet.startNode(name);
+      fleet.startBox(name);
       await fleet.clock.advance(2000);
     }
-    fleet.silenceOpen();
+    fleet.silenceConnections();
     await expectServed(fleet);
     await fleet.stop();
   });
 
   vitest.it("while the store is slow, work starts in time", async () => {
     const fleet = await startFleet();
-    for (const name of fleet.nodes.keys()) {
+    for (const name of fleet.boxes.keys()) {
       fleet.faultsOf(name).set({ delayMs: 300 });
     }
     await fleet.clock.advance(1000);
-    fleet.silenceOpen();
+    fleet.silenceConnections();
     await expectServed(fleet, MAX_URGENT_START_MS * 2);
     await fleet.stop();
   });
--- a/packages/workflow-node/src/slow_link_test.ts
+++ b/packages/workflow-node/src/slow_link_test.ts
@@ -31,7 +31,7 @@
 /** Kills the coordinator; the remaining box has a slow link. */
 async function killCoordinator(fleet: TestUtils.TestFleet): Promise<void> {
   await fleet.start();
-  const [remaining] = [...fleet.nodes.keys()]
+  const [remaining] = [...fleet.boxes.keys()]
     .filter((name) => name !== fleet.coordinator());
   await fleet.submit(remaining, ID, {
     steps: [TestUtils.buildStep({ count: 2 })],
@@ -66,7 +66,7 @@
 
 vitest.describe("a coordinator on a slow link", () => {
   vitest.it("serves once it has read many rows", async () => {
-    const fleet = new TestUtils.TestFleet({ nodes: 2 });
+    const fleet = new TestUtils.TestFleet({ boxes: 2 });
     for (let i = 0; i < ENDED_WORKFLOWS; i++) TestUtils.writeEnded(fleet, i);
     await killCoordinator(fleet);
     const limitMs = maxReadMs(ENDED_WORKFLOWS * ENDED_WORKFLOW_KB);
@@ -75,7 +75,7 @@
   });
 
   vitest.it("serves if the store keeps little history", async () => {
-    const fleet = new TestUtils.TestFleet({ nodes: 2 });
+    const fleet = new TestUtils.TestFleet({ boxes: 2 });
     for (let i = 0; i < ENDED_WORKFLOWS; i++) TestUtils.writeEnded(fleet, i);
     await killCoordinator(fleet);
     vitest.expect(await waitWithShortHistory(fleet)).toBe(true);
@@ -83,7 +83,7 @@
   });
 
   vitest.it("serves if single rows are large", async () => {
-    const fleet = new TestUtils.TestFleet({ nodes: 2 });
+    const fleet = new TestUtils.TestFleet({ boxes: 2 });
     const value = {
       ...Workflow.toProgressRecord(
         new Workflow.Workflow(TestUtils.buildEnded(0)),
--- a/packages/workflow-node/src/stale_entries_test.ts
+++ b/packages/workflow-node/src/stale_entries_test.ts
@@ -10,7 +10,7 @@
 import * as Workflow from "@cairngate/workflow";
 import * as vitest from "vitest";
 
-const { DeadAddress } = StandIns;
+const { DeadAddressOutcome } = StandIns;
 
 /** Endpoints, of four accelerators each. */
 const ENDPOINTS = 12;
@@ -38,7 +38,7 @@
 ): Promise<void> {
   for (let ms = 0; ms < forMs; ms += HEARTBEAT_MS) {
     await fleet.clock.advance(HEARTBEAT_MS);
-    fleet.beat();
+    fleet.sendHeartbeats();
   }
 }
 
@@ -46,7 +46,7 @@
 async function runCrashWaves(fleet: TestUtils.TestFleet): Promise<string[]> {
   const ids: string[] = [];
   for (let wave = 0; wave < CRASH_WAVES; wave++) {
-    const endpoints = fleet.workers.listLives();
+    const endpoints = fleet.workers.listRunning();
     const first = wave * CRASHES_PER_WAVE;
     for (let i = 0; i < CRASHES_PER_WAVE; i++) {
       fleet.workers.crash(endpoints[(first + i) % endpoints.length]);
@@ -78,14 +78,14 @@
 }
 
 vitest.describe("entries that outlive their endpoints", () => {
-  for (const atDeadAddress of Object.values(DeadAddress)) {
+  for (const atDeadAddress of Object.values(DeadAddressOutcome)) {
     vitest.it(
       `fail no workflow if the address ${atDeadAddress}`,
       async () => {
         const workers = Array.from({ length: ENDPOINTS }, () => 4);
         const fleet = new TestUtils.TestFleet({ workers });
-        fleet.crashBackMs = 1000;
-        fleet.entryOutlastsMs = 3000;
+        fleet.restartDelayMs = 1000;
+        fleet.entryOverlapMs = 3000;
         fleet.workers.atDeadAddress = atDeadAddress;
         fleet.workers.behave = () => ({ runMs: RUN_MS, fails: false });
         await fleet.start();
@@ -101,7 +101,9 @@
         ) {
           await advance(fleet, 1000);
         }
-        vitest.expect(ids.flatMap((id) => TestUtils.checkFailed(fleet, id)))
+        vitest.expect(
+          ids.flatMap((id) => TestUtils.checkFailedWorkflow(fleet, id)),
+        )
           .toEqual([]);
         const states = ids.filter((id) => !hasUsedAllStarts(fleet, id))
           .map((id) => fleet.state(id));
--- a/packages/workflow-node/src/starts_after_faults_test.ts
+++ b/packages/workflow-node/src/starts_after_faults_test.ts
@@ -49,7 +49,7 @@
     this.random = new TestUtils.SeededRandom(seed);
     this.fleet = new TestUtils.TestFleet({
       seed,
-      nodes: 4,
+      boxes: 4,
       workers: ENDPOINTS,
     });
     this.fleet.workers.behave = () => ({
@@ -59,7 +59,7 @@
   }
 
   get names(): readonly string[] {
-    return [...this.fleet.nodes.keys()];
+    return [...this.fleet.boxes.keys()];
   }
 
   get randomName(): string {
@@ -90,9 +90,9 @@
 
   /** Kills a box and starts it again. */
   async restart(name: string): Promise<void> {
-    if (!this.fleet.nodes.has(name)) return;
+    if (!this.fleet.boxes.has(name)) return;
     await this.fleet.kill(name);
-    this.fleet.startNode(name);
+    this.fleet.startBox(name);
   }
 
   setFaults(
@@ -111,7 +111,7 @@
       hideChanges: false,
       delayMs: 0,
     });
-    this.fleet.links.passes = () => true;
+    this.fleet.links.isReachable = () => true;
     for (const index of this.unlisted) this.list(index);
     this.unlisted.clear();
   }
@@ -134,11 +134,11 @@
     const { fleet, names } = scenario;
     for (const name of names) await fleet.kill(name);
     await fleet.clock.advance(scenario.random.between(100, 1500));
-    for (const name of names) fleet.startNode(name);
+    for (const name of names) fleet.startBox(name);
   },
   async (scenario) => {
     for (const name of scenario.names) {
-      await scenario.fleet.run(scenario.fleet.node(name).leave());
+      await scenario.fleet.run(scenario.fleet.box(name).leave());
       await scenario.restart(name);
       await scenario.fleet.clock.advance(1500);
     }
@@ -155,10 +155,10 @@
     const downPartitions = TableClient.Keys.PARTITIONS.filter(isDown);
     scenario.setFaults({ downPartitions });
   },
-  (scenario) => scenario.fleet.silenceOpen(),
+  (scenario) => scenario.fleet.silenceConnections(),
   (scenario) => {
     const isolated = scenario.randomName;
-    scenario.fleet.links.passes = (from, to) =>
+    scenario.fleet.links.isReachable = (from, to) =>
       from !== isolated && to !== isolated;
   },
   (scenario) => {
@@ -170,7 +170,7 @@
 
 /** Returns the workflows that have a running task on an endpoint. */
 function findRunningIds(fleet: TestUtils.TestFleet): Set<string> {
-  fleet.workers.settle();
+  fleet.workers.update();
   const running = fleet.workers.runs.filter(({ endedAtMs }) =>
     endedAtMs === null
   );
@@ -198,7 +198,10 @@
   return [...delayed];
 }
 
-async function runScenario(seed: number, kilobyteMs = 0): Promise<string[]> {
+async function runScenario(
+  seed: number,
+  kilobyteMs = 0,
+): Promise<string[]> {
   const scenario = new Scenario(seed);
   const { fleet, random } = scenario;
   const ended = kilobyteMs > 0 ? ENDED_WORKFLOWS : 0;
--- a/packages/workflow-node/src/state_test.ts
+++ b/packages/workflow-node/src/state_test.ts
@@ -16,14 +16,14 @@
       await fleet.submit("node-1", ID);
       await fleet.until(() => fleet.workers.runs.length === 1);
       const askedAtMs = fleet.clock.monotonicMs();
-      const during = await fleet.ask("node-2", ID);
+      const during = await fleet.requestState("node-2", ID);
       vitest.expect(during).toBe(Workflow.WorkflowState.Running);
       // The fake store answers instantly, so any wait would advance the clock.
       vitest.expect(fleet.clock.monotonicMs()).toBe(askedAtMs);
       await fleet.until(() =>
         fleet.state(ID) === Workflow.WorkflowState.Completed
       );
-      const after = await fleet.ask("node-2", ID);
+      const after = await fleet.requestState("node-2", ID);
       vitest.expect(after).toBe(Workflow.WorkflowState.Completed);
       await fleet.stop();
     },
--- a/packages/workflow-node/src/takeover_test.ts
+++ b/packages/workflow-node/src/takeover_test.ts
@@ -13,7 +13,7 @@
 /** Finds a box that is not the coordinator. */
 function otherNode(fleet: TestUtils.TestFleet): string {
   const coordinator = fleet.coordinator();
-  const others = [...fleet.nodes.keys()].filter((n) => n !== coordinator);
+  const others = [...fleet.boxes.keys()].filter((n) => n !== coordinator);
   return others[0];
 }
 
@@ -37,7 +37,7 @@
     const fleet = new TestUtils.TestFleet();
     await fleet.start();
     const first = fleet.coordinator() ?? "";
-    await fleet.run(fleet.node(first).leave());
+    await fleet.run(fleet.box(first).leave());
     const leftAtMs = fleet.clock.monotonicMs();
     await fleet.until(() => ![null, first].includes(fleet.coordinator()));
     vitest.expect(fleet.clock.monotonicMs() - leftAtMs).toBeLessThan(500);
@@ -45,15 +45,15 @@
   });
 
   vitest.it("happens once if many boxes could take over", async () => {
-    const fleet = new TestUtils.TestFleet({ nodes: 6 });
+    const fleet = new TestUtils.TestFleet({ boxes: 6 });
     await fleet.start();
     const before = fleet.token();
     // Slow calls let all boxes try to take over at the same time.
-    for (const [i, name] of [...fleet.nodes.keys()].entries()) {
+    for (const [i, name] of [...fleet.boxes.keys()].entries()) {
       fleet.faultsOf(name).set({ delayMs: 5 + 9 * i });
     }
     const first = fleet.coordinator() ?? "";
-    await fleet.run(fleet.node(first).leave());
+    await fleet.run(fleet.box(first).leave());
     await fleet.clock.advance(1500);
     vitest.expect(fleet.token()).toBe(before + 1);
     await fleet.stop();
@@ -66,7 +66,7 @@
       await fleet.start();
       const first = fleet.coordinator() ?? "";
       fleet.faultsOf(first).set({ down: true });
-      fleet.links.passes = (from) => from !== first;
+      fleet.links.isReachable = (from) => from !== first;
       const moved = await fleet.until(() => fleet.coordinator() !== first);
       vitest.expect(moved).toBe(true);
       await fleet.submit(fleet.coordinator() ?? "", ID);
@@ -80,11 +80,11 @@
     const fleet = new TestUtils.TestFleet();
     await fleet.start();
     const before = fleet.token();
-    for (const name of fleet.nodes.keys()) {
+    for (const name of fleet.boxes.keys()) {
       fleet.faultsOf(name).set({ hideChanges: true });
     }
     await fleet.clock.advance(6000);
-    for (const name of fleet.nodes.keys()) {
+    for (const name of fleet.boxes.keys()) {
       fleet.faultsOf(name).set({ hideChanges: false });
     }
     await fleet.clock.advance(3000);
@@ -98,11 +98,11 @@
       const fleet = new TestUtils.TestFleet();
       await fleet.start();
       const first = fleet.coordinator();
-      for (const name of fleet.nodes.keys()) {
+      for (const name of fleet.boxes.keys()) {
         fleet.faultsOf(name).set({ down: true });
       }
       await fleet.clock.advance(6000);
-      for (const name of fleet.nodes.keys()) {
+      for (const name of fleet.boxes.keys()) {
         fleet.faultsOf(name).set({ down: false });
       }
       await fleet.clock.advance(3000);
@@ -121,9 +121,9 @@
     ];
     await fleet.submit("node-1", ID, { steps });
     await fleet.until(() => fleet.workers.runs.length === 1);
-    for (const name of [...fleet.nodes.keys()]) await fleet.kill(name);
+    for (const name of [...fleet.boxes.keys()]) await fleet.kill(name);
     await fleet.clock.advance(1000);
-    for (const name of ["node-4", "node-5"]) fleet.startNode(name);
+    for (const name of ["node-4", "node-5"]) fleet.startBox(name);
     vitest.expect(await fleet.until(() => isCompleted(fleet))).toBe(true);
     vitest.expect(fleet.workers.runs.length).toBe(2);
     await fleet.stop();
@@ -140,7 +140,7 @@
       await fleet.until(() => fleet.workers.runs.length === 1);
       await fleet.kill(fleet.coordinator() ?? "");
       const name = otherNode(fleet);
-      const node = fleet.node(name);
+      const node = fleet.box(name);
       const path = `/p1/${ID}`;
       const host = "jobs.example";
       const key = "key-of-hana";
@@ -162,12 +162,12 @@
   vitest.it("start a run once if the answer is lost", async () => {
     const fleet = new TestUtils.TestFleet();
     let lost = 0;
-    fleet.workers.carry = (_, order) => {
+    fleet.workers.decideOutcome = (_, order) => {
       const isFirst = order === "start" && lost === 0;
       if (isFirst) lost++;
       return isFirst
-        ? StandIns.OrderFate.AnswerLost
-        : StandIns.OrderFate.Carried;
+        ? StandIns.OrderOutcome.AnswerLost
+        : StandIns.OrderOutcome.Delivered;
     };
     await fleet.start();
     await fleet.submit("node-1", ID);
@@ -182,16 +182,16 @@
       const fleet = new TestUtils.TestFleet({ workers: [1, 1] });
       fleet.workers.behave = () => ({ runMs: 4000, fails: false });
       let firstAtMs: number | null = null;
-      fleet.workers.carry = (_, order) => {
-        if (order !== "start") return StandIns.OrderFate.Carried;
+      fleet.workers.decideOutcome = (_, order) => {
+        if (order !== "start") return StandIns.OrderOutcome.Delivered;
         const nowMs = fleet.clock.monotonicMs();
         if (firstAtMs === null) {
           firstAtMs = nowMs;
-          return StandIns.OrderFate.Late;
+          return StandIns.OrderOutcome.Late;
         }
         return nowMs < firstAtMs + 3000
-          ? StandIns.OrderFate.NoRoom
-          : StandIns.OrderFate.Carried;
+          ? StandIns.OrderOutcome.NoRoom
+          : StandIns.OrderOutcome.Delivered;
       };
       await fleet.start();
       const steps = [TestUtils.buildStep({ estimateMs: 4000 })];
--- a/packages/workflow-node/src/team_shares_test.ts
+++ b/packages/workflow-node/src/team_shares_test.ts
@@ -16,7 +16,8 @@
 };
 
 function buildFleet(
-  options: { hardLoad?: Types.HardLoadSettings; log?: TestUtils.KeptLog } = {},
+  options: { hardLoad?: Types.HardLoadSettings; log?: TestUtils.RecordingLog } =
+    {},
 ): TestUtils.TestFleet {
   const { log } = options;
   const fleet = new TestUtils.TestFleet({
@@ -40,7 +41,7 @@
 
 function sharesAt(fleet: TestUtils.TestFleet) {
   const name = fleet.coordinator() ?? "";
-  const work = fleet.node(name).dump()["work"];
+  const work = fleet.box(name).dump()["work"];
   return (work as Coordinator.CoordinatorDump | null)?.teamShares ?? [];
 }
 
@@ -60,7 +61,7 @@
 
 vitest.describe("shares of teams", () => {
   vitest.it("show the past use and the waiting work", async () => {
-    const log = new TestUtils.KeptLog();
+    const log = new TestUtils.RecordingLog();
     const fleet = buildFleet({ log });
     await occupyHalf(fleet, 25_000);
     // Needs the whole fleet, so it waits for the current runs to end.
@@ -78,7 +79,7 @@
     vitest.expect(first.use).toBeGreaterThan(0.35);
     vitest.expect(first.use).toBeLessThan(0.5);
     vitest.expect(first.waiting).toBe(1);
-    const lines = log.sentences.filter((one) => one.includes("Team small has"));
+    const lines = log.messages.filter((one) => one.includes("Team small has"));
     vitest.expect(lines.length).toBe(1);
     await fleet.stop();
   });
@@ -95,7 +96,7 @@
   });
 
   vitest.it("are reset if another writer changed the row", async () => {
-    const log = new TestUtils.KeptLog();
+    const log = new TestUtils.RecordingLog();
     const fleet = buildFleet({ log });
     await occupyHalf(fleet, 20_000);
     const first = fleet.coordinator() ?? "";
@@ -103,7 +104,7 @@
     fleet.write(KEY, { use: { small: "much" } });
     await takeOver(fleet);
     vitest.expect(useOf(fleet)).toBeLessThan(0.25);
-    const lines = log.sentences.filter((one) =>
+    const lines = log.messages.filter((one) =>
       one.includes("Nothing is known of what teams have had: it can't be read")
     );
     vitest.expect(lines.length).toBe(1);
--- a/packages/workflow-node/src/unanswered_start_test.ts
+++ b/packages/workflow-node/src/unanswered_start_test.ts
@@ -19,12 +19,12 @@
   vitest.it("is used once it answers", async () => {
     const fleet = new TestUtils.TestFleet({ workers: [1, 1] });
     await fleet.start();
-    fleet.workers.carry = () => StandIns.OrderFate.Lost;
+    fleet.workers.decideOutcome = () => StandIns.OrderOutcome.Lost;
     const steps = [TestUtils.buildStep({ count: 2, gang: true })];
     await fleet.submit("node-1", ID, { steps });
     await fleet.clock.advance(SILENT_MS);
     vitest.expect(fleet.workers.runs).toEqual([]);
-    fleet.workers.carry = () => StandIns.OrderFate.Carried;
+    fleet.workers.decideOutcome = () => StandIns.OrderOutcome.Delivered;
     const isDone = () => fleet.state(ID) === Workflow.WorkflowState.Completed;
     vitest.expect(await fleet.until(isDone, MAX_STALL_MS)).toBe(true);
     await fleet.stop();
--- a/packages/workflow-node/src/unanswered_starts_test.ts
+++ b/packages/workflow-node/src/unanswered_starts_test.ts
@@ -19,15 +19,15 @@
 async function runScenario(runMs: number): Promise<string[]> {
   const fleet = new TestUtils.TestFleet({ workers: [1, 1] });
   fleet.keepsIds = true;
-  fleet.crashBackMs = NEVER_MS;
+  fleet.restartDelayMs = NEVER_MS;
   fleet.workers.behave = () => ({ runMs, fails: false });
   await fleet.start();
   // The first start gets no answer and is carried out 2.5 s later; the second works.
   let starts = 0;
-  fleet.workers.carry = (_, order) =>
+  fleet.workers.decideOutcome = (_, order) =>
     order === "start" && starts++ === 0
-      ? StandIns.OrderFate.Late
-      : StandIns.OrderFate.Carried;
+      ? StandIns.OrderOutcome.Late
+      : StandIns.OrderOutcome.Delivered;
   const steps = [TestUtils.buildStep({ estimateMs: runMs })];
   await fleet.submit("node-1", ID, { steps });
   await fleet.until(() => fleet.workers.runs.length === 1);
@@ -36,11 +36,11 @@
   fleet.workers.crash(id);
   await fleet.clock.advance(400);
   const spec = { id, accelerators: 1 };
-  fleet.workers.beginAgain(spec);
-  fleet.workers.vacate(fleet.entryOf(id)?.address ?? "");
+  fleet.workers.restart(spec);
+  fleet.workers.removeListener(fleet.entryOf(id)?.address ?? "");
   fleet.list(spec, 7);
   await fleet.clock.advance(DELIVERY_MS);
-  const violations = TestUtils.findBrokenRuns(fleet);
+  const violations = TestUtils.findRunViolations(fleet);
   await fleet.stop();
   return violations;
 }
--- a/packages/workflow-node/src/uneven_endpoints_test.ts
+++ b/packages/workflow-node/src/uneven_endpoints_test.ts
@@ -33,7 +33,7 @@
 
 /** Lists the endpoints with at least twice the learned speed of the slowest one. */
 function listFast(fleet: TestUtils.TestFleet): readonly string[] {
-  const { work } = fleet.node(fleet.coordinator() ?? "").dump();
+  const { work } = fleet.box(fleet.coordinator() ?? "").dump();
   const { workers } = work as DumpedWork;
   const slowest = Math.min(...workers.map(({ speed }) => speed));
   return workers.filter(({ speed }) => speed >= 2 * slowest)
--- a/packages/workflow-node/src/unobserved_crashes_test.ts
+++ b/packages/workflow-node/src/unobserved_crashes_test.ts
@@ -14,7 +14,7 @@
 
 /** Finds tasks with more than two starts after their third crash. */
 function findExcessStarts(fleet: TestUtils.TestFleet): string[] {
-  return TestUtils.findBrokenRuns(fleet);
+  return TestUtils.findRunViolations(fleet);
 }
 
 function crashingIds(count: number): string[] {
@@ -80,7 +80,7 @@
               Effect.andThen(fleet.clock.sleep(ms), Effect.sync(what)),
             );
           later(Math.min(backMs, 4500), () => fleet.unlist(spec.id));
-          later(backMs, () => fleet.bringBack(spec));
+          later(backMs, () => fleet.restartUnderNewId(spec));
         };
         await fleet.start();
         await fleet.submit("node-1", "c000000000000001");
@@ -101,14 +101,14 @@
    * The next incarnation answers under its own id at the same address, which proves the
    * end of the previous one as well as a 421 would.
    */
-  for (const atDeadAddress of Object.values(StandIns.DeadAddress)) {
+  for (const atDeadAddress of Object.values(StandIns.DeadAddressOutcome)) {
     vitest.it(
       `fail if the address ${atDeadAddress}`,
       async () => {
         const sizes = Array.from({ length: 6 }, () => 1);
         const fleet = new TestUtils.TestFleet({ workers: sizes });
         fleet.workers.atDeadAddress = atDeadAddress;
-        fleet.entryOutlastsMs = 1500;
+        fleet.entryOverlapMs = 1500;
         fleet.workers.behave = () => ({
           runMs: 60_000,
           fails: false,
@@ -116,7 +116,7 @@
         });
         await fleet.start();
         Effect.runFork(
-          fleet.clock.every(1500, Effect.sync(() => fleet.beat())),
+          fleet.clock.every(1500, Effect.sync(() => fleet.sendHeartbeats())),
         );
         await fleet.submit("node-1", "c000000000000001");
         const hasFailed = await fleet.until(
--- a/packages/workflow-node/src/unreachable_endpoint_variants_test.ts
+++ b/packages/workflow-node/src/unreachable_endpoint_variants_test.ts
@@ -13,31 +13,34 @@
 /** Sixteen endpoints of one accelerator, so that gang members never share one. */
 const SINGLES: readonly number[] = Array.from({ length: 16 }, () => 1);
 
-const { shape } = TestUtils.USUAL_CUTS;
-const { Late, AnswerLost } = StandIns.OrderFate;
+const { schedule } = TestUtils.DEFAULT_CUTS;
+const { Late, AnswerLost } = StandIns.OrderOutcome;
 
 /** Changes of each variant to the usual scenario. */
-const VARIANTS: Readonly<Record<string, Partial<TestUtils.CutPlay>>> = {
-  "that carry orders out late": { shape: { ...shape, fate: Late } },
-  "whose answers are lost": { shape: { ...shape, fate: AnswerLost } },
-  "two at once": { victims: 2 },
-  "two at once, under gangs": { victims: 2, gangs: true },
+const VARIANTS: Readonly<Record<string, Partial<TestUtils.CutScenario>>> = {
+  "that carry orders out late": { schedule: { ...schedule, outcome: Late } },
+  "whose answers are lost": { schedule: { ...schedule, outcome: AnswerLost } },
+  "two at once": { endpointsPerCut: 2 },
+  "two at once, under gangs": { endpointsPerCut: 2, gangs: true },
   "each with one member of a gang": { workers: SINGLES, gangs: true },
   "each with one member of a gang, while coordinators change": {
     workers: SINGLES,
     gangs: true,
     changesCoordinator: true,
   },
-  "under work that yields to guaranteed work": { workflows: 16, rushes: true },
+  "under work that yields to guaranteed work": {
+    workflows: 16,
+    addsUrgentWork: true,
+  },
 };
 
 vitest.describe("endpoints that are cut off under other work", () => {
   for (const [name, changes] of Object.entries(VARIANTS)) {
     vitest.it(`fail no workflow, ${name}`, async () => {
-      vitest.expect(await TestUtils.playCuts(changes, SEEDS)).toEqual({
+      vitest.expect(await TestUtils.simulateCuts(changes, SEEDS)).toEqual({
         failed: [],
-        undone: [],
-        broken: [],
+        unfinished: [],
+        violations: [],
       });
     }, TIMEOUT_MS);
   }
--- a/packages/workflow-node/src/unreachable_endpoints_test.ts
+++ b/packages/workflow-node/src/unreachable_endpoints_test.ts
@@ -13,18 +13,20 @@
 /** Real-time limit for a variant, in ms: eight scenarios of a few seconds each. */
 const TIMEOUT_MS = 120_000;
 
-type ScenarioChanges = Partial<TestUtils.CutPlay>;
+type ScenarioChanges = Partial<TestUtils.CutScenario>;
 
-function withShape(shape: Partial<TestUtils.CutShape>): ScenarioChanges {
-  return { shape: { ...TestUtils.USUAL_CUTS.shape, ...shape } };
+function withSchedule(
+  schedule: Partial<TestUtils.CutSchedule>,
+): ScenarioChanges {
+  return { schedule: { ...TestUtils.DEFAULT_CUTS.schedule, ...schedule } };
 }
 
-const { Silent } = StandIns.OrderFate;
+const { Silent } = StandIns.OrderOutcome;
 
 /** Changes of each variant to the usual scenario. */
 const VARIANTS: Readonly<Record<string, ScenarioChanges>> = {
   "whose orders are lost": {},
-  "whose orders are never answered": withShape({ fate: Silent }),
+  "whose orders are never answered": withSchedule({ outcome: Silent }),
   "under gangs": { gangs: true },
   "while coordinators change": { changesCoordinator: true },
 };
@@ -35,11 +37,13 @@
     gangs: true,
     changesCoordinator: true,
   },
-  "and listed again before they are reached": withShape({ entryBackMs: 4000 }),
-  "and reached before they are listed again": withShape({ healsMs: 5000 }),
-  "and reached while the run goes on": withShape({
-    healsMs: 3500,
-    entryBackMs: 3500,
+  "and listed again before they are reached": withSchedule({
+    entryRelistedMs: 4000,
+  }),
+  "and reached before they are listed again": withSchedule({ endsMs: 5000 }),
+  "and reached while the run goes on": withSchedule({
+    endsMs: 3500,
+    entryRelistedMs: 3500,
   }),
 };
 
@@ -50,10 +54,10 @@
   ) => {
     for (const [name, changes] of Object.entries(variants)) {
       vitest.it(`fail no workflow, ${name}`, async () => {
-        vitest.expect(await TestUtils.playCuts(changes, seeds)).toEqual({
+        vitest.expect(await TestUtils.simulateCuts(changes, seeds)).toEqual({
           failed: [],
-          undone: [],
-          broken: [],
+          unfinished: [],
+          violations: [],
         });
       }, TIMEOUT_MS);
     }
--- a/packages/workflow-node/src/wrong_addresses_test.ts
+++ b/packages/workflow-node/src/wrong_addresses_test.ts
@@ -23,7 +23,7 @@
     order: Effect.Effect<A, Ports.OrderError>,
   ): Effect.Effect<A, Ports.OrderError> => {
     const worker = id;
-    if (address === `10.0.0.${fleet.placeOf(id)}:80`) return order;
+    if (address === `10.0.0.${fleet.indexOf(id)}:80`) return order;
     return address === VACANT_ADDRESS
       ? Effect.fail(
         new Errors.WorkerLostError({
@@ -52,8 +52,8 @@
     await fleet.until(() => fleet.workers.runs.length === 1);
     await fleet.clock.advance(500);
     const { worker } = fleet.workers.runs[0];
-    const other = (fleet.placeOf(worker) + 1) % 3;
-    const place = fleet.placeOf(worker);
+    const other = (fleet.indexOf(worker) + 1) % 3;
+    const place = fleet.indexOf(worker);
     const coordinator = fleet.coordinator() ?? "";
     fleet.list({ id: worker, accelerators: 1 }, place, {
       address: `10.0.0.${other}:80`,
@@ -67,7 +67,7 @@
     // The next heartbeat of the endpoint itself.
     fleet.list({ id: worker, accelerators: 1 }, place);
     await fleet.clock.advance(10_000);
-    vitest.expect(TestUtils.findBrokenRuns(fleet)).toEqual([]);
+    vitest.expect(TestUtils.findRunViolations(fleet)).toEqual([]);
     await fleet.stop();
   });
 
